--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,38 +1,38 @@
-//! Budgets of extra calls.
+//! Token bucket that limits extra calls (hedges and retries).
 
 use std::{ops::Add, time::Duration};
 
 use chestnut_unit::{Share, Time};
 
-use crate::kept::Kept;
+use crate::kept::Reserve;
 
-/// Extra calls allowed as a share of first calls.
+/// Limits extra calls to a share of first calls.
 ///
-/// Without a budget, retries and hedges grow with the faults that cause them:
-/// targets that slow down under load get more load, and stay slow after the
-/// cause has gone. A share of first calls bounds the extra load whatever the
-/// cause; the burst lets a quiet service answer a sudden loss.
+/// Without a limit, retries and hedges grow with the faults that cause them: targets
+/// that slow down under load get even more load and stay slow after the cause has gone.
+/// A share of first calls bounds the extra load whatever the cause, and the burst lets
+/// a service with little traffic react to a sudden loss.
 #[derive(Clone, Debug)]
 pub struct Budget {
     share: f64,
     burst: f64,
     tokens: f64,
-    /// Calls a second that come whatever is called.
+    /// Tokens added per second, independent of first calls.
     rate: f64,
-    /// Saved of first calls, beside the slack.
-    kept: Option<Kept>,
-    at: Time,
+    /// Tokens saved from first calls while the quota is below one call.
+    reserve: Option<Reserve>,
+    updated: Time,
     tally: Tally,
 }
 
-/// What became of a budget so far, in calls.
+/// Totals of a budget, in calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// Allowed, by first calls or by time.
+    /// Tokens earned by first calls or by time.
     pub earned: f64,
-    /// Of those, lost because no more could be saved up.
+    /// Earned tokens that were discarded because the bucket was full.
     pub lost: f64,
-    /// Of those, spent.
+    /// Tokens spent on extra calls.
     pub spent: f64,
 }
 
@@ -49,8 +49,8 @@
 }
 
 impl Budget {
-    /// A budget of `share` of first calls that saves up to `burst` calls. It
-    /// starts full, but for a share of nothing, which allows none at all.
+    /// Creates a budget of `share` of first calls that holds up to `burst` calls. It
+    /// starts full; a share of zero allows no extra call at all.
     #[must_use]
     pub fn new(share: Share, burst: u32) -> Self {
         let burst = if share.as_f64() > 0.0 {
@@ -63,15 +63,15 @@
             burst,
             tokens: burst,
             rate: 0.0,
-            kept: None,
-            at: Time::ZERO,
+            reserve: None,
+            updated: Time::ZERO,
             tally: Tally::default(),
         }
     }
 
-    /// A budget that starts empty. A member of a group whose shares together
-    /// make one budget must not start with saved calls: a group that restarts
-    /// at once would spend them all again.
+    /// Creates a budget that starts empty, for an entry whose quota is part of a budget
+    /// shared by several. If they started full, a restart of all of them would spend
+    /// the shared budget twice.
     #[must_use]
     pub fn empty(share: Share, burst: u32) -> Self {
         Self {
@@ -80,102 +80,105 @@
         }
     }
 
-    /// Changes the share of first calls; what is saved up stays.
+    /// Changes the share of first calls; tokens already saved stay.
     pub fn set_share(&mut self, share: Share) {
         self.share = share.as_f64();
     }
 
-    /// Allows `slack` calls on top of the share in any `window`: half of them
-    /// may be saved up, and the other half comes over the window. What is saved
-    /// above that is lost.
+    /// Allows `quota` calls in any `window` in addition to the share. Half of the quota
+    /// is the bucket's capacity and the other half is refilled over the window; tokens
+    /// above the capacity are lost.
     ///
-    /// Half of a small part of a slack that many share is less than a call, and no
-    /// call could ever be made of it, however much first calls earn. So one whole call
-    /// may be saved up where the part is that large. Below, a part of what first calls
-    /// earn is kept.
-    pub fn set_slack(&mut self, slack: f64, window: Duration) {
-        self.burst = match slack >= 1.0 {
-            true => (slack / 2.0).max(1.0),
-            false => slack / 2.0,
+    /// The capacity is at least one call where the quota is: half of a small quota
+    /// would be less than a call and could never be spent. For a quota below one call,
+    /// a reserve saved from first calls pays instead.
+    pub fn set_slack(&mut self, quota: f64, window: Duration) {
+        self.burst = match quota >= 1.0 {
+            true => (quota / 2.0).max(1.0),
+            false => quota / 2.0,
         };
-        self.rate = (slack - self.burst) / window.as_secs_f64().max(1e-3);
+        self.rate = (quota - self.burst) / window.as_secs_f64().max(1e-3);
         self.tokens = self.tokens.min(self.burst);
-        self.kept = match (slack >= 1.0, self.kept.take()) {
+        self.reserve = match (quota >= 1.0, self.reserve.take()) {
             (true, _) => None,
-            (false, kept) => Some(kept.unwrap_or_else(|| Kept::new(window))),
+            (false, reserve) => Some(reserve.unwrap_or_else(|| Reserve::new(window))),
         };
     }
 
-    /// Takes the passing of time.
+    /// Refills the bucket for the time that has passed.
     pub fn pass(&mut self, now: Time) {
-        let earned = self.rate * now.since(self.at).as_secs_f64();
-        self.save(earned);
-        self.at = self.at.max(now);
+        let earned = self.rate * now.since(self.updated).as_secs_f64();
+        self.deposit(earned);
+        self.updated = self.updated.max(now);
     }
 
-    /// Counts `calls` first calls.
+    /// Adds the tokens earned by `calls` first calls.
     pub fn earn(&mut self, calls: usize) {
         let earned = self.share * calls as f64;
-        match &mut self.kept {
-            None => self.save(earned),
-            Some(kept) => {
+        match &mut self.reserve {
+            None => self.deposit(earned),
+            Some(reserve) => {
                 self.tally.earned += earned;
-                self.tally.lost += kept.earn(calls, self.share, self.at);
+                self.tally.lost += reserve.earn(calls, self.share, self.updated);
             }
         }
     }
 
-    fn save(&mut self, earned: f64) {
-        let saved = self.tokens + earned;
-        self.tokens = saved.min(self.burst);
+    fn deposit(&mut self, earned: f64) {
+        let uncapped = self.tokens + earned;
+        self.tokens = uncapped.min(self.burst);
         self.tally.earned += earned;
-        self.tally.lost += saved - self.tokens;
+        self.tally.lost += uncapped - self.tokens;
     }
 
-    fn saved(&self) -> f64 {
-        let kept = self.kept.as_ref();
-        self.tokens + kept.map_or(0.0, |kept| kept.left(self.share, self.at))
+    fn available(&self) -> f64 {
+        let reserve = self.reserve.as_ref();
+        self.tokens + reserve.map_or(0.0, |reserve| reserve.available(self.share, self.updated))
     }
 
-    /// Spends one extra call, if the budget allows it.
+    /// Spends one extra call; returns false if the budget doesn't allow it.
     #[must_use]
     pub fn spend(&mut self) -> bool {
         self.spend_part(1.0)
     }
 
-    /// Spends an extra call that costs the target `part` of a whole one.
+    /// Spends an extra call that costs its target `cost` of a whole call; returns false
+    /// if the budget doesn't allow it.
     #[must_use]
-    pub fn spend_part(&mut self, part: f64) -> bool {
-        if self.saved() < part {
+    pub fn spend_part(&mut self, cost: f64) -> bool {
+        if self.available() < cost {
             return false;
         }
-        let kept = self.kept.as_mut();
-        let kept = kept.map_or(0.0, |kept| kept.take(part, self.share, self.at));
-        self.tokens -= part - kept;
-        self.tally.spent += part;
+        let reserve = self.reserve.as_mut();
+        let paid = reserve.map_or(0.0, |reserve| {
+            reserve.withdraw(cost, self.share, self.updated)
+        });
+        self.tokens -= cost - paid;
+        self.tally.spent += cost;
         true
     }
 
-    /// The part of what can be saved up that is left, from 0 to 1.
+    /// The filled part of the capacity, from 0 to 1.
     #[must_use]
     pub fn part_left(&self) -> f64 {
-        let kept = self.kept.as_ref();
-        let most = self.burst + kept.map_or(0.0, |kept| kept.most(self.share, self.at));
-        match most > 0.0 {
-            true => (self.saved() / most).clamp(0.0, 1.0),
+        let reserve = self.reserve.as_ref();
+        let capacity =
+            self.burst + reserve.map_or(0.0, |reserve| reserve.capacity(self.share, self.updated));
+        match capacity > 0.0 {
+            true => (self.available() / capacity).clamp(0.0, 1.0),
             false => 0.0,
         }
     }
 
-    /// What became of it so far.
+    /// The totals so far.
     #[must_use]
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Whole calls left.
+    /// Number of whole calls that can be spent now.
     #[must_use]
     pub fn left(&self) -> u32 {
-        self.saved() as u32
+        self.available() as u32
     }
 }
--- a/crates/route/src/kept.rs
+++ b/crates/route/src/kept.rs
@@ -1,87 +1,90 @@
-//! Extra calls that an entry keeps of what its own first calls earn.
+//! Reserve of extra calls that an entry saves from its own first calls.
 
 use std::time::Duration;
 
 use chestnut_unit::Time;
 
-/// Part of what first calls earn that may be saved up, and that is taken off what
-/// they earn for it. More keeps more for a burst and makes fewer calls in all.
-const KEPT_PART: f64 = 0.25;
-/// Spans that a window of first calls is counted in.
-const SPANS: u64 = 4;
+/// Part of the tokens earned that may be saved up, and that is deducted from the earnings
+/// in return. A larger part allows larger bursts and fewer extra calls overall.
+const RESERVE_SHARE: f64 = 0.25;
+/// Number of buckets in which the first calls of a window are counted.
+const BUCKETS: u64 = 4;
 
-/// What is kept of first calls where an entry's part of the slack is too small for one
-/// whole call.
+/// Tokens for extra calls, saved from first calls, for an entry whose quota is below one
+/// call.
 ///
-/// Each first call earns three quarters of the share, and what is saved is at most a
-/// quarter of what those of the last window earned. So in any window no more is spent
-/// than the share of the first calls in it or in the one before it, whatever other
-/// entries do; the sum of all entries keeps to the bound as each does.
+/// Each first call earns three quarters of the share, and at most a quarter of the
+/// earnings of the last window is saved. So in any window an entry spends at most the
+/// share of its first calls in that window or the one before it, whatever other entries
+/// do, and the entries together stay within the shared budget.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct Reserve {
+    /// Saved tokens, in calls.
     saved: f64,
-    /// First calls by span, the present one first.
-    calls: [u32; SPANS as usize],
-    span: Duration,
-    /// Number of the present span.
-    number: u64,
+    /// First calls per bucket, the current one first.
+    calls: [u32; BUCKETS as usize],
+    /// Length of a bucket.
+    bucket: Duration,
+    /// Number of the current bucket since time zero.
+    current: u64,
 }
 
-impl Kept {
+impl Reserve {
+    /// Creates an empty reserve for a budget with this window.
     pub(crate) fn new(window: Duration) -> Self {
         Self {
             saved: 0.0,
-            calls: [0; SPANS as usize],
-            span: window / SPANS as u32,
-            number: 0,
+            calls: [0; BUCKETS as usize],
+            bucket: window / BUCKETS as u32,
+            current: 0,
         }
     }
 
-    /// Takes first calls; returns what of their share is lost.
+    /// Adds the earnings of `calls` first calls; returns the tokens that are lost.
     pub(crate) fn earn(&mut self, calls: usize, share: f64, now: Time) -> f64 {
-        self.turn(now);
+        self.advance(now);
         let count = u32::try_from(calls).unwrap_or(u32::MAX);
         self.calls[0] = self.calls[0].saturating_add(count);
         let earned = share * calls as f64;
-        let before = self.left(share, now);
-        let saved = before + earned * (1.0 - KEPT_PART);
-        self.saved = saved.min(self.most(share, now));
+        let before = self.available(share, now);
+        let uncapped = before + earned * (1.0 - RESERVE_SHARE);
+        self.saved = uncapped.min(self.capacity(share, now));
         earned - (self.saved - before)
     }
 
-    /// Spends up to `part` of a call; returns how much.
-    pub(crate) fn take(&mut self, part: f64, share: f64, now: Time) -> f64 {
-        let taken = self.left(share, now).min(part);
-        self.saved = self.left(share, now) - taken;
-        taken
+    /// Withdraws up to `cost` tokens; returns how many.
+    pub(crate) fn withdraw(&mut self, cost: f64, share: f64, now: Time) -> f64 {
+        let withdrawn = self.available(share, now).min(cost);
+        self.saved = self.available(share, now) - withdrawn;
+        withdrawn
     }
 
-    /// What is saved.
-    pub(crate) fn left(&self, share: f64, now: Time) -> f64 {
-        self.saved.min(self.most(share, now))
+    /// Tokens that can be withdrawn now.
+    pub(crate) fn available(&self, share: f64, now: Time) -> f64 {
+        self.saved.min(self.capacity(share, now))
     }
 
-    /// What may be saved.
-    pub(crate) fn most(&self, share: f64, now: Time) -> f64 {
-        let passed = usize::try_from(self.at(now).saturating_sub(self.number));
-        let passed = passed.unwrap_or(self.calls.len()).min(self.calls.len());
-        let recent = &self.calls[..self.calls.len() - passed];
-        let calls: u64 = recent.iter().map(|calls| u64::from(*calls)).sum();
-        KEPT_PART * share * calls as f64
+    /// Largest number of tokens that can be saved now.
+    pub(crate) fn capacity(&self, share: f64, now: Time) -> f64 {
+        let elapsed = usize::try_from(self.bucket_at(now).saturating_sub(self.current));
+        let elapsed = elapsed.unwrap_or(self.calls.len()).min(self.calls.len());
+        let counted = &self.calls[..self.calls.len() - elapsed];
+        let calls: u64 = counted.iter().map(|calls| u64::from(*calls)).sum();
+        RESERVE_SHARE * share * calls as f64
     }
 
-    fn at(&self, now: Time) -> u64 {
-        let span = self.span.as_nanos().max(1);
-        u64::try_from(now.since(Time::ZERO).as_nanos() / span).unwrap_or(u64::MAX)
+    fn bucket_at(&self, now: Time) -> u64 {
+        let bucket = self.bucket.as_nanos().max(1);
+        u64::try_from(now.since(Time::ZERO).as_nanos() / bucket).unwrap_or(u64::MAX)
     }
 
-    fn turn(&mut self, now: Time) {
-        let number = self.at(now);
-        let passed = number.saturating_sub(self.number);
-        let passed = usize::try_from(passed).unwrap_or(self.calls.len());
-        let passed = passed.min(self.calls.len());
-        self.calls.rotate_right(passed);
-        self.calls[..passed].fill(0);
-        self.number = self.number.max(number);
+    fn advance(&mut self, now: Time) {
+        let current = self.bucket_at(now);
+        let elapsed = current.saturating_sub(self.current);
+        let elapsed = usize::try_from(elapsed).unwrap_or(self.calls.len());
+        let elapsed = elapsed.min(self.calls.len());
+        self.calls.rotate_right(elapsed);
+        self.calls[..elapsed].fill(0);
+        self.current = self.current.max(current);
     }
 }
