--- a/crates/route/src/backend.rs
+++ b/crates/route/src/backend.rs
@@ -1,4 +1,4 @@
-//! Back ends, and how a table treats them.
+//! Identifiers of back ends and the configuration of a [`Table`](crate::Table).
 
 use std::{fmt, time::Duration};
 
@@ -9,9 +9,9 @@
 /// A back end of a service, as one entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Backend {
-    /// A leaf that this entry holds and calls itself.
+    /// A leaf that this entry calls directly.
     Leaf(LeafId),
-    /// A peer that holds leafs for which this entry asks it.
+    /// A peer entry that forwards calls to its leafs.
     Peer(MemberId),
 }
 
@@ -24,43 +24,44 @@
     }
 }
 
-/// Number of a back end in its table.
+/// Index of a back end in its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ix(pub(crate) u32);
 
 impl Ix {
-    /// Position in the table's list.
+    /// Returns the index as a position in a list.
     #[must_use]
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Parameters of a table.
+/// Parameters of a [`Table`](crate::Table).
 #[derive(Clone, Debug)]
 pub struct TableConfig {
-    /// How a replica is chosen.
+    /// Policy by which a replica is chosen.
     pub choice: Choice,
-    /// How hedges are timed.
+    /// Policy by which hedges are timed.
     pub hedge: Hedge,
-    /// Share of extra calls for hedges.
+    /// Budget of hedges, as a share of first calls.
     pub hedge_share: Share,
-    /// Share of extra calls for retries.
+    /// Budget of retries, as a share of first calls.
     pub retry_share: Share,
-    /// Whether outliers are evicted and cold leafs ramped up.
+    /// Whether outlier ejection, backoff and slow start are in force.
     pub guard: Guard,
-    /// How long a back end with a late call is passed over while it answers
-    /// nothing. It helps where back ends pause, all their calls at once; where
-    /// single calls straggle it idles sound ones.
+    /// How long a back end with a late call is avoided unless it answers; zero
+    /// disables this. It suits back ends that pause all their calls at once.
+    /// Where single calls straggle it leaves healthy ones idle.
     pub stall: Duration,
 }
 
-/// Whether the table guards against faulty leafs.
+/// Whether a table protects itself against faulty back ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// Evict outliers, back off from refusals, ramp up cold leafs.
+    /// Outlier ejection, backoff after refusals and slow start of new back
+    /// ends.
     On,
-    /// None of it, for the naive baseline.
+    /// No protection, as a baseline.
     Off,
 }
 
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,34 +1,34 @@
-//! Which replica of a shard gets a call.
+//! Load balancing: which replica of a shard gets a call.
 
 use chestnut_unit::{IndexVersion, Time};
 use rand::Rng;
 
 use crate::{Ix, Table, evict::evicted_among};
 
-/// How a replica is chosen.
+/// Policy by which a replica is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// In turn. Baseline.
+    /// Each replica in turn.
     RoundRobin,
-    /// Fewest outstanding calls of this entry. Baseline.
+    /// The replica with the fewest outstanding calls of this entry.
     LeastOutstanding,
-    /// The better of two at random by outstanding calls. Baseline.
+    /// The one with fewer outstanding calls of two random replicas.
     PowerOfTwo,
-    /// Highest recent duration, decaying, times outstanding calls. What the
-    /// daemon uses: it shuns a replica at the first long call and comes back as
-    /// the memory of it fades.
+    /// Lowest product of the decaying peak duration and outstanding calls. It
+    /// avoids a replica after a single long call and returns to it as the peak
+    /// decays.
     PeakEwma,
-    /// Expected time of the call: clipped mean of past calls, worsened by the
-    /// outstanding calls that share the replica's slots, by hints of its health
-    /// and load endpoint, and while it is cold.
+    /// Lowest expected duration: the clipped moving average of call durations,
+    /// raised by outstanding calls per slot, by health and load hints, and
+    /// during slow start.
     Predicted,
-    /// Windowed weighted average with ranked damping of the split ratios, as
-    /// in Dealer (Hajjat et al., JSAC 2013, sections IV-B and IV-C).
+    /// Random by split ratios from windowed weighted averages with ranked
+    /// damping (Hajjat et al., JSAC 2013, sections IV-B and IV-C).
     Damped,
 }
 
 impl Choice {
-    /// Every way to choose.
+    /// All policies.
     pub const ALL: [Choice; 6] = [
         Self::RoundRobin,
         Self::LeastOutstanding,
@@ -38,7 +38,7 @@
         Self::Damped,
     ];
 
-    /// The word in reports.
+    /// Name of the policy in reports.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -52,9 +52,9 @@
     }
 }
 
-/// The replica of `replicas` that gets the next call for `version`. Those in
+/// Chooses the replica that gets the next call for `version`. Replicas in
 /// `tried`, those that are leaving, those that lack the snapshot and those
-/// without room are never chosen.
+/// without capacity are never chosen.
 pub fn choose_replica(
     table: &mut Table,
     replicas: &[Ix],
@@ -65,15 +65,15 @@
 ) -> Option<Ix> {
     let tiers = tiers(table, replicas, tried, version, now);
     let best = tiers.into_iter().find(|tier| !tier.is_empty())?;
-    // Where the best ones have no room, waiting for one of them is better than
-    // calling one that rests or leaves.
-    let among: Vec<Ix> = best.into_iter().filter(|ix| table.has_room(*ix)).collect();
-    pick(table, &among, now, rng)
+    // If the best tier has no capacity, waiting for it is better than calling
+    // one that is backing off or suspected, so worse tiers aren't tried.
+    let candidates: Vec<Ix> = best.into_iter().filter(|ix| table.has_room(*ix)).collect();
+    pick_replica(table, &candidates, now, rng)
 }
 
-/// The replicas that may be called, the best first: those that are sound, all
-/// that are not leaving, all. A replica that rests is better than one that is
-/// leaving: the latter may end at any moment, and must be left alone soon.
+/// Replicas that may be called, in tiers from best to worst: healthy ones; all
+/// but suspected ones; all. A replica in backoff is preferred to a suspected
+/// one, which may be gone.
 pub(crate) fn tiers(
     table: &Table,
     replicas: &[Ix],
@@ -87,38 +87,38 @@
         .copied()
         .filter(|ix| !tried.contains(ix) && table.is_open(*ix, version, now))
         .collect();
-    let sure: Vec<Ix> = open
+    let confirmed: Vec<Ix> = open
         .iter()
         .copied()
         .filter(|ix| !table.is_doubted(*ix))
         .collect();
-    let sound: Vec<Ix> = sure
+    let healthy: Vec<Ix> = confirmed
         .iter()
         .copied()
         .filter(|ix| !evicted.contains(ix) && !table.is_resting(*ix, now))
         .collect();
-    [sound, sure, open]
+    [healthy, confirmed, open]
 }
 
-fn pick(table: &mut Table, among: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
-    if among.len() <= 1 {
-        return among.first().copied();
+fn pick_replica(table: &mut Table, candidates: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
+    if candidates.len() <= 1 {
+        return candidates.first().copied();
     }
     table.turn = table.turn.wrapping_add(1);
     match table.config.choice {
-        Choice::RoundRobin => Some(among[table.turn as usize % among.len()]),
-        Choice::PowerOfTwo => Some(two_random(table, among, rng)),
-        Choice::Damped => table.damped.pick(among, now, rng),
-        Choice::LeastOutstanding => least(among, rng, |ix| f64::from(table.outstanding(ix))),
-        Choice::PeakEwma => least(among, rng, |ix| peak_score(table, ix, now)),
-        Choice::Predicted => least(among, rng, |ix| predicted_score(table, ix, now)),
+        Choice::RoundRobin => Some(candidates[table.turn as usize % candidates.len()]),
+        Choice::PowerOfTwo => Some(better_of_two(table, candidates, rng)),
+        Choice::Damped => table.damped.pick(candidates, now, rng),
+        Choice::LeastOutstanding => lowest(candidates, rng, |ix| f64::from(table.outstanding(ix))),
+        Choice::PeakEwma => lowest(candidates, rng, |ix| peak_score(table, ix, now)),
+        Choice::Predicted => lowest(candidates, rng, |ix| predicted_score(table, ix, now)),
     }
 }
 
-fn two_random(table: &Table, among: &[Ix], rng: &mut dyn Rng) -> Ix {
-    let one = below(rng, among.len());
-    let other = (one + 1 + below(rng, among.len() - 1)) % among.len();
-    let (a, b) = (among[one], among[other]);
+fn better_of_two(table: &Table, candidates: &[Ix], rng: &mut dyn Rng) -> Ix {
+    let first = random_below(rng, candidates.len());
+    let second = (first + 1 + random_below(rng, candidates.len() - 1)) % candidates.len();
+    let (a, b) = (candidates[first], candidates[second]);
     if table.outstanding(b) < table.outstanding(a) {
         b
     } else {
@@ -126,12 +126,12 @@
     }
 }
 
-/// The back end with the least score; the search starts at a random place so
-/// that equal ones share the load.
-fn least(among: &[Ix], rng: &mut dyn Rng, score: impl Fn(Ix) -> f64) -> Option<Ix> {
-    let start = below(rng, among.len());
-    let turned = among[start..].iter().chain(&among[..start]);
-    let scored = turned.map(|ix| (score(*ix), *ix));
+/// The replica with the lowest score. The search starts at a random one, so
+/// that ties share the load.
+fn lowest(candidates: &[Ix], rng: &mut dyn Rng, score: impl Fn(Ix) -> f64) -> Option<Ix> {
+    let start = random_below(rng, candidates.len());
+    let rotated = candidates[start..].iter().chain(&candidates[..start]);
+    let scored = rotated.map(|ix| (score(*ix), *ix));
     scored
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, ix)| ix)
@@ -143,22 +143,21 @@
     peak * f64::from(state.outstanding + 1)
 }
 
-/// Expected time of a call. The mean already holds the waiting that other
-/// entries cause; our own outstanding calls come on top of it, spread over the
-/// slots.
+/// Expected duration of a call. The moving average already includes queueing
+/// caused by other entries; outstanding calls of this entry are added per slot.
 fn predicted_score(table: &Table, ix: Ix, now: Time) -> f64 {
     let state = &table.states[ix.index()];
-    let own = f64::from(state.outstanding) / f64::from(state.slots.max(1));
+    let load = f64::from(state.outstanding) / f64::from(state.slots.max(1));
     let expected = state.estimate.mean_at(now, table.typical());
-    expected * (1.0 + OWN_WEIGHT * own) * table.handicap(ix, now)
+    expected * (1.0 + OUTSTANDING_WEIGHT * load) * table.score_penalty(ix, now)
 }
 
-/// Weight of our own outstanding calls. Above 1 because, with several entries
-/// alike, each of ours stands for about one of each other entry's.
-const OWN_WEIGHT: f64 = 3.0;
+/// Weight of this entry's outstanding calls. It is above 1 because other
+/// entries that see the same state send about as many calls themselves.
+const OUTSTANDING_WEIGHT: f64 = 3.0;
 
-/// A number below `bound`.
-pub(crate) fn below(rng: &mut dyn Rng, bound: usize) -> usize {
+/// A uniformly random number below `bound`.
+pub(crate) fn random_below(rng: &mut dyn Rng, bound: usize) -> usize {
     let wide = u128::from(rng.next_u64()) * bound as u128;
     usize::try_from(wide >> 64).expect("below the bound")
 }
--- a/crates/route/src/cold.rs
+++ b/crates/route/src/cold.rs
@@ -1,4 +1,5 @@
-//! What back ends may be sent that crash when they get more than a rate while cold.
+//! Rate limit for cold leafs: leafs that have just started and crash when they get more
+//! than a certain rate of calls before they are warm.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,92 +7,93 @@
 
 use crate::{Ix, Table};
 
-/// Time over which calls to a cold back end are counted: the second in which its bound
-/// holds, and what a call may spend between its decision and its way out.
+/// Window over which calls to a cold leaf are counted. It is longer than the second to
+/// which its rate limit applies by the delay between the decision to call and the
+/// sending.
 pub const COLD_WINDOW: Duration = Duration::from_millis(1250);
 
-/// What this entry may send to the cold back ends of a service.
+/// What this entry may send to each cold leaf of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Permit {
-    /// Calls in any [`COLD_WINDOW`], to each of them.
+    /// Calls to each cold leaf in any [`COLD_WINDOW`].
     pub calls: u32,
-    /// Until when.
+    /// Time at which the permit expires.
     pub until: Time,
 }
 
-/// A back end whose calls are bounded while it is cold.
+/// Rate limit of one cold back end.
 #[derive(Clone, Debug)]
 pub(crate) struct Cold {
-    /// When it is warm.
+    /// Time at which the back end is warm.
     until: Time,
-    /// From when on it may be called at all. Calls to it from before it was known to be
-    /// cold count too.
-    from: Time,
+    /// Earliest time of a call. It leaves a window without calls after those that were
+    /// sent before the back end was known to be cold.
+    callable_from: Time,
     permit: Permit,
-    /// Calls of the last window.
-    sent: VecDeque<Time>,
+    /// Times of the calls in the last window.
+    calls: VecDeque<Time>,
 }
 
 impl Cold {
-    fn count(&self, now: Time) -> usize {
-        let recent = self.sent.iter().rev();
+    fn recent_calls(&self, now: Time) -> usize {
+        let recent = self.calls.iter().rev();
         recent
             .take_while(|at| now.since(**at) < COLD_WINDOW)
             .count()
     }
 
-    fn allows(&self, now: Time) -> bool {
+    fn allows_call(&self, now: Time) -> bool {
         now >= self.until
-            || now >= self.from
+            || now >= self.callable_from
                 && now < self.permit.until
-                && self.count(now) < self.permit.calls as usize
+                && self.recent_calls(now) < self.permit.calls as usize
     }
 
-    fn sent(&mut self, now: Time) {
+    fn record_call(&mut self, now: Time) {
         if now >= self.until {
             return;
         }
-        let old = |at: &Time| now.since(*at) >= COLD_WINDOW;
-        while self.sent.front().is_some_and(old) {
-            self.sent.pop_front();
+        let is_old = |at: &Time| now.since(*at) >= COLD_WINDOW;
+        while self.calls.front().is_some_and(is_old) {
+            self.calls.pop_front();
         }
-        self.sent.push_back(now);
+        self.calls.push_back(now);
     }
 }
 
 impl Table {
-    /// Bounds what a back end is sent until it is warm, at `until`. Nothing is sent
+    /// Rate-limits calls to a back end that is cold until `until`. No call is allowed
     /// before [`Table::permit`].
     pub fn set_cold(&mut self, ix: Ix, until: Time, now: Time) {
         let state = &mut self.states[ix.index()];
-        let called = state.called.map_or(Time::ZERO, |at| at + COLD_WINDOW);
+        let callable_from = state.called.map_or(Time::ZERO, |at| at + COLD_WINDOW);
         match &mut state.cold {
             Some(cold) if now < cold.until => cold.until = cold.until.max(until),
             cold => {
                 *cold = Some(Cold {
                     until,
-                    from: called,
+                    callable_from,
                     permit: Permit::default(),
-                    sent: VecDeque::new(),
+                    calls: VecDeque::new(),
                 });
             }
         }
     }
 
-    /// Sets what this entry may send to a cold back end. Of one that is warm, nothing is
-    /// bounded.
+    /// Sets the permit for a cold back end; does nothing for a warm one.
     pub fn permit(&mut self, ix: Ix, permit: Permit) {
         if let Some(cold) = &mut self.states[ix.index()].cold {
             cold.permit = permit;
         }
     }
 
-    /// Lifts the bound.
+    /// Removes the rate limit of a back end that is warm.
     pub fn set_warm(&mut self, ix: Ix) {
         self.states[ix.index()].cold = None;
     }
 
-    /// Until when a call to a back end may go out; none if its calls are not bounded.
+    /// Time until which calls to a cold back end are permitted; `None` if it is not
+    /// rate-limited.
     #[must_use]
     pub fn permitted_until(&self, ix: Ix, now: Time) -> Option<Time> {
         let cold = self.states[ix.index()].cold.as_ref();
@@ -99,18 +101,19 @@
         Some(cold.permit.until)
     }
 
-    /// Whether a back end is cold, and may be sent no call now.
+    /// Whether a back end is cold and its rate limit allows no call now.
     #[must_use]
     pub(crate) fn is_held_back(&self, ix: Ix, now: Time) -> bool {
         let cold = self.states[ix.index()].cold.as_ref();
-        cold.is_some_and(|cold| !cold.allows(now))
+        cold.is_some_and(|cold| !cold.allows_call(now))
     }
 
+    /// Records the time of a call, for the rate limit of a cold back end.
     pub(crate) fn note_call(&mut self, ix: Ix, now: Time) {
         let state = &mut self.states[ix.index()];
         state.called = Some(now);
         if let Some(cold) = &mut state.cold {
-            cold.sent(now);
+            cold.record_call(now);
         }
     }
 }
--- a/crates/route/src/damped.rs
+++ b/crates/route/src/damped.rs
@@ -1,5 +1,4 @@
-//! Split ratios from windowed weighted averages with ranked damping, one of
-//! the candidates that the experiments compare.
+//! Split ratios from windowed weighted averages with ranked damping.
 //!
 //! Source: Hajjat et al., "Dynamic Request Splitting for Interactive Cloud
 //! Applications", IEEE JSAC 2013, sections IV-B (linearly weighted moving
@@ -13,46 +12,50 @@
 
 use crate::Ix;
 
-/// Windows remembered; the source found 3 to 5 best.
+/// Number of windows kept; the source recommends 3 to 5.
 const WINDOWS: usize = 4;
-/// Length of a window. The source uses 10 s; a tenth of it suits calls of a
-/// few milliseconds.
-const WINDOW: Duration = Duration::from_secs(1);
-/// Least share of each replica, in place of the source's probes.
-const PROBE: f64 = 0.05;
+/// Length of a window. Shorter than in the source, to suit calls that take
+/// milliseconds.
+const WINDOW_SPAN: Duration = Duration::from_secs(1);
+/// Smallest weight of a replica. It keeps samples coming in place of the
+/// source's probes.
+const MIN_WEIGHT: f64 = 0.05;
 
+/// Statistics of one back end in one window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
+    /// Sum of call durations, in nanoseconds.
     sum: f64,
     samples: u64,
     requests: u64,
     rank: f64,
 }
 
-/// Windows of each back end, newest last.
+/// Statistics of the recent windows of each back end, newest last.
 #[derive(Clone, Debug, Default)]
 pub struct Damped {
     windows: BTreeMap<Ix, [Window; WINDOWS]>,
-    epoch: u64,
+    /// Number of the current window since time zero.
+    current: u64,
 }
 
 impl Damped {
-    /// Takes the duration of a call.
+    /// Records the duration of an answered call.
     pub fn record(&mut self, ix: Ix, span: Duration, now: Time) {
-        self.roll(now);
+        self.advance(now);
         let window = &mut self.windows.entry(ix).or_default()[WINDOWS - 1];
         window.sum += span.as_nanos() as f64;
         window.samples += 1;
     }
 
-    /// Draws a replica by its damped share.
-    pub fn pick(&mut self, among: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
-        self.roll(now);
-        let weights: Vec<f64> = among.iter().map(|ix| self.weight(*ix)).collect();
+    /// Picks a replica at random, weighted by its damped share.
+    pub fn pick(&mut self, candidates: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
+        self.advance(now);
+        let weights: Vec<f64> = candidates.iter().map(|ix| self.weight(*ix)).collect();
         let total: f64 = weights.iter().sum();
         let mut draw = rng.next_u64() as f64 / u64::MAX as f64 * total;
-        let mut chosen = *among.last()?;
-        for (ix, weight) in among.iter().zip(&weights) {
+        let mut chosen = *candidates.last()?;
+        for (ix, weight) in candidates.iter().zip(&weights) {
             draw -= weight;
             if draw <= 0.0 {
                 chosen = *ix;
@@ -63,21 +66,22 @@
         Some(chosen)
     }
 
-    /// Rank times requests over the windows, and never less than a probe.
+    /// Mean rank weighted by the requests of each window, at least
+    /// [`MIN_WEIGHT`].
     fn weight(&self, ix: Ix) -> f64 {
         let Some(windows) = self.windows.get(&ix) else {
             return 1.0;
         };
         let past = &windows[..WINDOWS - 1];
         let weight: f64 = past.iter().map(|w| w.rank * w.requests as f64).sum();
-        let most: f64 = past.iter().map(|w| w.requests as f64).sum();
-        (weight / most.max(1.0)).max(PROBE)
+        let requests: f64 = past.iter().map(|w| w.requests as f64).sum();
+        (weight / requests.max(1.0)).max(MIN_WEIGHT)
     }
 
-    fn roll(&mut self, now: Time) {
-        let epoch = now.as_nanos() / WINDOW.as_nanos() as u64;
-        let steps = epoch.saturating_sub(self.epoch).min(WINDOWS as u64);
-        self.epoch = epoch;
+    fn advance(&mut self, now: Time) {
+        let current = now.as_nanos() / WINDOW_SPAN.as_nanos() as u64;
+        let steps = current.saturating_sub(self.current).min(WINDOWS as u64);
+        self.current = current;
         for _ in 0..steps {
             self.rank();
             for windows in self.windows.values_mut() {
@@ -87,7 +91,8 @@
         }
     }
 
-    /// Ranks the back ends by their smoothed delay; the best gets the highest.
+    /// Ranks the back ends by smoothed duration; the fastest gets the highest
+    /// rank.
     fn rank(&mut self) {
         let mut order: Vec<(f64, Ix)> = self
             .windows
@@ -103,7 +108,8 @@
     }
 }
 
-/// Linearly weighted moving average, by recency and samples (equation 1).
+/// Moving average of the durations, weighted by recency and samples (equation 1
+/// of the source).
 fn smoothed(windows: &[Window; WINDOWS]) -> f64 {
     let mut sum = 0.0;
     let mut weights = 0.0;
--- a/crates/route/src/evict.rs
+++ b/crates/route/src/evict.rs
@@ -1,4 +1,5 @@
-//! How many replicas of a shard may be evicted at once.
+//! Limit on how many replicas of a shard may be evicted (outlier ejection) at
+//! once.
 
 use std::collections::BTreeSet;
 
@@ -6,22 +7,21 @@
 
 use crate::{Ix, Table};
 
-/// The set of back ends that are evicted among `replicas`, at most a third of
-/// them, but one of two: if most replicas of a shard look faulty, the fault is
-/// more likely on our side or general, and calling nobody would turn it into
-/// an outage. One of two must go, or a frozen holder of a leaf that has two
-/// would hold up half of the queries until it is known to be gone.
+/// Evicted back ends among `replicas`: at most a third of them, or one of two.
+/// If most replicas look faulty, the cause is probably this entry or the whole
+/// service, and evicting them all would cause an outage. One of two may go, so
+/// that an unresponsive replica doesn't delay half of the queries.
 #[must_use]
 pub(crate) fn evicted_among(table: &Table, replicas: &[Ix], now: Time) -> BTreeSet<Ix> {
-    let most = match replicas.len() {
+    let limit = match replicas.len() {
         0 | 1 => 0,
         2 => 1,
-        more => more / 3,
+        count => count / 3,
     };
     replicas
         .iter()
         .copied()
         .filter(|ix| table.evicted_until(*ix, now).is_some())
-        .take(most)
+        .take(limit)
         .collect()
 }
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -1,4 +1,4 @@
-//! How calls fail.
+//! Ways in which a call fails.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 pub enum Refusal {
     /// It sheds load.
     Shed,
-    /// Its connections are used up.
+    /// No connection to it was available.
     Connections,
-    /// It is leaving.
+    /// It is shutting down.
     Draining,
-    /// It no longer has, or doesn't yet have, the snapshot.
+    /// It doesn't have the snapshot, no longer or not yet.
     NoSnapshot,
-    /// The deadline is too near.
+    /// Too little time is left to the deadline.
     Deadline,
 }
 
@@ -22,14 +22,14 @@
 pub enum Failure {
     /// Nothing was handed to a connection.
     NotSent,
-    /// The target refused it unrun.
+    /// The target refused it before running it.
     Refused(Refusal),
-    /// It was sent and no usable answer came.
+    /// It was sent and no usable answer came, so it may have run.
     Lost,
-    /// It was sent on a connection that turned out to be silent. As lost, but
-    /// nothing is said against the target.
+    /// Its connection turned out to be silent. The answer is lost, but the
+    /// target isn't at fault.
     Cut,
-    /// The target ran it and answered with a failure of its own.
+    /// The target ran it and answered with an error.
     Failed,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl Failure {
-    /// Whether it tells against the back end. One that is leaving, lacks a
-    /// snapshot or had a connection cut under it is none the worse for it.
+    /// Whether the failure counts against the back end. Shutting down, lacking
+    /// a snapshot and a broken connection don't.
     pub(crate) fn is_fault(self) -> bool {
         match self {
             Self::NotSent | Self::Lost | Self::Failed => true,
--- a/crates/route/src/faults.rs
+++ b/crates/route/src/faults.rs
@@ -1,18 +1,17 @@
-//! Which share of its calls a back end fails.
+//! Failure rate of a back end.
 
 use std::time::Duration;
 
 use chestnut_unit::Time;
 
-/// Weight of a new call. A tenth remembers about ten calls: one loss in a
-/// hundred hardly shows, a back end that fails every second call does within
-/// five.
-const WEIGHT: f64 = 0.1;
-/// Time in which the share falls to a third while no call is made. A back end
-/// that is avoided is tried again some seconds later.
-const FORGET: Duration = Duration::from_secs(5);
+/// Weight of a new call in the moving average. A tenth hardly reacts to one
+/// loss and shows a back end that often fails within a few calls.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Time constant with which the failure rate decays while no call is made, so
+/// that an avoided back end is called again.
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// How a call ended.
+/// Outcome of a call, as far as its back end's failure rate is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// It was answered.
@@ -21,29 +20,29 @@
     Bad,
 }
 
-/// The share of recent calls that failed. Latency alone doesn't show a back
-/// end that fails at once: its failures are its fastest answers.
+/// Exponentially weighted moving average of failed calls. It exposes a back end
+/// that fails quickly, which its latency alone would make look fast.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     share: f64,
-    at: Time,
+    updated: Time,
 }
 
 impl Faults {
-    /// Takes the end of a call.
+    /// Records the outcome of a call.
     pub(crate) fn record(&mut self, verdict: Verdict, now: Time) {
         let sample = match verdict {
             Verdict::Good => 0.0,
             Verdict::Bad => 1.0,
         };
         let share = self.share(now);
-        self.share = share + WEIGHT * (sample - share);
-        self.at = now;
+        self.share = share + SAMPLE_WEIGHT * (sample - share);
+        self.updated = now;
     }
 
-    /// The share, from 0 to 1.
+    /// The failure rate at `now`, from 0 to 1.
     pub(crate) fn share(&self, now: Time) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / FORGET.as_secs_f64();
+        let age = now.since(self.updated).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.share * (-age).exp()
     }
 }
--- a/crates/route/src/gauge.rs
+++ b/crates/route/src/gauge.rs
@@ -1,30 +1,30 @@
-//! Counts of the work of one service, for reports and metrics.
+//! Call counters of one service, for reports and metrics.
 
-/// Calls of one service since its table was made.
+/// Counters of one service's calls since its table was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauge {
-    /// First calls.
+    /// First calls made.
     pub first: u64,
-    /// Shards asked for by first calls.
+    /// Shards covered by first calls.
     pub shards: u64,
-    /// Hedges.
+    /// Hedges made.
     pub hedges: u64,
-    /// Retries.
+    /// Retries made.
     pub retries: u64,
-    /// Extra calls that were not made as no budget could pay for them.
+    /// Extra calls that were not made because their budget was used up.
     pub unpaid: u64,
-    /// Extra calls that were not made as they add too little to their answers for
-    /// what is left of their budget.
+    /// Extra calls that were not made because they add too little to the answer
+    /// for what is left of their budget.
     pub spared: u64,
-    /// Answers or parts that came after their request or shard was done, or
-    /// that named another snapshot, and were dropped.
+    /// Answers, or parts of them, that were dropped: the request or shard was
+    /// already done, or they belong to another snapshot.
     pub dropped: u64,
-    /// Evictions.
+    /// Evictions (outlier ejections).
     pub evictions: u64,
 }
 
 impl Gauge {
-    /// Extra calls for each first call.
+    /// Extra calls per first call.
     #[must_use]
     pub fn extra(&self) -> f64 {
         (self.hedges + self.retries) as f64 / self.first.max(1) as f64
--- a/crates/route/src/hedge.rs
+++ b/crates/route/src/hedge.rs
@@ -1,49 +1,47 @@
-//! When to call a second replica for a shard that is late.
+//! Hedging: when to call a second replica for a shard that is late.
 
 use std::time::Duration;
 
 use crate::Quantiles;
 
-/// How hedges are timed.
+/// Policy by which hedges are timed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Hedge {
-    /// No hedges.
+    /// No hedges are made.
     Never,
-    /// Each call is hedged after the same delay, however its query stands.
+    /// Every call is hedged after the same delay, whatever the state of its
+    /// query.
     Fixed(Duration),
-    /// The calls that a query still waits for are hedged when most of its
-    /// shards have answered and the wait passes what calls of the service
-    /// usually take.
+    /// Outstanding calls of a query are hedged once most of its shards have
+    /// answered and the calls take longer than usual for the service.
     Late {
-        /// A call is late when it outlasts its expected time by at most this
-        /// multiple of the median call. A quantile alone fails when
-        /// stragglers outnumber its complement: the delay then is a
-        /// straggler's own duration.
+        /// A call is late when it exceeds its expected duration by at most this
+        /// multiple of the median. The cap matters when stragglers are so many
+        /// that the quantile is a straggler's duration.
         times: f64,
-        /// Largest share of shards that may be missing for a hedge. More
-        /// means that the service is slow, not a few calls, and extra calls
-        /// would make it slower.
+        /// Largest share of missing shards at which a query may hedge. If more
+        /// are missing the whole service is slow, and extra calls would slow it
+        /// further.
         missing: f64,
     },
 }
 
-/// Delay while nothing is known of a service.
-const DELAY_UNKNOWN: Duration = Duration::from_millis(50);
-/// Samples needed before a delay is worked out from them.
+/// Delay until enough calls of a service were recorded.
+const DEFAULT_DELAY: Duration = Duration::from_millis(50);
+/// Number of recorded calls needed to derive a delay from them.
 const SAMPLES_NEEDED: u64 = 32;
-/// Shortest delay: below it the timers of the runtime decide, not the policy.
-const DELAY_MIN: Duration = Duration::from_micros(500);
+/// Shortest delay, above the resolution of the runtime's timers.
+const MIN_DELAY: Duration = Duration::from_micros(500);
 
-/// A call to a back end that is known to be slow is late when a usual one
-/// would be, taken as this multiple of the median call: the query waits for
-/// the call, however well its slowness was foreseen.
-const USUAL: f64 = 1.5;
+/// Cap on the expected duration, as a multiple of the median. A call to a back
+/// end known to be slow is hedged as early as one to a usual one, because its
+/// query has to wait for it all the same.
+const MAX_EXPECTED_MEDIANS: f64 = 1.5;
 
 impl Hedge {
-    /// Delay from the sending of a call that is expected to take `expected`
-    /// to its hedge. `excess` are the times by which calls of the service
-    /// outlast what was expected of their back end: a call to a leaf nearby
-    /// is late sooner than one across failure domains.
+    /// Delay between sending a call and hedging it. The call is expected to
+    /// take `expected`; `calls` are the durations of the service's calls, and
+    /// `excess` is by how much they exceeded their expected durations.
     #[must_use]
     pub fn delay(
         &self,
@@ -54,17 +52,17 @@
         match *self {
             Self::Never => None,
             Self::Fixed(delay) => Some(delay),
-            Self::Late { .. } if calls.count() < SAMPLES_NEEDED => Some(DELAY_UNKNOWN),
+            Self::Late { .. } if calls.count() < SAMPLES_NEEDED => Some(DEFAULT_DELAY),
             Self::Late { times, .. } => {
                 let median = calls.median();
-                let usual = expected.min(median.mul_f64(USUAL));
-                let slack = excess.high().min(median.mul_f64(times));
-                Some((usual + slack).max(DELAY_MIN))
+                let capped = expected.min(median.mul_f64(MAX_EXPECTED_MEDIANS));
+                let margin = excess.high().min(median.mul_f64(times));
+                Some((capped + margin).max(MIN_DELAY))
             }
         }
     }
 
-    /// Whether a query with `missing` of `asked` shards may hedge now.
+    /// Whether a query that lacks `missing` of `asked` shards may hedge now.
     #[must_use]
     pub fn is_late(&self, missing: usize, asked: usize) -> bool {
         match *self {
