--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -1,107 +1,110 @@
-//! Which connection of one leaf carries a call, and when another is opened.
+//! Connection pool of one leaf: which connection carries a call, and when
+//! another is opened.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use chestnut_unit::Time;
 
-/// Number of a connection within its pool; never reused.
+/// Identifies a connection within its pool; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(u64);
 
-/// What a call does.
+/// How a call gets its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
     /// Use this connection.
     Use(ConnId),
     /// Open this connection first.
     Open(ConnId),
-    /// Wait for a connection that is being opened.
+    /// Wait for a connection that is already being opened.
     Wait,
-    /// The leaf has just refused a connection; the call is not sent.
+    /// The leaf refused a connection just now; the call is not sent.
     Down,
 }
 
-/// How long a connection with calls under way may stay without any answer
-/// before it is questioned. Stragglers alone seldom silence a connection that
-/// long, and if they do it costs one probe.
+/// Time without any answer after which a connection with outstanding calls
+/// counts as quiet and is probed. Stragglers seldom take as long, and a
+/// needless probe is cheap.
 pub const PATIENCE: Duration = Duration::from_millis(40);
-/// How long a leaf is not tried again after it refused a connection.
-const DOWN_REST: Duration = Duration::from_millis(100);
+/// Cooldown after a refused connection, before the next one is opened.
+const REFUSED_COOLDOWN: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug)]
 struct Conn {
     ready: bool,
     outstanding: u32,
-    /// Since when calls wait and nothing was heard; `None` while none waits.
-    quiet: Option<Time>,
+    /// Since when calls are outstanding without any answer; `None` if none is.
+    quiet_since: Option<Time>,
 }
 
 impl Conn {
     fn is_quiet(&self, now: Time) -> bool {
-        self.quiet.is_some_and(|since| now.since(since) > PATIENCE)
+        self.quiet_since
+            .is_some_and(|since| now.since(since) > PATIENCE)
     }
 }
 
 /// The connections of this entry to one leaf.
 ///
-/// A connection can go silent for good while new ones work, when something
-/// between the ends has lost track of it. No error ever comes; calls on it
-/// just don't answer. The pool judges each connection by itself, so that the
-/// leaf keeps its place in the routing: one that is quiet while calls wait is
-/// avoided, another is opened beside it, and a small call on the quiet one
-/// tells slow from silent. A silent one is closed, and its calls are told as
-/// cut off at once instead of waiting for their deadlines. The connection's
-/// own pings find a silent connection that carries no calls.
+/// A connection can go silent without an error while new ones work, for
+/// instance when a middlebox drops its state. The pool checks each connection
+/// separately, so that the leaf itself isn't evicted: a connection that is
+/// quiet while calls are outstanding is avoided, another is opened beside it,
+/// and a probe call distinguishes slow from silent. The caller closes a silent
+/// connection and fails its calls at once with
+/// [`Failure::Cut`](crate::Failure::Cut). Idle silent connections are found by
+/// the connection's own keepalive pings.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    most: usize,
+    max: usize,
     spare: usize,
     conns: BTreeMap<ConnId, Conn>,
-    next: u64,
-    down: Time,
+    next_id: u64,
+    /// End of the cooldown after a refused connection.
+    down_until: Time,
 }
 
 impl Pool {
-    /// A pool of at most `most` connections, and `spare` more while some are
-    /// quiet. Both together must stay within this entry's share of the leaf's
-    /// connections.
+    /// Creates a pool of at most `max` connections, and up to `spare` more
+    /// while all are quiet. Both together must stay within this entry's share
+    /// of the leaf's connections.
     #[must_use]
-    pub fn new(most: usize, spare: usize) -> Self {
+    pub fn new(max: usize, spare: usize) -> Self {
         Self {
-            most: most.max(1),
+            max: max.max(1),
             spare,
             conns: BTreeMap::new(),
-            next: 0,
-            down: Time::ZERO,
+            next_id: 0,
+            down_until: Time::ZERO,
         }
     }
 
-    /// Connections open or being opened.
+    /// Number of connections, open or being opened.
     #[must_use]
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Whether there is none.
+    /// Whether the pool has no connections.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// Changes the most connections. Those above are not closed: calls run on
-    /// them; they go as they end.
-    pub fn set_most(&mut self, most: usize, spare: usize) {
-        self.most = most.max(1);
+    /// Changes the limits. Excess connections aren't closed, since calls run on
+    /// them; they go when they close.
+    pub fn set_most(&mut self, max: usize, spare: usize) {
+        self.max = max.max(1);
         self.spare = spare;
     }
 
-    /// The connections, open or being opened.
+    /// Connections that are open or being opened.
     #[must_use]
     pub fn ids(&self) -> Vec<ConnId> {
         self.conns.keys().copied().collect()
     }
 
-    /// Decides on a new call.
+    /// Selects the connection for a new call.
     pub fn pick(&mut self, now: Time) -> Pick {
         let best = self
             .conns
@@ -112,64 +115,65 @@
         let opening = self.conns.values().any(|conn| !conn.ready);
         match best {
             None if opening => Pick::Wait,
-            None if now < self.down => Pick::Down,
-            None => Pick::Open(self.begin()),
+            None if now < self.down_until => Pick::Down,
+            None => Pick::Open(self.start_opening()),
             Some(id) => Pick::Use(id),
         }
     }
 
-    /// Looks for quiet connections, [`PATIENCE`] after a call went out. Returns
-    /// a connection to open beside them, if there is need and room.
+    /// Checks for quiet connections; to be called [`PATIENCE`] after a call was
+    /// sent. Returns a connection to open if all are quiet and the limits allow
+    /// one.
     pub fn check(&mut self, now: Time) -> Option<ConnId> {
         let opening = self.conns.values().any(|conn| !conn.ready);
         let all_quiet = self.conns.values().all(|conn| conn.is_quiet(now));
         if opening || !all_quiet || !self.may_open(now) {
             return None;
         }
-        Some(self.begin())
+        Some(self.start_opening())
     }
 
-    /// The connections that are quiet and have to be probed.
+    /// Connections that are quiet and have to be probed.
     #[must_use]
     pub fn quiet(&self, now: Time) -> Vec<ConnId> {
         let quiet = self.conns.iter().filter(|(_, conn)| conn.is_quiet(now));
         quiet.map(|(id, _)| *id).collect()
     }
 
-    /// A probe was answered: the connection is slow, not silent.
+    /// Records the answer to a probe: the connection is slow, not silent.
     pub fn alive(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.quiet = (conn.outstanding > 0).then_some(now);
+            conn.quiet_since = (conn.outstanding > 0).then_some(now);
         }
     }
 
-    /// A connection is open.
+    /// Records that a connection is open.
     pub fn opened(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.ready = true;
         }
     }
 
-    /// A connection could not be opened.
+    /// Records that a connection could not be opened.
     pub fn refused(&mut self, id: ConnId, now: Time) {
         self.conns.remove(&id);
-        self.down = now + DOWN_REST;
+        self.down_until = now + REFUSED_COOLDOWN;
     }
 
-    /// A connection has closed.
+    /// Records that a connection was closed.
     pub fn closed(&mut self, id: ConnId) {
         self.conns.remove(&id);
     }
 
-    /// A call goes out on a connection.
+    /// Records that a call was sent on a connection.
     pub fn sent(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding += 1;
-            conn.quiet.get_or_insert(now);
+            conn.quiet_since.get_or_insert(now);
         }
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn answered(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding = conn.outstanding.saturating_sub(1);
@@ -177,8 +181,8 @@
         self.alive(id, now);
     }
 
-    /// A call was given up without an answer. The connection stays quiet: that
-    /// nobody waits any more proves nothing about it.
+    /// Records that a call was abandoned without an answer. The connection
+    /// stays quiet, since the end of the wait proves nothing about it.
     pub fn missed(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding = conn.outstanding.saturating_sub(1);
@@ -186,16 +190,16 @@
     }
 
     fn may_open(&self, now: Time) -> bool {
-        self.conns.len() < self.most + self.spare && now >= self.down
+        self.conns.len() < self.max + self.spare && now >= self.down_until
     }
 
-    fn begin(&mut self) -> ConnId {
-        let id = ConnId(self.next);
-        self.next += 1;
+    fn start_opening(&mut self) -> ConnId {
+        let id = ConnId(self.next_id);
+        self.next_id += 1;
         let conn = Conn {
             ready: false,
             outstanding: 0,
-            quiet: None,
+            quiet_since: None,
         };
         self.conns.insert(id, conn);
         id
