--- a/crates/route/benches/query.rs
+++ b/crates/route/benches/query.rs
@@ -1,4 +1,5 @@
-//! Processor time of one fan-out, by its size: `cargo bench -p chestnut-route`.
+//! CPU time of one scatter-gather query, by its number of shards. Run with
+//! `cargo bench -p chestnut-route`.
 
 use std::{hint::black_box, sync::Arc, time::Duration};
 
@@ -32,7 +33,8 @@
     })
 }
 
-/// One query from start to merge, every call answered in order.
+/// Runs one query from its first calls to the merged answer, every call
+/// answered in order.
 fn run(table: &mut Table, routes: &Arc<Routes>, rng: &mut ChaCha8Rng) -> usize {
     let mut out = Vec::new();
     let start = Time::from_millis(10);
--- a/crates/route/tests/admit_model.rs
+++ b/crates/route/tests/admit_model.rs
@@ -1,4 +1,4 @@
-//! Admission against a naive record of what became of each request.
+//! Property test of admission control against a simple model of request states.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,77 +18,81 @@
     },
     Done(u64),
     Forget(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn step_strategy() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0usize..3, 1u64..200, any::<bool>())
             .prop_map(|(urgency, deadline, yields)| Step::Offer { urgency, deadline, yields }),
         3 => (1u64..20).prop_map(Step::Done),
         1 => (0usize..50).prop_map(Step::Forget),
-        1 => (1u64..30).prop_map(Step::Pass),
+        1 => (1u64..30).prop_map(Step::Advance),
     ]
 }
 
-/// Where a request is.
+/// State of a request in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Waits,
-    Runs,
-    Over,
+enum State {
+    Queued,
+    Running,
+    Finished,
 }
 
-struct Naive {
-    orders: BTreeMap<RequestId, (Order, Place)>,
+struct Model {
+    orders: BTreeMap<RequestId, (Order, State)>,
 }
 
-impl Naive {
-    fn place(&mut self, id: RequestId, place: Place) {
-        self.orders.get_mut(&id).unwrap().1 = place;
+impl Model {
+    fn set_state(&mut self, id: RequestId, state: State) {
+        self.orders.get_mut(&id).unwrap().1 = state;
     }
 
     fn running(&self) -> usize {
         self.orders
             .values()
-            .filter(|(_, p)| *p == Place::Runs)
+            .filter(|(_, p)| *p == State::Running)
             .count()
     }
 
-    fn waiting(&self) -> usize {
+    fn queued(&self) -> usize {
         self.orders
             .values()
-            .filter(|(_, p)| *p == Place::Waits)
+            .filter(|(_, p)| *p == State::Queued)
             .count()
     }
 
-    /// Takes releases: each must be of a request that waits.
-    fn take(&mut self, out: &mut Vec<Release>) {
+    /// Applies releases, each of which must be of a queued request.
+    fn apply_releases(&mut self, out: &mut Vec<Release>) {
         for release in out.drain(..) {
-            let (order, place) = self.orders[&release.id];
-            assert_eq!(place, Place::Waits, "released twice or never queued");
-            let next = self.decided(order, release.decision);
-            self.place(release.id, next);
+            let (order, state) = self.orders[&release.id];
+            assert_eq!(state, State::Queued, "released though not queued");
+            let next = self.state_after(order, release.decision);
+            self.set_state(release.id, next);
         }
     }
 
-    fn decided(&self, order: Order, decision: Decision) -> Place {
+    fn state_after(&self, order: Order, decision: Decision) -> State {
         match decision {
-            Decision::Run => Place::Runs,
-            Decision::Wait => Place::Waits,
+            Decision::Run => State::Running,
+            Decision::Wait => State::Queued,
             Decision::Refuse { reason, after } => {
-                assert!(after > Duration::ZERO, "no time to come back");
-                let full = self.waiting() >= QUEUE;
-                if order.yields == Yields::No && !full {
-                    assert_eq!(reason, Reason::Deadline, "refused what may not be");
+                assert!(after > Duration::ZERO, "no retry delay");
+                let queue_full = self.queued() >= QUEUE_CAPACITY;
+                if order.yields == Yields::No && !queue_full {
+                    assert_eq!(
+                        reason,
+                        Reason::Deadline,
+                        "refused for overload though it may not be"
+                    );
                 }
-                Place::Over
+                State::Finished
             }
         }
     }
 }
 
-const QUEUE: usize = 8;
+const QUEUE_CAPACITY: usize = 8;
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -98,14 +102,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every request runs, waits or is refused, exactly once; no more run than
-    /// the limit allows; and nothing less urgent starts while `now` waits.
+    /// Guards against requests that are lost or released twice, exceeded limits,
+    /// and less urgent requests that overtake a queued one of urgency `now`.
     #[test]
-    fn every_request_has_one_fate(steps in prop::collection::vec(step(), 0..120), seed: u64) {
-        let config = AdmitConfig { initial: LIMIT, queue: QUEUE, adapt: Adapt::No };
+    fn every_request_is_run_queued_or_refused_exactly_once(
+        steps in prop::collection::vec(step_strategy(), 0..120),
+        seed: u64,
+    ) {
+        let config = AdmitConfig { initial: LIMIT, queue: QUEUE_CAPACITY, adapt: Adapt::No };
         let mut admission = Admission::new(config);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut naive = Naive { orders: BTreeMap::new() };
+        let mut model = Model { orders: BTreeMap::new() };
         let mut out = Vec::new();
         let mut now = Time::from_millis(1);
         for (number, step) in (0..).zip(steps) {
@@ -118,51 +125,51 @@
                         yields: if yields { Yields::Yes } else { Yields::No },
                     };
                     let decision = admission.offer(order, now, &mut rng, &mut out);
-                    naive.take(&mut out);
-                    let place = naive.decided(order, decision);
-                    let now_waits = naive.orders.values().any(|(o, p)| {
-                        *p == Place::Waits && o.urgency == Urgency::Now
+                    model.apply_releases(&mut out);
+                    let state = model.state_after(order, decision);
+                    let now_queued = model.orders.values().any(|(o, p)| {
+                        *p == State::Queued && o.urgency == Urgency::Now
                     });
-                    let less = order.urgency > Urgency::Now;
-                    prop_assert!(!(place == Place::Runs && less && now_waits));
-                    naive.orders.insert(order.id, (order, place));
+                    let less_urgent = order.urgency > Urgency::Now;
+                    prop_assert!(!(state == State::Running && less_urgent && now_queued));
+                    model.orders.insert(order.id, (order, state));
                 }
                 Step::Done(ms) => {
-                    let running = naive.orders.iter().find(|(_, (_, p))| *p == Place::Runs);
+                    let running = model.orders.iter().find(|(_, (_, p))| *p == State::Running);
                     if let Some(id) = running.map(|(id, _)| *id) {
                         let ran = Ran { span: Duration::from_millis(ms), ..Ran::default() };
                         admission.done(ran, now, &mut rng, &mut out);
-                        naive.place(id, Place::Over);
-                        naive.take(&mut out);
+                        model.set_state(id, State::Finished);
+                        model.apply_releases(&mut out);
                     }
                 }
                 Step::Forget(at) => {
-                    let waits: Vec<_> = naive.orders.iter()
-                        .filter(|(_, (_, p))| *p == Place::Waits)
+                    let queued: Vec<_> = model.orders.iter()
+                        .filter(|(_, (_, p))| *p == State::Queued)
                         .map(|(id, _)| *id)
                         .collect();
-                    if let Some(id) = waits.get(at) {
+                    if let Some(id) = queued.get(at) {
                         admission.forget(*id);
-                        naive.place(*id, Place::Over);
+                        model.set_state(*id, State::Finished);
                     }
                 }
-                Step::Pass(ms) => {
+                Step::Advance(ms) => {
                     now = now + Duration::from_millis(ms);
                     admission.expire(now, &mut rng, &mut out);
-                    naive.take(&mut out);
+                    model.apply_releases(&mut out);
                 }
             }
-            prop_assert_eq!(admission.running() as usize, naive.running());
-            prop_assert_eq!(admission.waiting(), naive.waiting());
-            prop_assert!(naive.running() <= (LIMIT + LIMIT / 2) as usize);
-            prop_assert!(naive.waiting() <= QUEUE);
+            prop_assert_eq!(admission.running() as usize, model.running());
+            prop_assert_eq!(admission.waiting(), model.queued());
+            prop_assert!(model.running() <= (LIMIT + LIMIT / 2) as usize);
+            prop_assert!(model.queued() <= QUEUE_CAPACITY);
         }
     }
 }
 
-/// Archive queries still run while normal ones keep the queue full.
+/// Guards against starvation of archive requests while normal ones fill the queue.
 #[test]
-fn archive_does_not_starve_behind_normal_calls() {
+fn archive_requests_run_while_normal_requests_fill_the_queue() {
     let config = AdmitConfig {
         initial: 2,
         queue: 64,
--- a/crates/route/tests/choice_model.rs
+++ b/crates/route/tests/choice_model.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica against a naive account of calls.
+//! Property test of replica choice against a simple model of the leafs.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
     Send(usize),
     Answer(usize, u64),
     Drain(usize),
-    Return(usize),
-    Lack(usize),
-    Pass(u64),
+    Rejoin(usize),
+    LackSnapshot(usize),
+    Advance(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn step_strategy() -> impl Strategy<Value = Step> {
     let leaf = 0..LEAFS;
     prop_oneof![
         5 => leaf.clone().prop_map(Step::Send),
         4 => (leaf.clone(), 1u64..50).prop_map(|(l, ms)| Step::Answer(l, ms)),
         1 => leaf.clone().prop_map(Step::Drain),
-        1 => leaf.clone().prop_map(Step::Return),
-        1 => leaf.prop_map(Step::Lack),
-        1 => (1u64..700).prop_map(Step::Pass),
+        1 => leaf.clone().prop_map(Step::Rejoin),
+        1 => leaf.prop_map(Step::LackSnapshot),
+        1 => (1u64..700).prop_map(Step::Advance),
     ]
 }
 
-/// What the naive version knows of a leaf.
+/// State of a leaf in the model.
 #[derive(Clone, Copy, Default)]
-struct Naive {
+struct Model {
     outstanding: u32,
     leaving: bool,
     lacks_until: u64,
@@ -48,11 +48,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every way to choose takes an open replica whenever there is one; the
-    /// least outstanding is the least by the naive account too.
+    /// Every policy must choose a callable replica whenever there is one;
+    /// `LeastOutstanding` must also agree with the model's counts.
     #[test]
-    fn an_open_replica_is_chosen(
-        steps in prop::collection::vec(step(), 0..80),
+    fn a_callable_replica_is_chosen_whenever_there_is_one(
+        steps in prop::collection::vec(step_strategy(), 0..80),
         choice in prop::sample::select(Choice::ALL.to_vec()),
         seed: u64,
     ) {
@@ -62,48 +62,48 @@
             .map(|n| LeafId::new(format!("l{n}")).unwrap())
             .map(|id| table.add(Backend::Leaf(id), 5, Time::ZERO))
             .collect();
-        let mut naive = [Naive::default(); LEAFS];
+        let mut model = [Model::default(); LEAFS];
         let mut ms = 1;
         for step in steps {
             let now = Time::from_millis(ms);
             match step {
                 Step::Send(leaf) => {
                     table.sent(replicas[leaf], now);
-                    naive[leaf].outstanding += 1;
+                    model[leaf].outstanding += 1;
                 }
-                Step::Answer(leaf, span) if naive[leaf].outstanding > 0 => {
+                Step::Answer(leaf, span) if model[leaf].outstanding > 0 => {
                     table.answered(replicas[leaf], Duration::from_millis(span), now);
-                    naive[leaf].outstanding -= 1;
+                    model[leaf].outstanding -= 1;
                 }
                 Step::Answer(..) => {}
                 Step::Drain(leaf) => {
-                    if naive[leaf].outstanding > 0 {
-                        naive[leaf].outstanding -= 1;
+                    if model[leaf].outstanding > 0 {
+                        model[leaf].outstanding -= 1;
                         table.failed(replicas[leaf], Failure::Refused(Refusal::Draining), now);
-                        naive[leaf].leaving = true;
+                        model[leaf].leaving = true;
                     }
                 }
-                Step::Return(leaf) => {
+                Step::Rejoin(leaf) => {
                     table.set_leaving(replicas[leaf], false, now);
-                    naive[leaf].leaving = false;
+                    model[leaf].leaving = false;
                 }
-                Step::Lack(leaf) => {
+                Step::LackSnapshot(leaf) => {
                     table.lacks(replicas[leaf], V1, now);
-                    naive[leaf].lacks_until = ms + 1000;
+                    model[leaf].lacks_until = ms + 1000;
                 }
-                Step::Pass(span) => ms += span,
+                Step::Advance(span) => ms += span,
             }
-            let open = |n: &usize| !naive[*n].leaving && naive[*n].lacks_until <= ms;
-            let open: Vec<usize> = (0..LEAFS).filter(open).collect();
+            let callable = |n: &usize| !model[*n].leaving && model[*n].lacks_until <= ms;
+            let callable: Vec<usize> = (0..LEAFS).filter(callable).collect();
             let now = Time::from_millis(ms);
             let chosen = choose_replica(&mut table, &replicas, &[], V1, now, &mut rng);
             let chosen = chosen.map(|ix| replicas.iter().position(|r| *r == ix).unwrap());
-            prop_assert_eq!(chosen.is_some(), !open.is_empty());
+            prop_assert_eq!(chosen.is_some(), !callable.is_empty());
             if let Some(chosen) = chosen {
-                prop_assert!(open.contains(&chosen));
+                prop_assert!(callable.contains(&chosen));
                 if choice == Choice::LeastOutstanding {
-                    let least = open.iter().map(|n| naive[*n].outstanding).min().unwrap();
-                    prop_assert_eq!(naive[chosen].outstanding, least);
+                    let least = callable.iter().map(|n| model[*n].outstanding).min().unwrap();
+                    prop_assert_eq!(model[chosen].outstanding, least);
                 }
             }
         }
--- a/crates/route/tests/trial.rs
+++ b/crates/route/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Queries whose request may end the back ends that run it.
+//! Queries whose request may crash the back ends that run it (quarantine).
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 const SHARDS: usize = 10;
 const REPLICAS: usize = 3;
 
-/// A search over ten shards of three leafs each, whose calls are answered by hand.
+/// A query over ten shards of three leafs each; the test answers its calls.
 struct Search {
     table: Table,
     rng: ChaCha8Rng,
     query: Query<()>,
-    /// Calls under way: what they ask, and whom.
-    live: Vec<(CallId, Vec<usize>, Ix)>,
-    /// Calls made so far.
+    /// Outstanding calls: id, shards asked and back end.
+    outstanding: Vec<(CallId, Vec<usize>, Ix)>,
+    /// Number of calls made.
     made: usize,
 }
 
@@ -62,23 +62,23 @@
             table,
             rng,
             query,
-            live: Vec::new(),
+            outstanding: Vec::new(),
             made: 0,
         };
-        search.take(out);
+        search.apply(out);
         search
     }
 
-    fn take(&mut self, out: Vec<Action>) {
+    fn apply(&mut self, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Call {
                     call, to, shards, ..
                 } => {
                     self.made += 1;
-                    self.live.push((call, shards, to));
+                    self.outstanding.push((call, shards, to));
                 }
-                Action::Cancel(call) => self.live.retain(|(id, ..)| *id != call),
+                Action::Cancel(call) => self.outstanding.retain(|(id, ..)| *id != call),
             }
         }
     }
@@ -92,22 +92,22 @@
             out: &mut out,
         };
         event(&mut self.query, &mut cx);
-        self.take(out);
+        self.apply(out);
     }
 
     fn fail(&mut self, ms: u64, failure: Failure) {
-        let (call, ..) = self.live.remove(0);
+        let (call, ..) = self.outstanding.remove(0);
         self.event(ms, |query, cx| query.fail(call, failure, cx));
     }
 
     fn answer(&mut self, ms: u64) {
-        let (call, shards, _) = self.live.remove(0);
+        let (call, shards, _) = self.outstanding.remove(0);
         let parts = shards.into_iter().map(|shard| (shard, ())).collect();
         self.event(ms, |query, cx| query.answer(call, VERSION, parts, cx));
     }
 
-    /// Lets time pass until `ms`, with a look each five milliseconds.
-    fn pass(&mut self, from: u64, ms: u64) {
+    /// Advances time to `ms`, ticking the query every five milliseconds.
+    fn advance(&mut self, from: u64, ms: u64) {
         for now in (from..ms).step_by(5) {
             self.event(now, |query, cx| query.tick(cx));
         }
@@ -118,13 +118,13 @@
     Time::from_millis(ms)
 }
 
-/// Leafs of every shard would end under a request that is known to end them.
-/// It gets one call, however late that is, and no other when that is lost.
+/// A request known to crash leafs must not crash one of every shard: it makes a single
+/// call, without hedge or retry.
 #[test]
-fn a_trial_costs_one_leaf() {
+fn a_trial_makes_a_single_call() {
     let mut search = Search::start(Trust::Trial);
     assert_eq!(search.made, 1);
-    search.pass(0, 500);
+    search.advance(0, 500);
     assert_eq!(search.made, 1);
     search.fail(500, Failure::Lost);
     assert_eq!(search.made, 1);
@@ -132,32 +132,31 @@
     assert!(search.query.not_run().is_none(), "it may have run");
 }
 
-/// The caller of a harmless request, under which leafs ended for another reason, gets a
-/// whole answer all the same, one call later.
+/// A harmless request under suspicion must still get a whole answer once its trial call
+/// is answered.
 #[test]
-fn a_trial_that_is_answered_goes_on() {
+fn an_answered_trial_continues_with_all_shards() {
     let mut search = Search::start(Trust::Trial);
     search.answer(10);
     assert_eq!(search.made, SHARDS);
-    while !search.live.is_empty() {
+    while !search.outstanding.is_empty() {
         search.answer(20);
     }
     assert_eq!(search.query.end(), Some(End::Whole));
 }
 
-/// The caller would be refused though other shards could run the trial.
-/// The leafs of the first shard are gone or full: nothing ran, so the next shard is
-/// asked, and the shard that came first may still answer at the end.
+/// A trial call that nothing ran must move to another shard instead of failing the query;
+/// the first shard may still answer later.
 #[rstest]
-#[case::gone(Failure::NotSent)]
-#[case::full(Failure::Refused(Refusal::Shed))]
-fn a_trial_moves_on_from_leafs_that_run_nothing(#[case] failure: Failure) {
+#[case::not_sent(Failure::NotSent)]
+#[case::shed(Failure::Refused(Refusal::Shed))]
+fn a_trial_that_ran_nowhere_moves_to_the_next_shard(#[case] failure: Failure) {
     let mut search = Search::start(Trust::Trial);
     let mut now = 1;
-    let tried = |search: &Search| search.live.first().map(|(_, shards, _)| shards[0]);
-    while tried(&search).is_none_or(|shard| shard == 0) {
+    let first_shard = |search: &Search| search.outstanding.first().map(|(_, shards, _)| shards[0]);
+    while first_shard(&search).is_none_or(|shard| shard == 0) {
         assert!(search.query.end().is_none(), "ended at {now} ms");
-        match search.live.is_empty() {
+        match search.outstanding.is_empty() {
             true => search.event(now, |query, cx| query.tick(cx)),
             false => search.fail(now, failure),
         }
@@ -165,45 +164,44 @@
         assert!(now < 500, "stuck with the first shard");
     }
     search.answer(now);
-    while !search.live.is_empty() && search.query.end().is_none() {
+    while !search.outstanding.is_empty() && search.query.end().is_none() {
         search.answer(now + 10);
     }
     assert!(search.query.coverage().answered >= SHARDS - 1);
 }
 
-/// The caller would hear "unknown" of what no leaf ran.
+/// A request that no leaf accepted must be reported as not run, not as unknown.
 #[test]
-fn a_trial_that_no_leaf_took_did_not_run() {
+fn a_trial_that_no_leaf_accepted_is_not_run() {
     let mut search = Search::start(Trust::Trial);
     let mut now = 1;
     while search.query.end().is_none() {
-        match search.live.is_empty() {
+        match search.outstanding.is_empty() {
             true => search.event(now, |query, cx| query.tick(cx)),
             false => search.fail(now, Failure::NotSent),
         }
         now += 5;
     }
     assert!(search.query.not_run().is_some());
-    assert!(now < 1000, "held until {now} ms");
+    assert!(now < 1000, "not ended until {now} ms");
 }
 
-/// Thirty leafs end under one try of a request of which nothing is known yet, as each call
-/// that is lost is made good at the next leaf of its shard.
-/// Once three calls are lost and none is answered, the others wait for an answer.
+/// An unknown request that crashes leafs must not crash every replica: after three lost
+/// calls, retries wait for a first answer.
 #[test]
-fn what_no_leaf_has_answered_gets_no_further_leafs() {
+fn lost_calls_are_not_retried_before_a_first_answer() {
     let mut search = Search::start(Trust::Full);
-    while !search.live.is_empty() {
+    while !search.outstanding.is_empty() {
         search.fail(10, Failure::Lost);
     }
     assert!(matches!(search.query.end(), Some(End::Partial(_))));
     assert!(search.made <= SHARDS + 2, "{} calls", search.made);
 }
 
-/// The caller's answer lacks shards when leafs end for another reason.
-/// Three calls are lost before the first is answered; they are made good as soon as it is.
+/// When leafs fail for another reason, calls lost before the first answer must be retried
+/// after it.
 #[test]
-fn lost_calls_are_made_good_after_the_first_answer() {
+fn lost_calls_are_retried_after_the_first_answer() {
     let mut search = Search::start(Trust::Full);
     for _ in 0..5 {
         search.fail(10, Failure::Lost);
@@ -211,7 +209,7 @@
     assert_eq!(search.made, SHARDS + 2);
     search.answer(11);
     assert_eq!(search.made, SHARDS + 5);
-    while !search.live.is_empty() {
+    while !search.outstanding.is_empty() {
         search.answer(20);
     }
     assert_eq!(search.query.end(), Some(End::Whole));
--- a/crates/route/tests/window.rs
+++ b/crates/route/tests/window.rs
@@ -1,4 +1,4 @@
-//! How many calls are kept under way at a back end.
+//! Concurrency window of a back end.
 
 use std::time::Duration;
 
@@ -18,16 +18,15 @@
     window
 }
 
-/// Slots stay idle while callers are refused, or every queue is full: either
-/// happens if the entries together keep fewer calls than there are slots, or
-/// if one may keep more than its connections.
+/// Guards against bounds that leave slots idle although callers are refused, or
+/// that exceed an entry's connections.
 #[rstest]
-#[case::alone(5, 1, 40, 5, 40)]
+#[case::one_entry(5, 1, 40, 5, 40)]
 #[case::six_entries(5, 6, 6, 1, 6)]
 #[case::two_entries_of_many_slots(50, 2, 100, 25, 100)]
 #[case::fewer_connections_than_slots(8, 1, 3, 3, 3)]
 #[case::no_connection_left(4, 90, 0, 1, 1)]
-fn bounds_follow_the_share(
+fn bounds_follow_the_share_of_slots_and_connections(
     #[case] slots: u32,
     #[case] entries: usize,
     #[case] connections: usize,
@@ -46,13 +45,13 @@
 }
 
 #[test]
-fn it_starts_at_twice_the_share() {
+fn a_window_starts_at_twice_its_share_of_the_slots() {
     assert_eq!(bounded(5, 40).size(), 10);
     assert_eq!(bounded(5, 7).size(), 7);
 }
 
 #[test]
-fn it_grows_by_one_with_each_round_of_calls() {
+fn a_window_grows_by_one_per_round_of_calls() {
     let mut window = bounded(5, 40);
     for _ in 0..11 {
         window.grow(10);
@@ -60,11 +59,10 @@
     assert_eq!(window.size(), 11);
 }
 
-/// An entry at rest opens all its connections to a leaf at the first burst.
-/// Its calls all end in time and the window grew with each, although never
-/// more than one was under way.
+/// A window that grows while hardly used would let the first burst open all
+/// connections to a leaf.
 #[test]
-fn a_window_that_is_not_used_does_not_grow() {
+fn a_hardly_used_window_does_not_grow() {
     let mut window = bounded(5, 40);
     for _ in 0..1000 {
         window.grow(1);
@@ -72,10 +70,10 @@
     assert_eq!(window.size(), 10);
 }
 
-/// A single pause of a leaf makes all calls late that are under way there.
-/// Counted one by one they would bring any window to its least.
+/// A single pause of a leaf makes all its calls late; counted one by one they
+/// would cut any window to its minimum.
 #[test]
-fn calls_that_were_sent_together_cut_once() {
+fn late_calls_sent_together_cut_the_window_once() {
     let mut window = bounded(5, 40);
     for ms in 0..10 {
         window.cut(ROUND, at(100 + ms));
@@ -86,7 +84,7 @@
 }
 
 #[test]
-fn it_never_falls_below_the_share_of_the_slots() {
+fn a_window_never_falls_below_its_share_of_the_slots() {
     let mut window = bounded(5, 40);
     for round in 1..100 {
         window.cut(ROUND, at(round * 31));
@@ -96,11 +94,11 @@
 
 /// A table with one back end whose window is bounded, and a class of calls that
 /// take 10 ms.
-fn table(goal: Option<Duration>) -> (Table, Class, Ix) {
+fn table(objective: Option<Duration>) -> (Table, Class, Ix) {
     let mut table = Table::new(TableConfig::default());
     let class = table.add_class();
-    if let Some(goal) = goal {
-        table.set_goal(class, goal);
+    if let Some(objective) = objective {
+        table.set_goal(class, objective);
     }
     let leaf = Backend::Leaf(LeafId::new("l0").unwrap());
     let ix = table.add(leaf, 5, Time::ZERO);
@@ -120,26 +118,25 @@
 }
 
 #[test]
-fn a_back_end_has_room_until_its_window_is_full() {
+fn a_back_end_has_capacity_until_its_window_is_full() {
     let (mut table, class, ix) = table(None);
     assert_eq!((table.window(ix), table.has_room(ix)), (2, false));
     table.answered_in(class, ix, Duration::from_millis(10), at(100));
     assert!(table.has_room(ix));
 }
 
-/// Answers come long after callers wanted them, and no window shrinks.
-/// All back ends of a service are overloaded alike, so that what is late looks
-/// usual. A call that takes over half of the goal is late whatever is usual.
+/// If all back ends are overloaded alike, late calls look usual. Half of the
+/// objective must count as late whatever is usual.
 #[rstest]
-#[case::usual(Duration::from_millis(15), None, 3)]
+#[case::normal_call(Duration::from_millis(15), None, 3)]
 #[case::three_medians(Duration::from_millis(35), None, 1)]
-#[case::half_of_the_goal(Duration::from_millis(15), Some(Duration::from_millis(20)), 1)]
+#[case::half_of_the_objective(Duration::from_millis(15), Some(Duration::from_millis(20)), 1)]
 fn late_calls_cut_the_window(
     #[case] span: Duration,
-    #[case] goal: Option<Duration>,
+    #[case] objective: Option<Duration>,
     #[case] size: u32,
 ) {
-    let (mut table, class, ix) = table(goal);
+    let (mut table, class, ix) = table(objective);
     for n in 0..4 {
         answer(&mut table, class, ix, span, at(200 + n));
     }
@@ -147,16 +144,16 @@
 }
 
 #[test]
-fn a_call_that_was_shed_cuts_the_window() {
+fn a_shed_call_cuts_the_window() {
     let (mut table, _, ix) = table(None);
     table.failed(ix, Failure::Refused(Refusal::Shed), at(100));
     assert_eq!(table.window(ix), 1);
 }
 
-/// A leaf that is as good as any gets a single call at a time.
-/// Its connections were used up here; that says nothing of the leaf.
+/// A lack of connections at this entry must not shrink the window of a healthy
+/// leaf.
 #[test]
-fn a_call_that_found_no_connection_leaves_the_window() {
+fn a_call_without_a_connection_keeps_the_window() {
     let (mut table, _, ix) = table(None);
     table.failed(ix, Failure::Refused(Refusal::Connections), at(100));
     assert_eq!(table.window(ix), 2);
