--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -150,9 +150,7 @@
             return false;
         }
         let reserve = self.reserve.as_mut();
-        let paid = reserve.map_or(0.0, |reserve| {
-            reserve.withdraw(cost, self.share, self.updated)
-        });
+        let paid = reserve.map_or(0.0, |r| r.withdraw(cost, self.share, self.updated));
         self.tokens -= cost - paid;
         self.tally.spent += cost;
         true
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -159,9 +159,7 @@
         }
         let measured = self.probe.mean();
         self.baseline = Some(match self.baseline {
-            Some(baseline) if measured > baseline => {
-                baseline + BASELINE_RISE_WEIGHT * (measured - baseline)
-            }
+            Some(old) if measured > old => old + BASELINE_RISE_WEIGHT * (measured - old),
             Some(_) | None => measured,
         });
         self.phase = Phase::Steady(now + PROBE_INTERVAL);
