--- a/crates/route/src/profile.rs
+++ b/crates/route/src/profile.rs
@@ -1,33 +1,34 @@
-//! What calls of one class take.
+//! Call classes and their recent call durations.
 
 use std::time::Duration;
 
 use crate::Quantiles;
 
-/// A class of calls that take about as long: the calls of one route. A table
-/// has one class until more are added.
+/// A class of calls with similar durations: the calls of one route. A table has
+/// one class until more are added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Class(pub(crate) u16);
 
 impl Class {
+    /// Returns the position of the class in the table's list of profiles.
     pub(crate) fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// The quantile of call durations after which a call counts as late. Its
-/// complement is what hedges cost while nothing is wrong; the budget is well
-/// above it, so that it is not spent when stragglers come.
+/// Quantile of call durations above which a call is late. Its complement is the
+/// rate of hedges in normal operation, which must stay well below the hedge
+/// budget so that tokens are left for stragglers.
 const LATE_QUANTILE: f64 = 0.99;
 
-/// Durations of the recent calls of one class.
+/// Quantiles of the recent calls of one class.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// What calls took.
+    /// Durations of the calls.
     pub calls: Quantiles,
-    /// By how much they outlasted what was expected of their back end.
+    /// Time by which calls exceeded the expected duration for their back end.
     pub excess: Quantiles,
-    /// Within what time callers want the answers, if that is known.
+    /// Latency objective of the callers, if known.
     pub goal: Option<Duration>,
 }
 
--- a/crates/route/src/purse.rs
+++ b/crates/route/src/purse.rs
@@ -1,29 +1,29 @@
-//! Who pays for an extra call.
+//! Budgets that pay for extra calls (hedges and retries).
 
 use chestnut_unit::{Share, Time};
 
 use crate::{Budget, CallKind, Tally};
 
-/// Number of a budget in its table. The first one is the table's own.
+/// Index of a budget in its table. Index 0 is the table's default budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PurseId(pub(crate) u32);
 
-/// What a call that a target sheds costs it, as part of a call that it runs.
+/// Cost of a retry after a shed call, as a fraction of an executed call.
 const SHED_COST: f64 = 0.25;
-/// Part of a joint budget that may be spent on any call. Below it the calls that
-/// add most to their answers come first. With more of it, queries that lack two shards
-/// use up what others need; with none, hedges for the last missing shard are withheld
-/// while all is calm.
-const SPENT_FREELY: f64 = 0.25;
+/// Fraction of a joint budget that any extra call may spend; below it, calls with the
+/// highest gain come first. A larger fraction lets queries that lack several shards
+/// exhaust the budget; a fraction of zero withholds hedges for the last missing shard
+/// in normal operation.
+const FREE_FRACTION: f64 = 0.25;
 
-/// What a budget says to a call.
+/// A budget's decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Paid {
-    /// It is paid for.
+    /// The call is paid for.
     Yes,
-    /// Too little is left.
+    /// The budget is exhausted.
     Unpaid,
-    /// It adds too little to its answer for what is left.
+    /// The call's gain is too small for what is left of the budget.
     Spared,
 }
 
@@ -36,24 +36,25 @@
     }
 }
 
-/// The budgets that the extra calls to some shards are paid from.
+/// The budgets that pay for extra calls to a group of shards.
 #[derive(Clone, Debug)]
 pub enum Purse {
-    /// Hedges and retries have a budget each, and a call that costs its target
-    /// little is paid in part.
+    /// Hedges and retries have separate budgets, and a retry after a shed call costs a
+    /// fraction.
     Split {
-        /// For hedges.
+        /// Budget for hedges.
         hedges: Budget,
-        /// For retries.
+        /// Budget for retries.
         retries: Budget,
     },
-    /// Every call after the first costs one, whatever became of it: what the
-    /// target counts are arrivals.
+    /// Every call after the first costs one token, whatever its outcome: targets count
+    /// arrivals.
     Joint(Budget),
 }
 
 impl Purse {
-    /// Budgets of hedges and retries that save up to `burst` calls each.
+    /// Creates separate budgets for hedges and retries, each with a capacity of
+    /// `burst` calls.
     #[must_use]
     pub fn split(hedges: Share, retries: Share, burst: u32) -> Self {
         Self::Split {
@@ -62,14 +63,14 @@
         }
     }
 
-    /// Takes the passing of time.
+    /// Adds the tokens that accrue with time until `now`.
     pub fn pass(&mut self, now: Time) {
         if let Self::Joint(budget) = self {
             budget.pass(now);
         }
     }
 
-    /// Counts `calls` first calls.
+    /// Adds the tokens earned by `calls` first calls.
     pub fn earn(&mut self, calls: usize) {
         match self {
             Self::Split { hedges, retries } => {
@@ -80,14 +81,14 @@
         }
     }
 
-    /// Pays for a call that adds `gain` to its answer, from 0 to 1, if there is
-    /// enough. The less of a joint budget is left, the more a call must add.
+    /// Pays for a call of `kind` whose answer gains `gain` (0 to 1), if the budget
+    /// allows it. The less of a joint budget is left, the higher the gain must be.
     pub fn spend(&mut self, kind: CallKind, gain: f64) -> Paid {
         match (self, kind) {
             (_, CallKind::First) => Paid::Yes,
             (Self::Joint(budget), _) => {
-                let least = 1.0 - budget.part_left() / (1.0 - SPENT_FREELY);
-                match gain >= least {
+                let min_gain = 1.0 - budget.part_left() / (1.0 - FREE_FRACTION);
+                match gain >= min_gain {
                     true => Paid::if_enough(budget.spend()),
                     false => Paid::Spared,
                 }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// What became of it so far, hedges and retries together.
+    /// Returns the totals of the budget, hedges and retries combined.
     #[must_use]
     pub fn tally(&self) -> Tally {
         match self {
--- a/crates/route/src/query/closing.rs
+++ b/crates/route/src/query/closing.rs
@@ -1,48 +1,52 @@
-//! When a query ends, and how.
+//! Conditions under which a query ends.
 
 use chestnut_unit::Time;
 
-use super::{CallId, Context, End, Give, HOP, Query};
+use super::{CallId, Context, End, Give, HOP_ALLOWANCE, Query};
 
 impl<P> Query<P> {
-    /// Whether the answer is past its goal and covers the least share.
-    pub(super) fn is_enough(&self, now: Time) -> bool {
+    /// Returns whether the latency objective has passed and the answer has the
+    /// minimum coverage.
+    pub(super) fn is_sufficient(&self, now: Time) -> bool {
         let merged = self.shards.len() - self.pending;
-        now >= self.config.goal && merged > 0 && self.reaches_least(merged)
+        now >= self.config.goal && merged > 0 && self.has_min_coverage(merged)
     }
 
-    /// Whether the least share is in and all that is missing would have to come
-    /// from back ends that answer nobody. Each query still calls one of them,
-    /// so that one that is back shows within a query.
-    pub(super) fn is_dark(&self, cx: &Context<'_>) -> bool {
+    /// Returns whether the minimum coverage is reached and all missing shards have
+    /// only unresponsive back ends. Each query still calls one of them first, so a
+    /// recovered back end is detected by the next query.
+    pub(super) fn only_unresponsive_left(&self, cx: &Context<'_>) -> bool {
         let merged = self.shards.len() - self.pending;
-        if self.config.goal >= self.config.deadline || !self.reaches_least(merged) {
+        if self.config.goal >= self.config.deadline || !self.has_min_coverage(merged) {
             return false;
         }
         let mut pending = self.shards.iter().filter(|shard| shard.part.is_none());
         pending.all(|shard| {
             let replicas = &self.routes.shards[shard.route].replicas;
-            replicas.iter().all(|ix| cx.table.is_dark(*ix, cx.now))
+            replicas
+                .iter()
+                .all(|ix| cx.table.is_unresponsive(*ix, cx.now))
         })
     }
 
-    /// Shards without any back end that may be called.
-    pub(super) fn closed(&self, cx: &Context<'_>) -> Vec<usize> {
+    /// Returns the positions of the shards without a back end that may be called.
+    pub(super) fn unavailable(&self, cx: &Context<'_>) -> Vec<usize> {
         let version = self.version();
-        let is_closed = |position: &usize| {
+        let is_unavailable = |position: &usize| {
             let route = self.shards[*position].route;
             let mut replicas = self.routes.shards[route].replicas.iter();
             !replicas.any(|ix| cx.table.is_open(*ix, version, cx.now))
         };
-        (0..self.shards.len()).filter(is_closed).collect()
+        (0..self.shards.len()).filter(is_unavailable).collect()
     }
 
-    pub(super) fn reaches_least(&self, shards: usize) -> bool {
+    /// Returns whether an answer over `shards` shards has the minimum coverage.
+    pub(super) fn has_min_coverage(&self, shards: usize) -> bool {
         shards as f64 >= self.config.least.as_f64() * self.shards.len() as f64
     }
 
-    /// Ends the query if nothing more can come of it.
-    pub(super) fn settle(&mut self, cx: &mut Context<'_>) {
+    /// Ends the query if no further shard can be merged or none is needed.
+    pub(super) fn check_end(&mut self, cx: &mut Context<'_>) {
         if self.end.is_some() {
             return;
         }
@@ -50,35 +54,36 @@
             self.finish(End::Whole, cx);
             return;
         }
-        if self.is_enough(cx.now) || self.is_dark(cx) {
+        if self.is_sufficient(cx.now) || self.only_unresponsive_left(cx) {
             self.finish(End::Partial(Give::Enough), cx);
             return;
         }
-        if !self.stuck {
+        if !self.maybe_exhausted {
             return;
         }
-        let hopeless: Vec<usize> = (0..self.shards.len())
-            .filter(|p| self.shards[*p].is_hopeless())
+        let exhausted: Vec<usize> = (0..self.shards.len())
+            .filter(|p| self.shards[*p].is_exhausted())
             .collect();
-        let reachable = self.shards.len() - hopeless.len();
-        let over = hopeless.len() == self.pending || !self.reaches_least(reachable);
-        if over && !hopeless.is_empty() {
-            let give = self.why(&hopeless, cx);
-            self.finish(End::Partial(give), cx);
+        let reachable = self.shards.len() - exhausted.len();
+        let over = exhausted.len() == self.pending || !self.has_min_coverage(reachable);
+        if over && !exhausted.is_empty() {
+            let reason = self.partial_reason(&exhausted, cx);
+            self.finish(End::Partial(reason), cx);
             return;
         }
-        // After the end was ruled out: a call that is cancelled at once may have run.
-        self.stuck = !hopeless.is_empty();
-        self.try_next(cx);
+        // Call only after ruling out the end: a call that is cancelled at once may
+        // have run.
+        self.maybe_exhausted = !exhausted.is_empty();
+        self.continue_trial(cx);
     }
 
-    /// Why shards have no live call and get none.
-    pub(super) fn why(&self, hopeless: &[usize], cx: &Context<'_>) -> Give {
-        if cx.now + HOP >= self.config.deadline {
+    /// Returns why the `exhausted` shards have no call in flight and get none.
+    pub(super) fn partial_reason(&self, exhausted: &[usize], cx: &Context<'_>) -> Give {
+        if cx.now + HOP_ALLOWANCE >= self.config.deadline {
             return Give::Deadline;
         }
         let version = self.version();
-        let lost = hopeless.iter().any(|position| {
+        let lost = exhausted.iter().any(|position| {
             let route = self.shards[*position].route;
             let replicas = &self.routes.shards[route].replicas;
             !replicas.is_empty()
@@ -93,9 +98,10 @@
         }
     }
 
+    /// Ends the query: leaves the capacity queue and cancels all calls in flight.
     pub(super) fn finish(&mut self, end: End, cx: &mut Context<'_>) {
         self.end = Some(end);
-        self.let_go(cx);
+        self.leave_queue(cx);
         for number in 0..self.calls.len() {
             self.cancel(CallId(number as u32), cx);
         }
--- a/crates/route/src/query/config.rs
+++ b/crates/route/src/query/config.rs
@@ -1,14 +1,14 @@
-//! What a query is asked to do, what it asks for, and how it ends.
+//! Configuration, actions and outcomes of a query.
 
 use chestnut_unit::{Share, Time};
 
 use crate::{Class, Ix};
 
-/// Number of a call within its query.
+/// Index of a call within its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u32);
 
-/// Why a call is made.
+/// Reason for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
     /// The first call for its shards.
@@ -17,18 +17,17 @@
     Hedge,
     /// A call after an earlier one was lost.
     Retry,
-    /// A call after an earlier one was shed. The refusal cost its target
-    /// little, so the budget allows more of these.
+    /// A call after an earlier one was shed. Shedding costs a target little, so the
+    /// budget allows more of these.
     Reshed,
-    /// A call after an earlier one that cost its target nothing: it never
-    /// left this entry, or the target is leaving or lacks the snapshot, or its
-    /// connection was silent. It adds no load, so no budget limits it; the
-    /// number of replicas does.
+    /// A call after an earlier one that cost its target nothing: it was never sent,
+    /// the target is leaving or lacks the snapshot, or the connection was silent. It
+    /// adds no load and is limited by the number of replicas, not by a budget.
     Reroute,
 }
 
 impl CallKind {
-    /// The word in logs.
+    /// Returns the kind's name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -41,39 +40,39 @@
     }
 }
 
-/// What the caller of the decision has to do.
+/// An action that the caller of the query must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call a back end.
     Call {
-        /// Number of the call.
+        /// Index of the call.
         call: CallId,
         /// The back end.
         to: Ix,
-        /// Shards asked, as positions in the query.
+        /// Requested shards, as positions in the query.
         shards: Vec<usize>,
-        /// Why.
+        /// Reason for the call.
         kind: CallKind,
         /// Deadline for the back end, earlier than the query's.
         deadline: Time,
     },
-    /// Cancel a call: nothing waits for it any more.
+    /// Cancel a call whose answer is no longer needed.
     Cancel(CallId),
 }
 
-/// Why a query ended without all its shards.
+/// Why a query ended with some shards missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Give {
-    /// The deadline came.
+    /// The deadline passed.
     Deadline,
     /// A shard has no replica left to try, or no budget to try it.
     NoReplica,
-    /// Too many shards have only back ends without room, and no call was made.
+    /// The back ends of too many shards are at capacity, and no call was made.
     Full,
     /// A shard's replicas no longer have the snapshot.
     SnapshotLost,
-    /// The answer covers the least share, and the time within which callers
-    /// want it is up: what is missing would come too late to be worth it.
+    /// The answer has the minimum coverage and the latency objective has passed, or
+    /// all missing shards have only unresponsive back ends.
     Enough,
 }
 
@@ -82,65 +81,65 @@
 pub enum End {
     /// All shards answered.
     Whole,
-    /// Some did not.
+    /// Some shards are missing.
     Partial(Give),
 }
 
-/// Whether a call may be made again when an earlier one may have run.
+/// Whether a call may be repeated when an earlier one may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may: running twice changes nothing.
+    /// Yes: the call is idempotent.
     Free,
     /// Only after proof that none of the earlier calls ran.
     Unrun,
 }
 
-/// Whether an answer can still come when its caller wants it.
+/// Whether an answer can still meet the caller's latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Prospect {
     /// It can.
     InTime,
-    /// The caller has waited too long already, at other entries or for a
-    /// connection. What is done for it must not be at the cost of others.
+    /// The caller has already waited too long, at other entries or for a connection.
+    /// Its calls must not take capacity or budget from other queries.
     Late,
 }
 
-/// Whether a query's request is known to end the back ends that run it.
+/// Whether a query's request is suspected to crash the back ends that run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// Nothing is known against it.
+    /// It is not suspected.
     Full,
-    /// Back ends ended under it, and none has answered it since: it gets a single call
-    /// until one has.
+    /// Back ends crashed under it and none has answered it since. It gets a single
+    /// call until one has answered.
     Trial,
 }
 
 /// Parameters of one query.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryConfig {
-    /// When the answer must be ready.
+    /// Time by which the answer must be ready.
     pub deadline: Time,
-    /// Least share of shards that the answer must cover; once it is out of
-    /// reach the query ends.
+    /// Minimum coverage: the share of shards that the answer must include. The query
+    /// ends once it is out of reach.
     pub least: Share,
-    /// When the caller wants the answer. From then on the least share is
-    /// enough.
+    /// Time at which the latency objective passes. From then on minimum coverage
+    /// suffices.
     pub goal: Time,
-    /// Whether the answer can still come by the goal.
+    /// Whether the answer can still meet the latency objective.
     pub prospect: Prospect,
-    /// Back ends that may run a shard's call, the first included.
+    /// Maximum number of back ends that may run a shard's call, the first included.
     pub attempts: u32,
     /// Whether a call may be repeated.
     pub repeat: Repeat,
-    /// Whether its request may end those that run it.
+    /// Whether the request is suspected to crash back ends.
     pub trust: Trust,
-    /// The class of its calls.
+    /// The class of the calls.
     pub class: Class,
 }
 
 impl QueryConfig {
-    /// A query that waits for whole answers until its deadline and repeats
-    /// calls freely.
+    /// Creates the parameters of a query that waits for a complete answer until its
+    /// deadline and repeats calls freely.
     #[must_use]
     pub fn new(deadline: Time, least: Share) -> Self {
         Self {
--- a/crates/route/src/query/gain.rs
+++ b/crates/route/src/query/gain.rs
@@ -1,57 +1,55 @@
-//! What an extra call is worth to the query that makes it.
+//! Value of an extra call to its query, by which a joint budget ranks calls.
 
 use chestnut_unit::Time;
 
 use super::Query;
 use crate::Prospect;
 
-/// Worth of an answer that comes after the goal, beside one that comes in time.
-/// Operators give the goal as the time within which an answer is worth all; what a
-/// later one is worth differs, and is little.
-const LATE: f64 = 0.2;
+/// Value of an answer after the latency objective, relative to one that meets it.
+const LATE_VALUE: f64 = 0.2;
 
 impl<P> Query<P> {
-    /// What one more extra call adds to the answer, as a part of a whole one that
-    /// comes in time.
+    /// Returns the value that one more extra call adds to the answer, as a fraction
+    /// of a complete answer within the latency objective.
     ///
-    /// An answer is worth the square of the share of shards that are in, and
-    /// nothing below the least share. One call that completes the least share
-    /// makes most of an answer; where several are needed, each makes its part of
-    /// it; beyond the least share it adds a little. Where extra calls are scarce,
-    /// those that add most have to come first: spent evenly, they run out on
-    /// queries that stay below their least share all the same.
+    /// An answer is worth the square of its coverage, and nothing below the minimum
+    /// coverage. A call that alone completes the minimum has a high gain; where
+    /// several are needed, each gets an equal part; beyond the minimum the gain is
+    /// small. Without this ranking a scarce budget is spent on queries that stay
+    /// below their minimum coverage anyway.
     pub(super) fn gain(&self, now: Time) -> f64 {
         let all = self.shards.len() as f64;
         let square = |count: usize| (count as f64 / all).powi(2);
-        let sure = self.sure(now);
-        let gain = match self.short(now) {
-            0 => square(sure + 1) - square(sure),
-            short => square(self.least()) / short as f64,
+        let on_track = self.on_track(now);
+        let gain = match self.deficit(now) {
+            0 => square(on_track + 1) - square(on_track),
+            deficit => square(self.min_shards()) / deficit as f64,
         };
         match self.config.prospect {
             Prospect::InTime if now < self.config.goal => gain,
-            Prospect::InTime | Prospect::Late => gain * LATE,
+            Prospect::InTime | Prospect::Late => gain * LATE_VALUE,
         }
     }
 
-    /// Shards that only extra calls can still bring of those that the answer needs.
-    pub(super) fn short(&self, now: Time) -> usize {
-        self.least().saturating_sub(self.sure(now))
+    /// Returns the number of shards needed for minimum coverage that only extra
+    /// calls can still deliver.
+    pub(super) fn deficit(&self, now: Time) -> usize {
+        self.min_shards().saturating_sub(self.on_track(now))
     }
 
-    /// Shards that are in, or whose call is not late yet.
-    fn sure(&self, now: Time) -> usize {
-        let sure = self.shards.iter().filter(|shard| {
-            let on_time = shard.live > 0 && shard.due > now;
+    /// Returns the number of shards that are merged or whose call is not yet late.
+    fn on_track(&self, now: Time) -> usize {
+        let on_track = self.shards.iter().filter(|shard| {
+            let on_time = shard.live > 0 && shard.late_at > now;
             shard.part.is_some() || on_time
         });
-        sure.count()
+        on_track.count()
     }
 
-    /// Fewest shards that an answer may cover.
-    fn least(&self) -> usize {
+    /// Returns the fewest shards that an answer may cover.
+    fn min_shards(&self) -> usize {
         let all = self.shards.len();
-        let least = (1..=all).find(|count| self.reaches_least(*count));
-        least.unwrap_or(all)
+        let min_shards = (1..=all).find(|count| self.has_min_coverage(*count));
+        min_shards.unwrap_or(all)
     }
 }
--- a/crates/route/src/query/mod.rs
+++ b/crates/route/src/query/mod.rs
@@ -1,4 +1,4 @@
-//! One fan-out over the shards of a snapshot, from first call to merge.
+//! One fan-out over the shards of a snapshot, from the first calls to the merge.
 
 mod closing;
 mod config;
@@ -13,56 +13,62 @@
 pub use config::{Action, CallId, CallKind, End, Give, Prospect, QueryConfig, Repeat, Trust};
 use rand::Rng;
 use tries::kind_after;
-use wait::Later;
+use wait::Deferred;
 
 use crate::{Attempt, Ended, Failure, Ix, NotRun, PurseId, Refusal, Routes, Sent, Table};
 
-/// Time that an answer needs from a back end to the caller of the decision,
-/// taken off the deadline at each hop.
-const HOP: Duration = Duration::from_millis(1);
+/// Time reserved per hop for an answer to travel from a back end to the caller.
+const HOP_ALLOWANCE: Duration = Duration::from_millis(1);
 
+/// State of one shard of the query.
 #[derive(Debug)]
 struct Shard<P> {
     route: usize,
     part: Option<P>,
     tried: Vec<Ix>,
+    /// Number of its calls in flight.
     live: u32,
     /// Calls that a back end may have run.
     ran: u32,
-    /// Calls that asked for it.
+    /// Calls that requested the shard.
     calls: Vec<CallId>,
-    due: Time,
-    /// A call that waits: for room, for the budget, or after every replica
-    /// shed one.
-    later: Option<Later>,
-    rested: bool,
+    /// When its latest call is late.
+    late_at: Time,
+    /// The shard's deferred call, which waits for capacity, for the budget, for a
+    /// first answer, or for the end of a backoff.
+    deferred: Option<Deferred>,
+    /// Whether it has been in backoff after every replica shed a call.
+    backed_off: bool,
 }
 
+/// Whether a call is in flight.
 #[derive(Debug)]
-enum Life {
+enum CallState {
     Live(Attempt<Sent>),
-    Over,
+    Done,
 }
 
+/// A call and the shards that it requested, as positions in the query.
 #[derive(Debug)]
 struct Call {
     shards: Vec<usize>,
-    life: Life,
+    state: CallState,
 }
 
-/// What comes with every event: the table, the time and the random source.
+/// Inputs and outputs of every event: the table, the time, the random source and
+/// the resulting actions.
 pub struct Context<'a> {
-    /// What is known of the back ends.
+    /// State of the back ends.
     pub table: &'a mut Table,
-    /// The present time.
+    /// Current time.
     pub now: Time,
     /// Random source.
     pub rng: &'a mut dyn Rng,
-    /// Receives what has to be done.
+    /// Receives the actions to perform.
     pub out: &'a mut Vec<Action>,
 }
 
-/// One query. `P` is the part that a shard contributes.
+/// One query. `P` is the partial result of one shard.
 #[derive(Debug)]
 pub struct Query<P> {
     routes: Arc<Routes>,
@@ -70,29 +76,33 @@
     shards: Vec<Shard<P>>,
     calls: Vec<Call>,
     ends: Vec<Ended>,
+    /// Number of missing shards.
     pending: usize,
     start: Time,
-    /// What a query waits for that has made no call yet: the shards without room.
-    held: Vec<PurseId>,
-    /// Shards whose want of room ended the query, as positions in the routes.
+    /// Budgets of the shards without capacity, while the query is queued and has
+    /// made no call.
+    queued: Vec<PurseId>,
+    /// Shards whose lack of capacity ended the query, as positions in the routes.
     full: Vec<usize>,
-    look: Time,
-    /// Half of the time to the deadline: from here on what is missing may be
-    /// hedged however much it is, as far as the budget goes.
-    half: Time,
-    first: usize,
+    /// When to check for capacity or late shards.
+    next_check: Time,
+    /// Halfway to the deadline: from here on any number of missing shards may be
+    /// hedged, within the budget.
+    midpoint: Time,
+    /// Number of first calls.
+    first_calls: usize,
     end: Option<End>,
     sheds: u32,
-    /// Calls whose back end ended, or their connection.
+    /// Calls that were lost with their back end or connection.
     lost: usize,
     /// Whether a back end has answered a call.
-    proven: bool,
-    /// Times that an extra call was not paid for.
+    answered: bool,
+    /// Number of extra calls that no budget paid for.
     withheld: u32,
-    /// Whether the goal has passed and the query was not ended by it.
-    goal_seen: bool,
-    /// Whether some shard may have no call under way and none to come.
-    stuck: bool,
+    /// Whether the objective has passed without ending the query.
+    objective_passed: bool,
+    /// Whether some shard may have no call in flight and none deferred.
+    maybe_exhausted: bool,
 }
 
 impl<P> Query<P> {
@@ -113,33 +123,33 @@
             calls: Vec::new(),
             ends: Vec::new(),
             start: cx.now,
-            held: Vec::new(),
+            queued: Vec::new(),
             full: Vec::new(),
-            look: Time::MAX,
-            half: cx.now + config.deadline.since(cx.now) / 2,
-            first: 0,
+            next_check: Time::MAX,
+            midpoint: cx.now + config.deadline.since(cx.now) / 2,
+            first_calls: 0,
             end: None,
             sheds: 0,
             lost: 0,
-            proven: false,
+            answered: false,
             withheld: 0,
-            goal_seen: false,
-            stuck: true,
+            objective_passed: false,
+            maybe_exhausted: true,
         };
-        let closed = query.closed(cx);
-        let open = query.shards.len() - closed.len();
-        if open == 0 || !query.reaches_least(open) {
-            // Calls that are cancelled at once may still have been sent; with
-            // none the refusal can say that nothing ran.
-            query.end = Some(End::Partial(query.why(&closed, cx)));
+        let unavailable = query.unavailable(cx);
+        let open = query.shards.len() - unavailable.len();
+        if open == 0 || !query.has_min_coverage(open) {
+            // Calls that are cancelled at once may already have been sent;
+            // without any, the refusal can prove that nothing ran.
+            query.end = Some(End::Partial(query.partial_reason(&unavailable, cx)));
             return query;
         }
-        query.begin(cx);
+        query.make_first_calls(cx);
         query
     }
 
-    /// Takes an answer. Parts of another snapshot, of shards that were not
-    /// asked in this call or that are done, are dropped.
+    /// Handles an answer. Drops parts of another snapshot, of shards that this
+    /// call did not request, and of shards already merged.
     pub fn answer(
         &mut self,
         id: CallId,
@@ -161,12 +171,12 @@
             cx.table.gauge.dropped += parts.len() as u64;
             cx.table.lacks(to, self.version(), cx.now);
         }
-        self.prove(cx);
-        self.release(id, CallKind::Retry, cx);
-        self.settle(cx);
+        self.record_first_answer(cx);
+        self.detach(id, CallKind::Retry, cx);
+        self.check_end(cx);
     }
 
-    /// Takes the failure of a call.
+    /// Handles the failure of a call.
     pub fn fail(&mut self, id: CallId, failure: Failure, cx: &mut Context<'_>) {
         let Some(attempt) = self.take(id) else {
             return;
@@ -180,18 +190,18 @@
         });
         cx.table.failed(to, failure, cx.now);
         if matches!(failure, Failure::Refused(_) | Failure::NotSent) {
-            self.uncount(id);
+            self.revert_run(id);
         }
         if failure == Failure::Refused(Refusal::NoSnapshot) {
             cx.table.lacks(to, self.version(), cx.now);
         }
         self.lost += usize::from(failure == Failure::Lost);
         self.sheds += u32::from(failure == Failure::Refused(Refusal::Shed));
-        self.release(id, kind_after(failure, self.config.repeat), cx);
-        self.settle(cx);
+        self.detach(id, kind_after(failure, self.config.repeat), cx);
+        self.check_end(cx);
     }
 
-    /// Takes the passing of time.
+    /// Handles the passing of time.
     pub fn tick(&mut self, cx: &mut Context<'_>) {
         if self.end.is_some() {
             return;
@@ -200,69 +210,72 @@
             self.finish(End::Partial(Give::Deadline), cx);
             return;
         }
-        if !self.held.is_empty() {
-            if cx.now >= self.look {
-                self.begin(cx);
+        if !self.queued.is_empty() {
+            if cx.now >= self.next_check {
+                self.make_first_calls(cx);
             }
             return;
         }
-        self.goal_seen |= cx.now >= self.config.goal;
-        if self.is_enough(cx.now) {
+        self.objective_passed |= cx.now >= self.config.goal;
+        if self.is_sufficient(cx.now) {
             self.finish(End::Partial(Give::Enough), cx);
             return;
         }
-        self.call_waiting(cx);
-        if self.end.is_none() && cx.now >= self.look {
+        self.make_due_calls(cx);
+        if self.end.is_none() && cx.now >= self.next_check {
             self.hedge(cx);
         }
     }
 
-    /// Takes back from the shards of a call that it may have run.
-    fn uncount(&mut self, id: CallId) {
+    /// Reverts the count of a call that did not run.
+    fn revert_run(&mut self, id: CallId) {
         for position in &self.calls[id.0 as usize].shards {
             let shard = &mut self.shards[*position];
             shard.ran = shard.ran.saturating_sub(1);
         }
     }
 
-    /// Ends a query that nobody waits for any more.
+    /// Ends a query whose caller is gone.
     pub fn abandon(&mut self, cx: &mut Context<'_>) {
         if self.end.is_none() {
             self.finish(End::Partial(Give::Deadline), cx);
         }
     }
 
-    /// When [`Query::tick`] has something to do next.
+    /// Returns when [`Query::tick`] must be called next.
     #[must_use]
     pub fn wake(&self) -> Time {
-        let begun = self.held.is_empty();
-        let waits = begun && self.config.goal < self.config.deadline && !self.goal_seen;
+        let started = self.queued.is_empty();
+        let waits = started && self.config.goal < self.config.deadline && !self.objective_passed;
         let goal = if waits { self.config.goal } else { Time::MAX };
-        self.look.min(self.config.deadline).min(goal)
+        self.next_check.min(self.config.deadline).min(goal)
     }
 
-    /// How the query ended, if it has.
+    /// Returns how the query ended, if it has.
     #[must_use]
     pub fn end(&self) -> Option<End> {
         self.end
     }
 
-    /// Calls of this query that targets shed.
+    /// Returns the number of calls of this query that targets shed.
     #[must_use]
     pub fn sheds(&self) -> u32 {
         self.sheds
     }
 
-    /// Times that no budget paid for an extra call of this query.
+    /// Returns the number of extra calls of this query that no budget paid for.
     #[must_use]
     pub fn withheld(&self) -> u32 {
         self.withheld
     }
 
-    /// Proof that no target ran any part of the query, if there is one.
+    /// Returns proof that no target ran any part of the query, if there is one.
     #[must_use]
     pub fn not_run(&self) -> Option<NotRun> {
-        let live = self.calls.iter().any(|c| matches!(c.life, Life::Live(_)));
+        let live = self
+            .calls
+            .iter()
+            .any(|c| matches!(c.state, CallState::Live(_)));
         if live {
             None
         } else {
@@ -270,25 +283,25 @@
         }
     }
 
-    /// Calls made so far.
+    /// Returns the number of calls made so far.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// The routes that the query pinned.
+    /// Returns the routes that the query pinned.
     #[must_use]
     pub fn routes(&self) -> &Arc<Routes> {
         &self.routes
     }
 
-    /// Position in the pinned routes of the shard at `position`.
+    /// Returns the position in the pinned routes of the shard at `position`.
     #[must_use]
     pub fn route_of(&self, position: usize) -> usize {
         self.shards[position].route
     }
 
-    /// What the merged parts cover.
+    /// Returns the coverage of the merged parts.
     #[must_use]
     pub fn coverage(&self) -> Coverage {
         let name = |shard: &Shard<P>| self.routes.shards[shard.route].name.clone();
@@ -297,12 +310,13 @@
         Coverage::from_merged(&asked, &merged)
     }
 
-    /// The shards whose want of room ended the query before its first call.
+    /// Returns the shards whose lack of capacity ended the query before its first
+    /// call.
     pub fn full(&self) -> impl Iterator<Item = &ShardName> {
         self.full.iter().map(|at| &self.routes.shards[*at].name)
     }
 
-    /// Back ends that were called for shards which have no part, in order.
+    /// Returns the back ends that were called for the missing shards, in order.
     #[must_use]
     pub fn in_vain(&self) -> Vec<Ix> {
         let missing = self.shards.iter().filter(|shard| shard.part.is_none());
@@ -311,7 +325,8 @@
             .collect()
     }
 
-    /// The merged parts with their positions in the pinned routes, in order.
+    /// Returns the merged parts with their positions in the pinned routes, in
+    /// order.
     pub fn into_parts(self) -> impl Iterator<Item = (usize, P)> {
         self.shards
             .into_iter()
@@ -322,12 +337,12 @@
         self.routes.snapshot.version
     }
 
-    /// Ends the life of a call and returns its attempt, if it was live.
+    /// Marks a call as done and returns its attempt, if it was in flight.
     fn take(&mut self, id: CallId) -> Option<Attempt<Sent>> {
         let call = self.calls.get_mut(id.0 as usize)?;
-        match std::mem::replace(&mut call.life, Life::Over) {
-            Life::Live(attempt) => Some(attempt),
-            Life::Over => None,
+        match std::mem::replace(&mut call.state, CallState::Done) {
+            CallState::Live(attempt) => Some(attempt),
+            CallState::Done => None,
         }
     }
 
@@ -345,38 +360,39 @@
         self.calls[id.0 as usize].shards = asked;
     }
 
-    /// Lets go of the shards of a call that has ended: those still without a
-    /// part and without another live call are tried again or given up.
-    fn release(&mut self, id: CallId, again: CallKind, cx: &mut Context<'_>) {
+    /// Detaches a call that has ended from its shards. Those still missing and
+    /// without another call in flight are retried or given up.
+    fn detach(&mut self, id: CallId, again: CallKind, cx: &mut Context<'_>) {
         let shards = std::mem::take(&mut self.calls[id.0 as usize].shards);
-        let mut orphans = Vec::new();
+        let mut uncovered = Vec::new();
         for position in &shards {
             let shard = &mut self.shards[*position];
             shard.live -= 1;
             if shard.part.is_none() && shard.live == 0 {
-                orphans.push(*position);
+                uncovered.push(*position);
             }
         }
         for position in &shards {
-            self.cancel_useless(*position, cx);
+            self.cancel_redundant(*position, cx);
         }
         self.calls[id.0 as usize].shards = shards;
-        if !orphans.is_empty() && self.end.is_none() {
-            self.retry(&orphans, again, cx);
-            self.stuck = true;
+        if !uncovered.is_empty() && self.end.is_none() {
+            self.retry(&uncovered, again, cx);
+            self.maybe_exhausted = true;
         }
     }
 }
 
 impl<P> Shard<P> {
-    /// When the shard has to be looked at next.
+    /// Returns when the shard must be checked next.
     fn next(&self) -> Time {
-        self.later.map_or(self.due, |later| later.at)
+        self.deferred.map_or(self.late_at, |deferred| deferred.at)
     }
 
-    /// Whether the shard has no part, no call under way and none to come.
-    fn is_hopeless(&self) -> bool {
-        self.part.is_none() && self.live == 0 && self.later.is_none()
+    /// Returns whether the shard is missing, with no call in flight and none
+    /// deferred.
+    fn is_exhausted(&self) -> bool {
+        self.part.is_none() && self.live == 0 && self.deferred.is_none()
     }
 
     fn new(route: usize) -> Self {
@@ -387,9 +403,9 @@
             live: 0,
             ran: 0,
             calls: Vec::new(),
-            due: Time::MAX,
-            later: None,
-            rested: false,
+            late_at: Time::MAX,
+            deferred: None,
+            backed_off: false,
         }
     }
 }
--- a/crates/route/src/query/proof.rs
+++ b/crates/route/src/query/proof.rs
@@ -1,76 +1,90 @@
-//! Queries whose request may end the back ends that run it.
+//! Queries whose request may crash the back ends that run it.
+//!
+//! A suspected query is a trial: it has a single call in flight until a back end has
+//! answered one.
 
 use chestnut_unit::Time;
 
-use super::{CallKind, Context, End, Life, Query, Trust, wait::Later};
+use super::{CallKind, CallState, Context, End, Query, Trust, wait::Deferred};
 
-/// Calls that may be lost before the others of a query that no back end has answered wait
-/// until one does. A search of ten shards that ends its leafs ended ten, and two more of
-/// each shard with the calls that made those good, before its caller was told.
-const LOST_MAX: usize = 3;
+/// Number of lost calls after which a query without any answer defers its other calls
+/// until a first answer. It bounds the back ends that one request can crash.
+const MAX_LOST: usize = 3;
 
 impl<P> Query<P> {
-    /// Whether the query waits for a first answer before it calls any more back ends.
-    pub(super) fn is_trial(&self) -> bool {
-        let doubted = self.config.trust == Trust::Trial || self.lost >= LOST_MAX;
-        doubted && !self.proven
+    /// Returns whether the query must get a first answer before it calls more back ends.
+    pub(super) fn needs_first_answer(&self) -> bool {
+        let suspected = self.config.trust == Trust::Trial || self.lost >= MAX_LOST;
+        suspected && !self.answered
     }
 
-    /// Has shards wait for a first answer to the query.
-    pub(super) fn wait_for_proof(&mut self, positions: &[usize], kind: CallKind) {
+    /// Defers the calls of shards until the query has a first answer.
+    pub(super) fn defer_until_answer(&mut self, positions: &[usize], kind: CallKind) {
         for position in positions {
             let at = Time::MAX;
-            self.shards[*position].later = Some(Later { at, kind });
+            self.shards[*position].deferred = Some(Deferred { at, kind });
         }
     }
 
-    /// Takes it that a back end has answered: the request doesn't end those that run it,
-    /// and what waited for that is called.
-    pub(super) fn prove(&mut self, cx: &mut Context<'_>) {
-        if self.proven || self.end.is_some() {
+    /// Records that a back end has answered, so the request does not crash those that run
+    /// it, and makes the calls deferred for that.
+    pub(super) fn record_first_answer(&mut self, cx: &mut Context<'_>) {
+        if self.answered || self.end.is_some() {
             return;
         }
-        let doubted = self.is_trial();
-        self.proven = true;
-        if !doubted {
+        let suspected = self.needs_first_answer();
+        self.answered = true;
+        if !suspected {
             return;
         }
         for shard in &mut self.shards {
-            if let Some(later) = shard.later.as_mut().filter(|later| later.at == Time::MAX) {
-                later.at = cx.now;
+            if let Some(deferred) = shard
+                .deferred
+                .as_mut()
+                .filter(|deferred| deferred.at == Time::MAX)
+            {
+                deferred.at = cx.now;
             }
         }
-        self.call_waiting(cx);
-        self.look = self.look.min(self.next_due(cx.now));
+        self.make_due_calls(cx);
+        self.next_check = self.next_check.min(self.next_due(cx.now));
     }
 
-    /// When a shard that waits for something else than proof is to be called.
-    pub(super) fn next_later(&self) -> Time {
-        let waiting = self.shards.iter().filter_map(|shard| shard.later);
-        waiting.map(|later| later.at).min().unwrap_or(Time::MAX)
+    /// Returns the time of the earliest deferred call, apart from those that wait for a
+    /// first answer.
+    pub(super) fn next_deferred(&self) -> Time {
+        let waiting = self.shards.iter().filter_map(|shard| shard.deferred);
+        waiting
+            .map(|deferred| deferred.at)
+            .min()
+            .unwrap_or(Time::MAX)
     }
 
-    /// Goes on with a query that waits for a first answer when no call is left that could
-    /// bring it: with the next shard if nothing has run, or with its end.
-    pub(super) fn try_next(&mut self, cx: &mut Context<'_>) {
-        let waits = |later: Option<Later>| later.is_some_and(|later| later.at == Time::MAX);
-        let next = self.shards.iter().position(|shard| waits(shard.later));
-        let Some(next) = next.filter(|_| self.is_trial()) else {
+    /// Continues a query that waits for a first answer when no call in flight can bring
+    /// it: calls the next shard if no call was lost, and ends the query otherwise.
+    pub(super) fn continue_trial(&mut self, cx: &mut Context<'_>) {
+        let waits =
+            |deferred: Option<Deferred>| deferred.is_some_and(|deferred| deferred.at == Time::MAX);
+        let next = self.shards.iter().position(|shard| waits(shard.deferred));
+        let Some(next) = next.filter(|_| self.needs_first_answer()) else {
             return;
         };
-        let live = self.calls.iter().any(|c| matches!(c.life, Life::Live(_)));
-        if live || self.next_later() < Time::MAX {
+        let live = self
+            .calls
+            .iter()
+            .any(|c| matches!(c.state, CallState::Live(_)));
+        if live || self.next_deferred() < Time::MAX {
             return;
         }
         if self.lost > 0 {
-            let give = self.why(&[next], cx);
-            self.finish(End::Partial(give), cx);
+            let reason = self.partial_reason(&[next], cx);
+            self.finish(End::Partial(reason), cx);
             return;
         }
-        if let Some(later) = self.shards[next].later.take() {
-            self.call(&[next], later.kind, cx);
+        if let Some(deferred) = self.shards[next].deferred.take() {
+            self.call(&[next], deferred.kind, cx);
         }
-        self.stuck = true;
-        self.settle(cx);
+        self.maybe_exhausted = true;
+        self.check_end(cx);
     }
 }
--- a/crates/route/src/query/tries.rs
+++ b/crates/route/src/query/tries.rs
@@ -1,100 +1,103 @@
-//! The calls of a query: first ones, hedges, retries and cancellations.
+//! Calls of a query: first calls, hedges, retries and cancellations.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use chestnut_unit::Time;
 
 use super::{
-    Action, Call, CallId, CallKind, Context, HOP, Life, Query, Repeat, Shard, wait::ROUNDS,
+    Action, Call, CallId, CallKind, CallState, Context, HOP_ALLOWANCE, Query, Repeat, Shard,
+    wait::MAX_ROUNDS,
 };
 use crate::{Attempt, Failure, Hedge, Ix, Paid, Refusal, choose::choose_replica};
 
-/// Time after which late shards that could not be hedged are looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+/// Delay before late shards that could not be hedged are checked again.
+const RECHECK_DELAY: Duration = Duration::from_millis(2);
 
 impl<P> Query<P> {
-    pub(super) fn retry(&mut self, orphans: &[usize], kind: CallKind, cx: &mut Context<'_>) {
+    /// Calls other replicas for shards whose calls have all ended, if the query
+    /// allows it.
+    pub(super) fn retry(&mut self, uncovered: &[usize], kind: CallKind, cx: &mut Context<'_>) {
         let may_have_run = kind == CallKind::Retry && self.config.repeat == Repeat::Unrun;
-        if may_have_run || cx.now + HOP >= self.config.deadline {
+        if may_have_run || cx.now + HOP_ALLOWANCE >= self.config.deadline {
             return;
         }
-        if kind == CallKind::Retry && self.is_trial() {
-            self.wait_for_proof(orphans, kind);
+        if kind == CallKind::Retry && self.needs_first_answer() {
+            self.defer_until_answer(uncovered, kind);
             return;
         }
-        self.call(orphans, kind, cx);
+        self.call(uncovered, kind, cx);
         if kind == CallKind::Reshed {
-            self.rest(orphans, cx);
+            self.back_off(uncovered, cx);
         }
     }
 
-    /// Calls a second replica for the shards that are late, and sets the time
-    /// of the next look. The delays are fixed when a call is sent: were they
-    /// worked out anew at each look, a small rise in between would make late
-    /// shards look early, and they would wait for another whole delay.
+    /// Hedges the shards that are late and sets the time of the next check.
+    /// Each delay is fixed when its call is sent: if it were recomputed at each
+    /// check, a small rise would make late shards wait for another whole delay.
     pub(super) fn hedge(&mut self, cx: &mut Context<'_>) {
-        self.look = Time::MAX;
-        if self.is_trial() {
-            self.look = self.next_later();
+        self.next_check = Time::MAX;
+        if self.needs_first_answer() {
+            self.next_check = self.next_deferred();
             return;
         }
         let hedge = cx.table.config.hedge;
-        if !self.few_missing(hedge) && cx.now < self.half {
-            self.look = cx.now + LOOK_AGAIN;
+        if !self.few_missing(hedge) && cx.now < self.midpoint {
+            self.next_check = cx.now + RECHECK_DELAY;
             return;
         }
         let late: Vec<usize> = (0..self.shards.len())
             .filter(|position| {
                 let shard = &self.shards[*position];
-                shard.part.is_none() && shard.live > 0 && shard.due <= cx.now
+                shard.part.is_none() && shard.live > 0 && shard.late_at <= cx.now
             })
             .collect();
-        self.note_stalls(&late, cx);
+        self.record_stalls(&late, cx);
         if !late.is_empty() && self.config.repeat == Repeat::Free {
             self.call(&late, CallKind::Hedge, cx);
         }
-        self.look = self.next_due(cx.now);
+        self.next_check = self.next_due(cx.now);
     }
 
-    /// Tells the table which back ends hold up the late shards.
-    fn note_stalls(&self, late: &[usize], cx: &mut Context<'_>) {
+    /// Records in the table which back ends delay the late shards.
+    fn record_stalls(&self, late: &[usize], cx: &mut Context<'_>) {
         for position in late {
             for id in &self.shards[*position].calls {
-                if let Life::Live(attempt) = &self.calls[id.0 as usize].life {
+                if let CallState::Live(attempt) = &self.calls[id.0 as usize].state {
                     cx.table.stalled(attempt.to(), cx.now);
                 }
             }
         }
     }
 
-    /// Whether the query waits for few of its shards or of its calls. One call
-    /// to a holder covers many shards: when it hangs, most shards may be
-    /// missing though nothing else is wrong.
+    /// Returns whether few shards or few calls are missing. One call to a peer
+    /// covers many shards: if it hangs, most shards may be missing although
+    /// nothing else is wrong.
     pub(super) fn few_missing(&self, hedge: Hedge) -> bool {
-        let live = |call: &&Call| matches!(call.life, Life::Live(_));
+        let live = |call: &&Call| matches!(call.state, CallState::Live(_));
         let calls = self.calls.iter().filter(live).count();
-        hedge.is_late(self.pending, self.shards.len()) || hedge.is_late(calls, self.first)
+        hedge.is_late(self.pending, self.shards.len()) || hedge.is_late(calls, self.first_calls)
     }
 
-    /// When the next pending shard is late. One that is late already and got
-    /// no hedge, for want of a replica or budget, is looked at again shortly.
+    /// Returns when the next missing shard is late. A shard that is already
+    /// late and got no hedge, for lack of a replica or budget, is checked again
+    /// shortly.
     pub(super) fn next_due(&self, now: Time) -> Time {
         let pending = self.shards.iter().filter(|shard| shard.part.is_none());
         pending
-            .map(|shard| shard.next().max(now + LOOK_AGAIN))
+            .map(|shard| shard.next().max(now + RECHECK_DELAY))
             .min()
             .unwrap_or(Time::MAX)
     }
 
-    /// Chooses a replica for each shard and makes one call to each replica
-    /// chosen. A shard without a replica gets none; one whose replicas have no
-    /// room, or whose call no budget pays, waits.
+    /// Chooses a replica for each shard and makes one call per chosen replica.
+    /// Shards whose replicas lack capacity or whose call is not paid for are
+    /// deferred; a shard without a replica gets no call.
     pub(super) fn call(&mut self, positions: &[usize], kind: CallKind, cx: &mut Context<'_>) {
         let mut plan: BTreeMap<Ix, Vec<usize>> = BTreeMap::new();
         for position in positions {
             match self.choose_for(*position, kind, cx) {
                 Some(to) => plan.entry(to).or_default().push(*position),
-                None => self.wait_for_room(*position, kind, cx),
+                None => self.defer_for_capacity(*position, kind, cx),
             }
         }
         if kind == CallKind::First {
@@ -105,36 +108,37 @@
             if self.pay(kind, &shards, cx) {
                 self.send(to, shards, kind, cx);
             } else {
-                self.wait_for_budget(&shards, kind, cx);
+                self.defer_for_budget(&shards, kind, cx);
             }
         }
     }
 
-    /// Brings a hedge forward so that its answer comes by the goal: later ones
-    /// are worth little. It is never brought below what a usual call takes, or
-    /// hedges would be spent on calls that are not late.
-    fn hedge_by(&self, due: Time, cx: &Context<'_>) -> Time {
-        let usual = cx.table.profile(self.config.class).calls.median();
-        let latest = self.config.goal - usual.mul_f64(HEDGE_ROOM);
-        due.min(latest.max(cx.now + usual.mul_f64(HEDGE_LEAST)))
+    /// Moves a hedge forward so that its answer can meet the latency objective,
+    /// but not below the duration of a typical call: otherwise the budget would
+    /// be spent on calls that are not late.
+    fn advance_hedge(&self, due: Time, cx: &Context<'_>) -> Time {
+        let median = cx.table.profile(self.config.class).calls.median();
+        let latest = self.config.goal - median.mul_f64(HEDGE_HEADROOM);
+        due.min(latest.max(cx.now + median.mul_f64(HEDGE_DELAY_MIN)))
     }
 
-    /// Takes a call of `kind` from the budget of its shards.
+    /// Pays for a call of `kind` from the budget of its shards; returns whether
+    /// it is paid.
     fn pay(&mut self, kind: CallKind, shards: &[usize], cx: &mut Context<'_>) -> bool {
         let Some(first) = shards.first() else {
             return false;
         };
-        let purse = self.routes.shards[self.shards[*first].route].purse;
+        let budget = self.routes.shards[self.shards[*first].route].purse;
         let gain = match kind {
             CallKind::First => 1.0,
             _ => self.gain(cx.now),
         };
-        let purse = cx.table.purse(purse);
-        purse.pass(cx.now);
+        let budget = cx.table.purse(budget);
+        budget.pass(cx.now);
         if kind == CallKind::First {
-            purse.earn(1);
+            budget.earn(1);
         }
-        let paid = purse.spend(kind, gain);
+        let paid = budget.spend(kind, gain);
         let gauge = &mut cx.table.gauge;
         match (paid, kind) {
             (Paid::Yes, CallKind::Hedge) => gauge.hedges += 1,
@@ -147,6 +151,8 @@
         paid == Paid::Yes
     }
 
+    /// Chooses the replica for a shard's next call, if one may be called and a
+    /// hedge there could answer in time.
     pub(super) fn choose_for(
         &self,
         position: usize,
@@ -162,18 +168,19 @@
         let fresh = choose_replica(cx.table, replicas, &shard.tried, version, cx.now, cx.rng);
         let to = match fresh {
             Some(to) => to,
-            // Every replica was tried and none answered. What was lost with
-            // its connection may well be answered over another one.
+            // All replicas were tried without an answer. A call lost with its
+            // connection may succeed over another connection.
             None if may_repeat(kind, shard, replicas) => {
                 choose_replica(cx.table, replicas, &[], version, cx.now, cx.rng)?
             }
             None => return None,
         };
         let need = Duration::from_nanos(cx.table.expected(self.config.class, to, cx.now) as u64);
-        let pointless = kind == CallKind::Hedge && cx.now + need >= self.config.deadline;
-        (!pointless).then_some(to)
+        let too_late = kind == CallKind::Hedge && cx.now + need >= self.config.deadline;
+        (!too_late).then_some(to)
     }
 
+    /// Sends a call for `shards` to a back end and sets its hedge time.
     pub(super) fn send(
         &mut self,
         to: Ix,
@@ -183,15 +190,15 @@
     ) {
         let id = CallId(u32::try_from(self.calls.len()).expect("fewer than 2^32 calls"));
         let delay = cx.table.hedge_delay(self.config.class, to, cx.now);
-        let due = delay.map_or(Time::MAX, |delay| self.hedge_by(cx.now + delay, cx));
-        self.look = self.look.min(due);
+        let due = delay.map_or(Time::MAX, |delay| self.advance_hedge(cx.now + delay, cx));
+        self.next_check = self.next_check.min(due);
         for position in &shards {
             let shard = &mut self.shards[*position];
             shard.tried.push(to);
             shard.live += 1;
             shard.ran += 1;
             shard.calls.push(id);
-            shard.due = due;
+            shard.late_at = due;
         }
         cx.table.sent(to, cx.now);
         cx.out.push(Action::Call {
@@ -199,25 +206,25 @@
             to,
             shards: shards.clone(),
             kind,
-            deadline: self.config.deadline - HOP,
+            deadline: self.config.deadline - HOP_ALLOWANCE,
         });
         let attempt = Attempt::plan(to).queue().send(cx.now);
         self.calls.push(Call {
             shards,
-            life: Life::Live(attempt),
+            state: CallState::Live(attempt),
         });
     }
 
-    /// Cancels the calls for a shard that has its part, if all their shards
-    /// have. Only calls that asked for this shard are looked at: looking at all
-    /// of them after every answer costs the square of the fan-out.
-    pub(super) fn cancel_useless(&mut self, position: usize, cx: &mut Context<'_>) {
+    /// Cancels the in-flight calls for a merged shard whose other shards are
+    /// merged too. Only calls for this shard are checked: checking all calls
+    /// after every answer would be quadratic in the fan-out.
+    pub(super) fn cancel_redundant(&mut self, position: usize, cx: &mut Context<'_>) {
         if self.shards[position].part.is_none() || self.shards[position].live == 0 {
             return;
         }
         for id in self.shards[position].calls.clone() {
             let call = &self.calls[id.0 as usize];
-            let live = matches!(call.life, Life::Live(_));
+            let live = matches!(call.state, CallState::Live(_));
             let wanted = |p: &usize| self.shards[*p].part.is_none();
             if live && !call.shards.iter().any(wanted) {
                 self.cancel(id, cx);
@@ -225,6 +232,7 @@
         }
     }
 
+    /// Cancels a call, if it is in flight.
     pub(super) fn cancel(&mut self, id: CallId, cx: &mut Context<'_>) {
         let Some(attempt) = self.take(id) else {
             return;
@@ -240,10 +248,11 @@
     }
 }
 
-/// The kind of the call that makes good a failed one.
+/// Returns the kind of call that replaces a failed one.
 pub(super) fn kind_after(failure: Failure, repeat: Repeat) -> CallKind {
     match failure {
-        // Silence proves nothing: what must run at most once may have run.
+        // Silence proves nothing: a call that must run at most once may have
+        // run.
         Failure::Cut if repeat == Repeat::Unrun => CallKind::Retry,
         Failure::NotSent
         | Failure::Cut
@@ -255,17 +264,17 @@
     }
 }
 
-/// Time that a hedge needs before the goal, in median calls.
-const HEDGE_ROOM: f64 = 1.5;
-/// Least delay of a hedge, in median calls.
-const HEDGE_LEAST: f64 = 1.5;
-/// Whether a shard of which every replica was tried may be tried once more:
-/// to make good a call that failed, and after a rest if it was shed.
+/// Time before the objective at which a hedge is sent, in median calls.
+const HEDGE_HEADROOM: f64 = 1.5;
+/// Minimum delay of a hedge, in median calls.
+const HEDGE_DELAY_MIN: f64 = 1.5;
+/// Returns whether a shard may be called again after every replica was tried:
+/// to replace a failed call, or after a backoff if it was shed.
 pub(super) fn may_repeat<P>(kind: CallKind, shard: &Shard<P>, replicas: &[Ix]) -> bool {
-    let repairs = match kind {
+    let replaces = match kind {
         CallKind::Retry | CallKind::Reroute => true,
-        CallKind::Reshed => shard.rested,
+        CallKind::Reshed => shard.backed_off,
         CallKind::First | CallKind::Hedge => false,
     };
-    repairs && shard.tried.len() < replicas.len() * ROUNDS
+    replaces && shard.tried.len() < replicas.len() * MAX_ROUNDS
 }
--- a/crates/route/src/room.rs
+++ b/crates/route/src/room.rs
@@ -1,4 +1,4 @@
-//! Whether back ends have room for a call.
+//! Capacity of back ends: concurrency windows and queued queries.
 
 use std::time::Duration;
 
@@ -6,60 +6,59 @@
 
 use crate::{Bounds, Class, Ix, PurseId, Table, choose::tiers};
 
-/// A call is late for its back end's window when it takes longer than this many
-/// median calls of its class. Random variation seldom reaches it (a log-normal
-/// spread of 0.5 in one call of seventy), a queue as long as the slots does.
+/// Multiple of the class's median duration above which a call shrinks its back
+/// end's window. Random variation seldom exceeds it; a queue as long as the
+/// slots does.
 const LATE_MEDIANS: f64 = 3.0;
-/// Part of the goal from which on a call is late whatever is usual: more leaves
-/// no time for a second one. Without it a service that is overloaded as a whole
-/// would look usual to itself.
-const LATE_GOAL: f64 = 0.5;
-/// Calls of a class that must have ended before any is judged late.
+/// Fraction of the latency objective above which a call is late regardless of
+/// the median: no time is left for a second call. It detects overload of a
+/// whole service, where the median rises too.
+const LATE_OBJECTIVE: f64 = 0.5;
+/// Number of finished calls of a class before any is classified as late.
 const SAMPLES_NEEDED: u64 = 32;
-/// Least time between two cuts of a window for refusals: about a call, so that
-/// calls sent together count once.
-const REFUSED_ROUND: Duration = Duration::from_millis(20);
+/// Minimum time between two decreases of a window for refusals. Calls sent
+/// together count once.
+const REFUSAL_ROUND: Duration = Duration::from_millis(20);
 
-/// Least time that a call is taken to need, so that a rate stays finite.
-const SPAN_LEAST: Duration = Duration::from_micros(100);
+/// Lower bound on a call's expected duration, which keeps rates finite.
+const SPAN_MIN: Duration = Duration::from_micros(100);
 
 impl Table {
-    /// Bounds the calls that are under way at a back end. Without bounds there
-    /// is no limit.
+    /// Sets bounds on the concurrency window of a back end. Without bounds the
+    /// number of calls is unlimited.
     pub fn set_bounds(&mut self, ix: Ix, bounds: Bounds) {
         self.states[ix.index()].window.set_bounds(bounds);
     }
 
-    /// Sets within what time callers want the answers that calls of a class
-    /// belong to.
-    pub fn set_goal(&mut self, class: Class, goal: Duration) {
-        self.profiles[class.index()].goal = Some(goal);
+    /// Sets the callers' latency objective for a class.
+    pub fn set_goal(&mut self, class: Class, objective: Duration) {
+        self.profiles[class.index()].goal = Some(objective);
     }
 
-    /// Calls that may be under way at a back end.
+    /// Returns the number of calls that may be in flight at a back end.
     #[must_use]
     pub fn window(&self, ix: Ix) -> u32 {
         self.states[ix.index()].window.size()
     }
 
-    /// Whether a back end can take one more call.
+    /// Returns whether a back end has capacity for one more call.
     #[must_use]
     pub fn has_room(&self, ix: Ix) -> bool {
         let state = &self.states[ix.index()];
         state.outstanding < state.window.size()
     }
 
-    /// Whether some of `replicas` could be called now.
-    pub(crate) fn any_room(&self, replicas: &[Ix], version: IndexVersion, now: Time) -> bool {
-        // Mostly one of them is sound and has room. Sorting them all out for
-        // each shard of each query takes an eighth of the time of decisions.
-        let sound = |ix: &&Ix| {
+    /// Returns whether any of `replicas` can be called now.
+    pub(crate) fn any_capacity(&self, replicas: &[Ix], version: IndexVersion, now: Time) -> bool {
+        // Fast path: a healthy replica usually has capacity, and sorting the
+        // replicas into tiers for every shard of every query is expensive.
+        let healthy = |ix: &&Ix| {
             self.is_open(**ix, version, now)
                 && !self.is_doubted(**ix)
                 && !self.is_resting(**ix, now)
                 && self.evicted_until(**ix, now).is_none()
         };
-        if replicas.iter().filter(sound).any(|ix| self.has_room(*ix)) {
+        if replicas.iter().filter(healthy).any(|ix| self.has_room(*ix)) {
             return true;
         }
         let tiers = tiers(self, replicas, &[], version, now);
@@ -67,7 +66,8 @@
         first.is_some_and(|tier| tier.into_iter().any(|ix| self.has_room(ix)))
     }
 
-    /// Calls of `class` a second for which the best of `replicas` have places.
+    /// Returns the rate, in calls of `class` per second, at which capacity is
+    /// freed at the best tier of `replicas`.
     pub(crate) fn drain_rate(
         &self,
         class: Class,
@@ -78,39 +78,48 @@
         let tiers = tiers(self, replicas, &[], version, now);
         let first = tiers.into_iter().find(|tier| !tier.is_empty());
         let rate = |ix: Ix| {
-            let span = self.expected_span(class, ix, now).max(SPAN_LEAST);
+            let span = self.expected_span(class, ix, now).max(SPAN_MIN);
             f64::from(self.window(ix)) / span.as_secs_f64()
         };
         first.unwrap_or_default().into_iter().map(rate).sum()
     }
 
-    /// Queries that wait for room at a service and have made no call.
-    pub(crate) fn held(&self, purse: PurseId) -> u32 {
-        self.held.get(&purse).copied().unwrap_or(0)
+    /// Returns the number of queries queued for capacity at the service of a
+    /// budget.
+    pub(crate) fn queued(&self, budget: PurseId) -> u32 {
+        self.queued.get(&budget).copied().unwrap_or(0)
     }
 
-    pub(crate) fn hold(&mut self, purse: PurseId) {
-        *self.held.entry(purse).or_default() += 1;
+    /// Counts a query that starts to wait for capacity.
+    pub(crate) fn enqueue(&mut self, budget: PurseId) {
+        *self.queued.entry(budget).or_default() += 1;
     }
 
-    pub(crate) fn release(&mut self, purse: PurseId) {
-        if let Some(held) = self.held.get_mut(&purse) {
-            *held = held.saturating_sub(1);
+    /// Removes a query from the count of those queued.
+    pub(crate) fn dequeue(&mut self, budget: PurseId) {
+        if let Some(queued) = self.queued.get_mut(&budget) {
+            *queued = queued.saturating_sub(1);
         }
     }
 
-    /// Fits a window to a call that was answered after `span`.
-    pub(crate) fn fit_window(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
-        if self.cut_if_late(class, ix, span, now) {
+    /// Adjusts a window after a call that was answered after `span`.
+    pub(crate) fn adjust_window(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
+        if self.shrink_if_late(class, ix, span, now) {
             return;
         }
         let state = &mut self.states[ix.index()];
         state.window.grow(state.outstanding);
     }
 
-    /// Fits a window to a call that had not been answered after `span`; tells
-    /// whether it was late.
-    pub(crate) fn cut_if_late(&mut self, class: Class, ix: Ix, span: Duration, now: Time) -> bool {
+    /// Shrinks a window if a call unanswered for `span` is late; returns
+    /// whether it is.
+    pub(crate) fn shrink_if_late(
+        &mut self,
+        class: Class,
+        ix: Ix,
+        span: Duration,
+        now: Time,
+    ) -> bool {
         let late = self.late_after(class).filter(|late| span > *late);
         if let Some(round) = late {
             self.states[ix.index()].window.cut(round, now);
@@ -118,18 +127,22 @@
         late.is_some()
     }
 
-    /// Fits a window to a call that was refused for want of room.
-    pub(crate) fn cut_for_refusal(&mut self, ix: Ix, now: Time) {
-        self.states[ix.index()].window.cut(REFUSED_ROUND, now);
+    /// Shrinks a window after a call that was refused for lack of capacity.
+    pub(crate) fn shrink_for_refusal(&mut self, ix: Ix, now: Time) {
+        self.states[ix.index()].window.cut(REFUSAL_ROUND, now);
     }
 
+    /// Returns the duration above which a call of `class` is late, if enough
+    /// calls have finished.
     fn late_after(&self, class: Class) -> Option<Duration> {
         let profile = &self.profiles[class.index()];
         if profile.calls.count() < SAMPLES_NEEDED {
             return None;
         }
         let usual = profile.calls.median().mul_f64(LATE_MEDIANS);
-        let goal = profile.goal.map(|goal| goal.mul_f64(LATE_GOAL));
-        Some(goal.map_or(usual, |goal| usual.min(goal)))
+        let objective = profile
+            .goal
+            .map(|objective| objective.mul_f64(LATE_OBJECTIVE));
+        Some(objective.map_or(usual, |objective| usual.min(objective)))
     }
 }
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,4 +1,6 @@
-//! What an entry knows of the back ends of one service.
+//! State that an entry keeps of the back ends of one service.
+//!
+//! A back end is a leaf, which holds shards, or a peer entry that calls leafs.
 
 use std::{collections::BTreeMap, ops::Add, time::Duration};
 
@@ -13,93 +15,112 @@
     handicap::HINT_MAX,
 };
 
-/// Calls that a budget saves up, so that a service at rest can hedge or retry
-/// a whole fan-out at once.
+/// Capacity of the default budgets, in calls: enough to hedge or retry a whole fan-out
+/// at once.
 const BURST: u32 = 64;
-/// Points of failure in a row after which a back end is evicted.
-const POINTS_MAX: u32 = 9;
-/// Points of a call that was lost or could not be sent.
+/// Failure points without an answer in between at which a back end is evicted.
+const EVICT_POINTS: u32 = 9;
+/// Points for a call that was lost or could not be sent.
 const POINTS_LOST: u32 = 3;
-/// Points of a call that was cancelled late: its connection may be at fault,
-/// which the pool finds out first.
+/// Points for a call that was cancelled late: the fault may be in its connection,
+/// which the pool detects first.
 const POINTS_LATE: u32 = 1;
-/// Length of the first eviction; each further one doubles it.
+/// Duration of the first eviction; each consecutive one doubles it.
 const EVICT_FIRST: Duration = Duration::from_millis(500);
-/// Longest eviction.
+/// Maximum duration of an eviction.
 const EVICT_MAX: Duration = Duration::from_secs(30);
-/// How long a leaf that refused a call is passed over. Long enough for a slot
-/// to come free, short enough not to idle the leaf.
-const REFUSED_REST: Duration = Duration::from_millis(20);
-/// Span from one late call to another, with no answer between, that makes a
-/// back end dark. A pause of 250 ms makes all its calls late within 250 ms.
-const DARK_SPAN: Duration = Duration::from_millis(300);
-/// The common unit of calls of several classes.
+/// Backoff after a refused call: long enough for a slot to be freed, short enough not
+/// to leave the leaf idle.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Time between the first and the latest late call, without an answer in between,
+/// after which a back end is unresponsive. It must exceed the time over which a short
+/// pause makes calls late.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(300);
+/// Nanoseconds in the common unit to which calls of several classes are scaled.
 const UNIT_NANOS: f64 = 1e6;
-/// How long a leaf that lacks a snapshot is not asked for it again.
-const LACK_REST: Duration = Duration::from_secs(1);
+/// Time for which a leaf that lacks a snapshot is not called for it again.
+const SNAPSHOT_BACKOFF: Duration = Duration::from_secs(1);
 
-/// An eviction, for the log line that goes with it.
+/// An eviction, to be logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Eviction {
-    /// The back end.
+    /// The evicted back end.
     pub backend: Backend,
-    /// For how long.
+    /// Duration of the eviction.
     pub span: Duration,
-    /// The last of the failures that caused it.
+    /// The last failure before the eviction.
     pub failure: Failure,
 }
 
 /// State of one back end.
 #[derive(Clone, Debug)]
 pub(crate) struct State {
+    /// The back end.
     pub(crate) backend: Backend,
+    /// Calls that the back end runs concurrently.
     pub(crate) slots: u32,
+    /// Calls in flight.
     pub(crate) outstanding: u32,
+    /// Expected duration of its calls.
     pub(crate) estimate: Estimate,
+    /// Its concurrency window.
     pub(crate) window: Window,
     points: u32,
     evictions: u32,
-    evicted: Option<Time>,
-    rest: Time,
-    stalled: Time,
-    /// When the first and the latest call since its last answer ran late.
-    silent: Option<(Time, Time)>,
+    evicted_until: Option<Time>,
+    backoff_until: Time,
+    stalled_until: Time,
+    /// Times of the first and the latest late call since the last answer.
+    unanswered: Option<(Time, Time)>,
+    /// Recent failure rate.
     pub(crate) faults: Faults,
     leaving: bool,
-    barred: bool,
-    doubted: bool,
+    excluded: bool,
+    suspected: bool,
+    /// Whether it is in another failure domain.
     pub(crate) far: bool,
+    /// When it was added or became available again.
     pub(crate) since: Time,
+    /// Factor of its health or load endpoint, 1 or more.
     pub(crate) hint: f64,
-    lacks: BTreeMap<IndexVersion, Time>,
-    /// When it was called last.
+    missing: BTreeMap<IndexVersion, Time>,
+    /// Time of the last call to it.
     pub(crate) called: Option<Time>,
+    /// Limit on its calls while it is cold.
     pub(crate) cold: Option<Cold>,
 }
 
-/// What an entry knows of the back ends of one service, and the budgets and
-/// counts of its calls to them.
+/// The back ends of one service as seen by one entry, with the budgets and counters of
+/// the entry's calls to them.
 #[derive(Clone, Debug)]
 pub struct Table {
+    /// Parameters.
     pub(crate) config: TableConfig,
+    /// States of the back ends, by [`Ix`].
     pub(crate) states: Vec<State>,
     index: BTreeMap<Backend, Ix>,
+    /// Call durations, by [`Class`].
     pub(crate) profiles: Vec<Profile>,
-    pub(crate) purses: Vec<Purse>,
+    /// Budgets, by [`PurseId`].
+    pub(crate) budgets: Vec<Purse>,
+    /// Counters of the calls.
     pub(crate) gauge: Gauge,
+    /// Counter for round-robin choice.
     pub(crate) turn: u64,
+    /// State of the damped choice.
     pub(crate) damped: Damped,
-    /// Queries that wait for room, by the budget of the shard that lacks it.
-    pub(crate) held: BTreeMap<PurseId, u32>,
-    evicted: Vec<Eviction>,
+    /// Number of queries queued for capacity, by the budget of the shard that lacks
+    /// it.
+    pub(crate) queued: BTreeMap<PurseId, u32>,
+    new_evictions: Vec<Eviction>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(config: TableConfig) -> Self {
         Self {
-            purses: vec![Purse::split(config.hedge_share, config.retry_share, BURST)],
+            budgets: vec![Purse::split(config.hedge_share, config.retry_share, BURST)],
             profiles: vec![Profile::default()],
             config,
             states: Vec::new(),
@@ -107,12 +128,12 @@
             gauge: Gauge::default(),
             turn: 0,
             damped: Damped::default(),
-            held: BTreeMap::new(),
-            evicted: Vec::new(),
+            queued: BTreeMap::new(),
+            new_evictions: Vec::new(),
         }
     }
 
-    /// The number of a back end, which is added if it is new.
+    /// Returns the index of a back end, which is added if it is new.
     pub fn add(&mut self, backend: Backend, slots: u32, now: Time) -> Ix {
         if let Some(ix) = self.index.get(&backend) {
             self.states[ix.index()].slots = slots;
@@ -128,47 +149,46 @@
             window: Window::default(),
             points: 0,
             evictions: 0,
-            evicted: None,
-            rest: Time::ZERO,
-            stalled: Time::ZERO,
-            silent: None,
+            evicted_until: None,
+            backoff_until: Time::ZERO,
+            stalled_until: Time::ZERO,
+            unanswered: None,
             faults: Faults::default(),
             leaving: false,
-            barred: false,
-            doubted: false,
+            excluded: false,
+            suspected: false,
             far: false,
             since: now,
             hint: 1.0,
-            lacks: BTreeMap::new(),
+            missing: BTreeMap::new(),
             called: None,
             cold: None,
         });
         ix
     }
 
-    /// Ends the life of a back end: the next one under its name gets a number of
-    /// its own, and knows nothing of this one's delays, faults or eviction.
-    /// Answers and failures of calls that are still under way count for this
-    /// one, which is never called again.
+    /// Ends the incarnation of a back end: the next one with the same name gets an
+    /// index and state of its own. Results of calls in flight still count for the old
+    /// one, which gets no more calls.
     pub fn renew(&mut self, backend: &Backend) {
         if let Some(ix) = self.index.remove(backend) {
             self.states[ix.index()].leaving = true;
         }
     }
 
-    /// The number of a known back end.
+    /// Returns the index of a known back end.
     #[must_use]
     pub fn find(&self, backend: &Backend) -> Option<Ix> {
         self.index.get(backend).copied()
     }
 
-    /// The back end with a number.
+    /// Returns the back end at an index.
     #[must_use]
     pub fn backend(&self, ix: Ix) -> &Backend {
         &self.states[ix.index()].backend
     }
 
-    /// Marks a back end as leaving, or as back in a later life.
+    /// Marks a back end as leaving, or as available again after a restart.
     pub fn set_leaving(&mut self, ix: Ix, leaving: bool, now: Time) {
         let state = &mut self.states[ix.index()];
         if state.leaving && !leaving {
@@ -177,129 +197,130 @@
         state.leaving = leaving;
     }
 
-    /// Bars a back end from all calls, or lets it have calls again: its failure domain
-    /// is being emptied. What is known of it stays, but for its warmth.
-    pub fn set_barred(&mut self, ix: Ix, barred: bool, now: Time) {
+    /// Excludes a back end from all calls while its failure domain is evacuated, or
+    /// readmits it. Its state is kept, but it is cold again once readmitted.
+    pub fn set_barred(&mut self, ix: Ix, excluded: bool, now: Time) {
         let state = &mut self.states[ix.index()];
-        if state.barred && !barred {
+        if state.excluded && !excluded {
             state.since = now;
         }
-        state.barred = barred;
+        state.excluded = excluded;
     }
 
-    /// Whether the back end is barred.
+    /// Returns whether the back end is excluded.
     #[must_use]
     pub fn is_barred(&self, ix: Ix) -> bool {
-        self.states[ix.index()].barred
+        self.states[ix.index()].excluded
     }
 
-    /// Takes a hint of the health or load endpoint: the factor, 1 or more, by
-    /// which the back end looks worse than its calls tell. A hint only orders
-    /// back ends; it never evicts one, because the endpoints lag and lie.
+    /// Sets the factor (1 or more) by which the health or load endpoint rates the back
+    /// end worse than its calls do. It affects only the order of back ends; it never
+    /// evicts one, because endpoints lag and can be wrong.
     pub fn set_hint(&mut self, ix: Ix, factor: f64) {
         self.states[ix.index()].hint = factor.clamp(1.0, HINT_MAX);
     }
 
-    /// Marks a back end of which it is not known whether it is still there. It
-    /// is called only where no other can be.
-    pub fn set_doubt(&mut self, ix: Ix, doubted: bool) {
-        self.states[ix.index()].doubted = doubted;
+    /// Marks a back end as suspected to be gone, or clears the mark. A suspected back
+    /// end is called only if no other can be.
+    pub fn set_doubt(&mut self, ix: Ix, suspected: bool) {
+        self.states[ix.index()].suspected = suspected;
     }
 
-    /// Marks a back end as being in another failure domain. Near ones are
-    /// preferred until they are busier: calls between domains take longer, and
-    /// the bytes are paid for.
+    /// Marks a back end as remote, that is, in another failure domain. Local ones are
+    /// preferred until they are busier, because calls between domains take longer and
+    /// their traffic is billed.
     pub fn set_far(&mut self, ix: Ix, far: bool) {
         self.states[ix.index()].far = far;
     }
 
-    /// Calls that wait for a back end's answer.
+    /// Returns the number of calls in flight at a back end.
     #[must_use]
     pub fn outstanding(&self, ix: Ix) -> u32 {
         self.states[ix.index()].outstanding
     }
 
-    /// Calls that wait for answers of barred back ends.
+    /// Returns the number of calls in flight at excluded back ends.
     #[must_use]
     pub fn outstanding_barred(&self) -> u32 {
-        let barred = self.states.iter().filter(|state| state.barred);
-        barred.map(|state| state.outstanding).sum()
+        let excluded = self.states.iter().filter(|state| state.excluded);
+        excluded.map(|state| state.outstanding).sum()
     }
 
-    /// Whether the back end is leaving.
+    /// Returns whether the back end is leaving.
     #[must_use]
     pub fn is_leaving(&self, ix: Ix) -> bool {
         self.states[ix.index()].leaving
     }
 
-    /// Until when the back end is evicted, if it is.
+    /// Returns the end of the back end's eviction, if it is evicted.
     #[must_use]
     pub fn evicted_until(&self, ix: Ix, now: Time) -> Option<Time> {
-        self.states[ix.index()].evicted.filter(|until| now < *until)
+        self.states[ix.index()]
+            .evicted_until
+            .filter(|until| now < *until)
     }
 
-    /// Counts of the calls.
+    /// Returns the counters of the calls.
     #[must_use]
     pub fn gauge(&self) -> Gauge {
         self.gauge
     }
 
-    /// Adds a class of calls, with a profile of its own.
+    /// Adds a class of calls with a profile of its own.
     ///
     /// # Panics
     ///
-    /// There are 65,536 classes already.
+    /// Panics if there are 65,536 classes already.
     pub fn add_class(&mut self) -> Class {
         let class = Class(u16::try_from(self.profiles.len()).expect("fewer than 2^16 classes"));
         self.profiles.push(Profile::default());
         class
     }
 
-    /// Forgets what calls of a class took, so that another kind of calls can
-    /// have it.
+    /// Resets the profile of a class so that other calls can use it.
     pub fn reset_class(&mut self, class: Class) {
         self.profiles[class.index()] = Profile::default();
     }
 
-    /// Classes so far.
+    /// Returns the number of classes.
     #[must_use]
     pub fn classes(&self) -> usize {
         self.profiles.len()
     }
 
-    /// Adds a budget of extra calls that some shards draw on together.
+    /// Adds a budget of extra calls shared by a group of shards.
     ///
     /// # Panics
     ///
-    /// There are 2^32 budgets already.
-    pub fn add_purse(&mut self, purse: Purse) -> PurseId {
-        let id = PurseId(u32::try_from(self.purses.len()).expect("fewer than 2^32 budgets"));
-        self.purses.push(purse);
+    /// Panics if there are 2^32 budgets already.
+    pub fn add_purse(&mut self, budget: Purse) -> PurseId {
+        let id = PurseId(u32::try_from(self.budgets.len()).expect("fewer than 2^32 budgets"));
+        self.budgets.push(budget);
         id
     }
 
-    /// Changes a budget.
+    /// Returns a budget for modification.
     pub fn purse(&mut self, id: PurseId) -> &mut Purse {
-        &mut self.purses[id.0 as usize]
+        &mut self.budgets[id.0 as usize]
     }
 
-    /// What became of all budgets so far.
+    /// Returns the totals of all budgets.
     #[must_use]
     pub fn tally(&self) -> Tally {
-        let tallies = self.purses.iter().map(Purse::tally);
+        let tallies = self.budgets.iter().map(Purse::tally);
         tallies.fold(Tally::default(), Tally::add)
     }
 
-    /// Durations of recent calls of a class.
+    /// Returns the durations of recent calls of a class.
     #[must_use]
     pub fn profile(&self, class: Class) -> &Profile {
         &self.profiles[class.index()]
     }
 
-    /// Factor from a span of a class to the unit in which calls of all classes
-    /// are compared: with one class the nanosecond itself, with more the
-    /// class's median, so that a leaf that ran the long calls of one class
-    /// doesn't look slower than one that ran the short calls of another.
+    /// Returns the factor that scales a duration of `class` to the common unit: 1 with
+    /// a single class, otherwise based on the class's median. Without it, a leaf that
+    /// ran long calls of one class would look slower than one that ran short calls of
+    /// another.
     fn scale(&self, class: Class) -> f64 {
         if self.profiles.len() == 1 {
             return 1.0;
@@ -312,7 +333,7 @@
         }
     }
 
-    /// The span of a typical call in the common unit.
+    /// Returns the duration of a typical call in the common unit.
     pub(crate) fn typical(&self) -> f64 {
         if self.profiles.len() == 1 {
             self.profiles[0].calls.median().as_nanos() as f64
@@ -321,48 +342,48 @@
         }
     }
 
-    /// Evictions since the last call of this function.
+    /// Returns the evictions since the last call of this function.
     pub fn take_evictions(&mut self) -> Vec<Eviction> {
-        std::mem::take(&mut self.evicted)
+        std::mem::take(&mut self.new_evictions)
     }
 
-    /// All back ends.
+    /// Returns all back ends.
     pub fn backends(&self) -> impl Iterator<Item = (Ix, &Backend)> {
         self.index.iter().map(|(backend, ix)| (*ix, backend))
     }
 
-    /// Counts a call that is being sent.
+    /// Records that a call is sent.
     pub fn sent(&mut self, ix: Ix, now: Time) {
         self.states[ix.index()].outstanding += 1;
         self.note_call(ix, now);
     }
 
-    /// Takes an answer after `span` to a call of the first class.
+    /// Records an answer after `span` to a call of the first class.
     pub fn answered(&mut self, ix: Ix, span: Duration, now: Time) {
         self.answered_in(Class::default(), ix, span, now);
     }
 
-    /// Takes an answer after `span` to a call of `class`.
+    /// Records an answer after `span` to a call of `class`.
     pub fn answered_in(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
         let expected = self.expected_span(class, ix, now);
         let profile = &mut self.profiles[class.index()];
         profile.excess.record(span.saturating_sub(expected));
         profile.calls.record(span);
         self.damped.record(ix, span, now);
-        self.fit_window(class, ix, span, now);
+        self.adjust_window(class, ix, span, now);
         let scaled = span.mul_f64(self.scale(class));
         let state = &mut self.states[ix.index()];
         state.outstanding = state.outstanding.saturating_sub(1);
         state.estimate.record(scaled, now);
         state.points = 0;
         state.evictions = 0;
-        state.evicted = None;
-        state.stalled = Time::ZERO;
-        state.silent = None;
+        state.evicted_until = None;
+        state.stalled_until = Time::ZERO;
+        state.unanswered = None;
         state.faults.record(Verdict::Good, now);
     }
 
-    /// Takes the failure of a call.
+    /// Records the failure of a call.
     pub fn failed(&mut self, ix: Ix, failure: Failure, now: Time) {
         let state = &mut self.states[ix.index()];
         state.outstanding = state.outstanding.saturating_sub(1);
@@ -373,20 +394,19 @@
             Failure::Refused(Refusal::Draining) => state.leaving = true,
             Failure::Cut | Failure::Refused(Refusal::NoSnapshot | Refusal::Deadline) => {}
             Failure::Refused(refusal) => {
-                state.rest = now + REFUSED_REST;
+                state.backoff_until = now + REFUSAL_BACKOFF;
                 if refusal == Refusal::Shed {
-                    self.cut_for_refusal(ix, now);
+                    self.shrink_for_refusal(ix, now);
                 }
             }
             Failure::NotSent | Failure::Lost | Failure::Failed => {
-                self.count(POINTS_LOST, ix, failure, now);
+                self.add_points(POINTS_LOST, ix, failure, now);
             }
         }
     }
 
-    /// Takes a call that was cancelled unanswered after `span`. A back end
-    /// that lets calls run into cancellation one after the other is frozen or
-    /// silent, though it never fails a call by itself.
+    /// Records a call that was cancelled unanswered after `span`. Late cancellations
+    /// count as failures: a frozen or silent back end never fails a call by itself.
     pub fn cancelled(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
         let profile = &self.profiles[class.index()];
         let known = profile.calls.count() > 0;
@@ -396,77 +416,81 @@
         let state = &mut self.states[ix.index()];
         state.outstanding = state.outstanding.saturating_sub(1);
         state.estimate.record_at_least(scaled, now);
-        self.cut_if_late(class, ix, span, now);
+        self.shrink_if_late(class, ix, span, now);
         if span >= late && known {
-            self.count(POINTS_LATE, ix, Failure::Lost, now);
+            self.add_points(POINTS_LATE, ix, Failure::Lost, now);
         }
     }
 
-    /// Takes it that a call to `ix` is late enough for a hedge. Until the back
-    /// end answers a call, or for a while, others are preferred: a leaf that
-    /// pauses keeps every call that it is sent waiting for the whole pause.
+    /// Records that a call to `ix` is late enough for a hedge. Other back ends are
+    /// preferred until this one answers or the configured time passes: a paused leaf
+    /// delays all its calls until the pause ends.
     pub fn stalled(&mut self, ix: Ix, now: Time) {
-        let rest = self.config.stall;
+        let backoff = self.config.stall;
         let state = &mut self.states[ix.index()];
-        state.stalled = now + rest;
-        let (first, _) = state.silent.unwrap_or((now, now));
-        state.silent = Some((first, now));
+        state.stalled_until = now + backoff;
+        let (first, _) = state.unanswered.unwrap_or((now, now));
+        state.unanswered = Some((first, now));
     }
 
-    /// Whether a back end has let calls run late over a longer time than a
-    /// pause lasts, and answered none since.
+    /// Returns whether a back end is unavailable, or has let calls run late for longer
+    /// than a pause without answering any.
     #[must_use]
-    pub(crate) fn is_dark(&self, ix: Ix, now: Time) -> bool {
+    pub(crate) fn is_unresponsive(&self, ix: Ix, now: Time) -> bool {
         let state = &self.states[ix.index()];
-        let silent = state
-            .silent
-            .is_some_and(|(first, last)| last.since(first) >= DARK_SPAN);
+        let unanswered = state
+            .unanswered
+            .is_some_and(|(first, last)| last.since(first) >= UNRESPONSIVE_AFTER);
         let evicted = self.evicted_until(ix, now).is_some();
-        state.leaving || state.barred || silent || evicted || self.is_held_back(ix, now)
+        state.leaving || state.excluded || unanswered || evicted || self.is_held_back(ix, now)
     }
 
     /// Marks a back end as lacking a snapshot for a while.
     pub fn lacks(&mut self, ix: Ix, version: IndexVersion, now: Time) {
         let state = &mut self.states[ix.index()];
-        state.lacks.retain(|_, until| now < *until);
-        state.lacks.insert(version, now + LACK_REST);
+        state.missing.retain(|_, until| now < *until);
+        state.missing.insert(version, now + SNAPSHOT_BACKOFF);
     }
 
-    /// Whether a back end may be sent work of `version`, eviction apart.
+    /// Returns whether a back end may be sent work of `version`, regardless of
+    /// evictions.
     #[must_use]
     pub fn is_open(&self, ix: Ix, version: IndexVersion, now: Time) -> bool {
         let state = &self.states[ix.index()];
-        let lacking = state.lacks.get(&version).is_some_and(|until| now < *until);
-        !state.leaving && !state.barred && !lacking && !self.is_held_back(ix, now)
+        let lacking = state
+            .missing
+            .get(&version)
+            .is_some_and(|until| now < *until);
+        !state.leaving && !state.excluded && !lacking && !self.is_held_back(ix, now)
     }
 
-    /// Whether a back end rests after refusing a call.
+    /// Returns whether a back end is in backoff after a refused or late call.
     #[must_use]
     pub(crate) fn is_resting(&self, ix: Ix, now: Time) -> bool {
         let state = &self.states[ix.index()];
-        self.config.guard == Guard::On && (now < state.rest || now < state.stalled)
+        self.config.guard == Guard::On && (now < state.backoff_until || now < state.stalled_until)
     }
 
-    /// Whether it is not known that a back end is still there.
+    /// Returns whether a back end is suspected to be gone.
     #[must_use]
     pub(crate) fn is_doubted(&self, ix: Ix) -> bool {
-        self.states[ix.index()].doubted
+        self.states[ix.index()].suspected
     }
 
-    /// Expected nanoseconds of a call of `class`, from what calls took.
+    /// Returns the expected duration of a call of `class` in nanoseconds.
     #[must_use]
     pub fn expected(&self, class: Class, ix: Ix, now: Time) -> f64 {
         let estimate = &self.states[ix.index()].estimate;
         estimate.mean_at(now, self.typical()) / self.scale(class)
     }
 
-    /// [`Table::expected`] as a span.
+    /// Returns [`Table::expected`] as a duration.
     #[must_use]
     pub fn expected_span(&self, class: Class, ix: Ix, now: Time) -> Duration {
         Duration::from_nanos(self.expected(class, ix, now) as u64)
     }
 
-    /// Delay from the sending of a call of `class` to `ix` to its hedge.
+    /// Returns the delay between sending a call of `class` to `ix` and its hedge.
     #[must_use]
     pub(crate) fn hedge_delay(&self, class: Class, ix: Ix, now: Time) -> Option<Duration> {
         let expected = self.expected_span(class, ix, now);
@@ -475,21 +499,22 @@
         hedge.delay(expected, &profile.calls, &profile.excess)
     }
 
-    fn count(&mut self, points: u32, ix: Ix, failure: Failure, now: Time) {
+    /// Adds failure points to a back end and evicts it once it has too many.
+    fn add_points(&mut self, points: u32, ix: Ix, failure: Failure, now: Time) {
         if self.config.guard == Guard::Off {
             return;
         }
         let state = &mut self.states[ix.index()];
         state.points += points;
-        let evicted = state.evicted.is_some_and(|until| now < until);
-        if state.points < POINTS_MAX || evicted {
+        let evicted = state.evicted_until.is_some_and(|until| now < until);
+        if state.points < EVICT_POINTS || evicted {
             return;
         }
         let span = (EVICT_FIRST * 2u32.pow(state.evictions.min(8))).min(EVICT_MAX);
         state.evictions += 1;
-        state.evicted = Some(now + span);
+        state.evicted_until = Some(now + span);
         self.gauge.evictions += 1;
-        self.evicted.push(Eviction {
+        self.new_evictions.push(Eviction {
             backend: state.backend.clone(),
             span,
             failure,
--- a/crates/route/src/versions.rs
+++ b/crates/route/src/versions.rs
@@ -1,4 +1,7 @@
-//! Which snapshot a query pins.
+//! Selection of the snapshot that a query pins.
+//!
+//! A snapshot is one index version of a service. It consists of shards, each
+//! held by one or more back ends, its replicas.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,22 +9,22 @@
 
 use crate::{Ix, PurseId, Table};
 
-/// Index versions that are kept for pinning and for queries under way.
+/// Number of index versions kept for pinning and for queries in flight.
 const VERSIONS_KEPT: usize = 8;
 
 /// The back ends of one shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The shard.
+    /// Name of the shard.
     pub name: ShardName,
-    /// Back ends that hold it, or that hold leafs that do.
+    /// Back ends that hold the shard, or peers that call such leafs.
     pub replicas: Vec<Ix>,
-    /// Who pays for extra calls to it.
+    /// Budget that pays for extra calls to it.
     pub purse: PurseId,
 }
 
-/// The back ends of every shard of a snapshot. A query keeps the one that it
-/// pinned until its end.
+/// The back ends of every shard of a snapshot. A query uses the routes that it
+/// pinned until it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routes {
     /// The snapshot.
@@ -37,8 +40,8 @@
 }
 
 impl Versions {
-    /// Adds a version, or replaces the back ends of one that is known. The
-    /// oldest version goes when there are more than eight.
+    /// Adds a version or replaces its routes. The oldest version is dropped
+    /// when there are more than eight.
     pub fn insert(&mut self, routes: Routes) {
         let version = routes.snapshot.version;
         self.routes.insert(version, Arc::new(routes));
@@ -47,31 +50,33 @@
         }
     }
 
-    /// Drops the versions that `keep` refuses.
+    /// Drops the versions for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(IndexVersion) -> bool) {
         self.routes.retain(|version, _| keep(*version));
     }
 
-    /// The newest version of which every shard has an open back end. If there
-    /// is none, the newest of which most shards have one, so that a template
-    /// that takes partial answers still gets them.
+    /// Returns the newest version of which every shard has an open back end.
+    /// Without one, returns the version with the highest share of open shards
+    /// (the newest of equals), for templates that accept partial answers.
     #[must_use]
     pub fn pin(&self, table: &Table, now: Time) -> Option<Arc<Routes>> {
-        let whole = self
+        let complete = self
             .routes
             .values()
             .rev()
             .find(|routes| open_shards(routes, table, now) == routes.shards.len());
-        whole.cloned().or_else(|| self.widest(table, now))
+        complete
+            .cloned()
+            .or_else(|| self.highest_coverage(table, now))
     }
 
-    /// The routes of one version.
+    /// Returns the routes of one version.
     #[must_use]
     pub fn get(&self, version: IndexVersion) -> Option<Arc<Routes>> {
         self.routes.get(&version).cloned()
     }
 
-    fn widest(&self, table: &Table, now: Time) -> Option<Arc<Routes>> {
+    fn highest_coverage(&self, table: &Table, now: Time) -> Option<Arc<Routes>> {
         let share =
             |routes: &Routes| open_shards(routes, table, now) * 1000 / routes.shards.len().max(1);
         self.routes
