--- a/crates/route/tests/query_model.rs
+++ b/crates/route/tests/query_model.rs
@@ -1,4 +1,4 @@
-//! The query against a naive ledger of what may be merged.
+//! Model test of a query against a plain record of what may be merged.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,14 +13,15 @@
 const SHARDS: usize = 4;
 const REPLICAS: usize = 3;
 
-/// What happens next to some call of the query.
+/// An event for some call of the query.
 #[derive(Clone, Debug)]
 enum Step {
-    /// It answers the shards of a mask, from the pinned version or another.
+    /// The call answers the shards of a mask, for the pinned version or
+    /// another.
     Answer {
         call: usize,
         mask: u8,
-        stray: bool,
+        other_version: bool,
     },
     Fail {
         call: usize,
@@ -32,7 +33,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0usize..12, any::<u8>(), prop::bool::weighted(0.2))
-            .prop_map(|(call, mask, stray)| Step::Answer { call, mask, stray }),
+            .prop_map(|(call, mask, other_version)| Step::Answer { call, mask, other_version }),
         2 => (0usize..12, 0u8..6).prop_map(|(call, how)| Step::Fail { call, how }),
         2 => (0u16..40).prop_map(Step::Pass),
     ]
@@ -71,10 +72,10 @@
     })
 }
 
-/// What the naive version knows: which calls are live and what they asked,
-/// and which shards have answered.
+/// Reference model: the calls in flight, the shards they requested, and the
+/// shards that have answered.
 #[derive(Default)]
-struct Naive {
+struct Model {
     asked: BTreeMap<CallId, Vec<usize>>,
     live: BTreeMap<CallId, bool>,
     merged: [bool; SHARDS],
@@ -82,13 +83,13 @@
     open: usize,
 }
 
-impl Naive {
+impl Model {
     fn take(&mut self, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Call { call, shards, .. } => {
                     for shard in &shards {
-                        assert!(!self.merged[*shard], "a call for a shard that is done");
+                        assert!(!self.merged[*shard], "call for a shard already merged");
                     }
                     self.asked.insert(call, shards);
                     self.live.insert(call, true);
@@ -118,41 +119,41 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the calls do, the query merges exactly what the ledger does:
-    /// the pinned version's parts, of live calls, for shards they asked.
+    /// Guards against merging parts of another version, of ended calls, or of
+    /// shards that a call did not request.
     #[test]
-    fn coverage_is_what_was_merged(steps in prop::collection::vec(step(), 0..60), seed: u64) {
+    fn coverage_matches_the_merged_parts(steps in prop::collection::vec(step(), 0..60), seed: u64) {
         let mut table = Table::new(TableConfig::default());
         let routes = routes(&mut table);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut out = Vec::new();
         let mut now = Time::from_millis(100);
         let config = QueryConfig::new(Time::from_millis(400), Share::WHOLE);
-        let mut naive = Naive::default();
+        let mut model = Model::default();
         let mut cx = Context { table: &mut table, now, rng: &mut rng, out: &mut out };
         let mut query: Query<usize> = Query::start(routes.clone(), None, config, &mut cx);
-        naive.take(cx.out);
+        model.take(cx.out);
         for step in steps {
             cx.now = now;
             let over = query.end().is_some();
             match step {
-                Step::Answer { call, mask, stray } => {
+                Step::Answer { call, mask, other_version } => {
                     let id = CallId(call as u32);
                     let parts = (0..SHARDS).filter(|s| mask >> s & 1 == 1).map(|s| (s, s));
-                    let version = IndexVersion(if stray { 8 } else { 7 });
+                    let version = IndexVersion(if other_version { 8 } else { 7 });
                     query.answer(id, version, parts.collect(), &mut cx);
-                    if naive.end(id) && !over {
-                        naive.ran = true;
-                        for shard in naive.asked[&id].clone() {
-                            naive.merged[shard] |= !stray && mask >> shard & 1 == 1;
+                    if model.end(id) && !over {
+                        model.ran = true;
+                        for shard in model.asked[&id].clone() {
+                            model.merged[shard] |= !other_version && mask >> shard & 1 == 1;
                         }
                     }
                 }
                 Step::Fail { call, how } => {
                     let id = CallId(call as u32);
                     query.fail(id, failure(how), &mut cx);
-                    if naive.end(id) {
-                        naive.ran |= matches!(failure(how), Failure::Lost | Failure::Cut);
+                    if model.end(id) {
+                        model.ran |= matches!(failure(how), Failure::Lost | Failure::Cut);
                     }
                 }
                 Step::Pass(ms) => {
@@ -161,15 +162,15 @@
                     query.tick(&mut cx);
                 }
             }
-            naive.take(cx.out);
+            model.take(cx.out);
             let coverage = query.coverage();
-            prop_assert_eq!(coverage.answered, naive.merged.iter().filter(|m| **m).count());
-            prop_assert_eq!(coverage.is_complete(), naive.merged.iter().all(|m| *m));
+            prop_assert_eq!(coverage.answered, model.merged.iter().filter(|m| **m).count());
+            prop_assert_eq!(coverage.is_complete(), model.merged.iter().all(|m| *m));
             if query.not_run().is_some() {
-                prop_assert!(!naive.ran && naive.open == 0, "not run without proof");
+                prop_assert!(!model.ran && model.open == 0, "reported as not run without proof");
             }
             if query.end().is_some() {
-                prop_assert_eq!(naive.open, 0, "calls under way after the end");
+                prop_assert_eq!(model.open, 0, "calls in flight after the end");
             }
         }
         prop_assert!(query.calls() <= SHARDS * REPLICAS * 2);
--- a/crates/route/tests/regressions.rs
+++ b/crates/route/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! One test for each failure found, named after it.
+//! Regression tests of routing, budgets, limits and connection pools.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A query over one shard whose calls are answered by hand.
+/// A query over one shard whose calls the test answers.
 struct OneShard {
     table: Table,
     rng: ChaCha8Rng,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Passes an event to the query; returns what it asks for.
+    /// Passes an event to the query; returns the resulting actions.
     fn event(
         &mut self,
         now: Time,
@@ -94,10 +94,8 @@
     Time::from_millis(ms)
 }
 
-/// The caller waits for two delays instead of one.
-/// The hedge delay of the service rose a little between the sending of a call
-/// and the look at it; nothing was late by the new delay.
-/// The delay of a call is fixed when it is sent.
+/// Guards against postponing a hedge by a whole delay when the service's delay
+/// rises after the call was sent.
 #[test]
 fn a_rising_delay_does_not_postpone_a_hedge() {
     let mut table = Table::new(TableConfig::default());
@@ -116,10 +114,10 @@
     assert!(matches!(asked[..], [Action::Call { .. }]), "{asked:?}");
 }
 
-/// A shard whose replicas were all caught on silent connections is tried once
-/// more over new ones, instead of waiting for its deadline.
+/// Guards against a shard waiting for its deadline when all its replicas were
+/// called over silent connections: it is retried once over new ones.
 #[test]
-fn a_shard_cut_off_everywhere_is_tried_again() {
+fn a_shard_with_only_silent_connections_is_retried() {
     let mut table = Table::new(TableConfig::default());
     let replicas = leafs(&mut table, 1);
     let mut one = OneShard::start(table, replicas, at(1));
@@ -131,9 +129,9 @@
     assert!(matches!(asked[..], [Action::Call { .. }]), "{asked:?}");
 }
 
-/// A request that can't be finished ends at once, not at its deadline.
+/// Guards against a query that can't be completed waiting for its deadline.
 #[test]
-fn what_is_given_up_ends_at_once() {
+fn a_query_that_cannot_complete_ends_at_once() {
     let mut table = Table::new(TableConfig::default());
     let replicas = leafs(&mut table, 3);
     let mut one = OneShard::start(table, replicas, at(1));
@@ -149,8 +147,8 @@
     assert!(one.query.not_run().is_some());
 }
 
-/// The newest version is pinned only while each of its shards has a back end
-/// that is open for it.
+/// Guards against pinning a new version while one of its shards has no open
+/// back end.
 #[test]
 fn a_version_without_a_live_replica_is_not_pinned() {
     let mut table = Table::new(TableConfig::default());
@@ -164,7 +162,7 @@
     assert_eq!(pinned(&table), V1);
 }
 
-/// At most a third of a shard's replicas is passed over as evicted.
+/// Guards against evicting all replicas of a shard.
 #[test]
 fn eviction_never_empties_a_shard() {
     let mut table = Table::new(TableConfig::default());
@@ -191,8 +189,8 @@
     assert!(!table.take_evictions().is_empty());
 }
 
-/// No way of choosing ever takes a replica that is leaving, lacks the snapshot
-/// or was tried already.
+/// Guards against choosing a replica that is leaving, lacks the snapshot or was
+/// already tried.
 #[rstest]
 fn closed_replicas_are_never_chosen(
     #[values(
@@ -220,7 +218,8 @@
     }
 }
 
-/// Extra calls never pass their share of first calls, plus the burst.
+/// Guards against more extra calls than the share of first calls plus the
+/// burst.
 #[test]
 fn a_budget_bounds_extra_calls() {
     let mut budget = Budget::new(Share::from_permille(30), 10);
@@ -234,12 +233,10 @@
     assert!((30..=40).contains(&spent), "{spent}");
 }
 
-/// Callers are refused though the slots are idle.
-/// One request in ten waits for a straggler of fifteen times; the mean run time
-/// more than doubles, which looks like a full service; the limit falls to its
-/// least and requests wait at the entry until their deadlines.
+/// Guards against refusing callers while slots are idle: stragglers raise the
+/// mean duration, which must not be taken for saturation.
 #[test]
-fn stragglers_do_not_look_like_a_full_service() {
+fn stragglers_do_not_lower_the_concurrency_limit() {
     let mut limit = Limit::new(16);
     let mut seen = 0;
     for number in 0..4000u64 {
@@ -257,21 +254,21 @@
     assert!(seen >= 8, "{seen}");
 }
 
-/// An operator who sets a budget to 0% gets no extra calls, not the burst.
+/// Guards against a budget of 0% still allowing the burst.
 #[test]
-fn a_budget_of_nothing_allows_nothing() {
+fn a_zero_budget_allows_no_extra_calls() {
     let mut budget = Budget::new(Share::from_permille(0), 64);
     budget.earn(1000);
     assert!(!budget.spend());
 }
 
-/// A connection that carries calls and answers none is passed over for one
-/// opened beside it; one that answers a probe is kept.
+/// Guards against further use of a connection that answers no calls, and
+/// against closing it when it answers a probe.
 #[test]
-fn a_quiet_connection_is_avoided_but_not_condemned() {
+fn a_quiet_connection_is_avoided_but_kept_open() {
     let mut pool = Pool::new(1, 1);
     let Pick::Open(first) = pool.pick(at(0)) else {
-        panic!("nothing to open");
+        panic!("expected to open a connection");
     };
     pool.opened(first);
     pool.sent(first, at(0));
@@ -285,9 +282,10 @@
     assert_eq!(pool.len(), 2);
 }
 
-/// The shares of an organisation's limit at all entries add up to the limit.
+/// Guards against entries together admitting more or less than an
+/// organisation's limit.
 #[test]
-fn an_organisation_gets_its_limit_over_all_entries() {
+fn an_organisation_gets_its_limit_across_entries() {
     let limits = OrgLimits {
         rate: Rate(70),
         flight: 700,
@@ -306,12 +304,10 @@
     assert!((700..=800).contains(&passed), "{passed}");
 }
 
-/// Queries wait for busy replicas while a sound one idles.
-/// Single calls straggle, a few in a hundred. A table that is not told that its
-/// back ends pause as a whole goes on using one after a late call; with a rest
-/// of 250 ms p99 rose from 29 to 41 ms.
+/// Guards against avoiding a healthy back end after a single straggler. Only a
+/// table configured for back ends that pause avoids one after a late call.
 #[test]
-fn one_late_call_does_not_idle_its_back_end() {
+fn one_late_call_does_not_exclude_its_back_end() {
     let chosen = |stall| {
         let config = TableConfig {
             stall,
@@ -329,12 +325,10 @@
     assert!(!chosen(Duration::from_millis(250)));
 }
 
-/// A leaf that leaves gets calls although two others serve.
-/// Both of those rest for a moment, one after a refusal and one after a late
-/// call, and all three looked equally unfit. One that rests goes before one
-/// that is leaving.
+/// Guards against calling a suspected back end while others are merely in
+/// backoff after a refused or late call.
 #[test]
-fn a_resting_back_end_goes_before_a_leaving_one() {
+fn a_back_end_in_backoff_is_preferred_to_a_suspected_one() {
     let config = TableConfig {
         stall: Duration::from_millis(250),
         ..TableConfig::default()
@@ -355,15 +349,15 @@
     assert_eq!(chosen, Some(replicas[0]));
 }
 
-/// Bytes between failure domains are paid for, and calls across them take
-/// longer; but a domain that is busy must not be the only one that is called.
+/// Guards against traffic between failure domains without need, and against
+/// overloading the local domain to avoid it.
 #[rstest]
 #[case::idle(0, true)]
 #[case::one_call(1, true)]
 #[case::two_calls(2, false)]
-fn a_near_back_end_is_preferred_until_two_calls_are_under_way(
+fn a_local_back_end_is_preferred_until_two_calls_are_in_flight(
     #[case] calls: u32,
-    #[case] near: bool,
+    #[case] local: bool,
 ) {
     let config = TableConfig {
         choice: Choice::Predicted,
@@ -379,13 +373,11 @@
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let chosen = choose_replica(&mut table, &replicas, &[], V1, at(1), &mut rng);
-        assert_eq!(chosen == Some(replicas[0]), near);
+        assert_eq!(chosen == Some(replicas[0]), local);
     }
 }
 
-/// A holder that is full gets many calls where it had refused one.
-/// One call asks it for several shards; it sheds the call, and after a rest the
-/// shards are asked for again, in one call as before.
+/// Guards against one shed call for several shards being retried as many calls.
 #[test]
 fn shards_that_were_shed_together_are_called_together() {
     let mut table = Table::new(TableConfig::default());
@@ -412,10 +404,8 @@
     assert_eq!(shards.len(), 2);
 }
 
-/// Calls go to a leaf that refuses most of them while a sound one has room.
-/// The sound leaf is in another failure domain and has two calls of this entry
-/// under way; the near one refuses three calls of five at random. A call that
-/// waits a little for the sound leaf is better than one that fails.
+/// Guards against preferring a local leaf that refuses most calls to a busy
+/// healthy one in another failure domain.
 #[test]
 fn a_leaf_that_refuses_most_calls_is_worse_than_a_busy_one() {
     let config = TableConfig {
@@ -427,24 +417,24 @@
         let leaf = LeafId::new(name).unwrap();
         table.add(Backend::Leaf(leaf), 2, Time::ZERO)
     };
-    let (near, far) = (add("near"), add("far"));
-    table.set_far(far, true);
+    let (local, remote) = (add("local"), add("remote"));
+    table.set_far(remote, true);
     let call = Duration::from_millis(11);
     let mut now = Time::ZERO;
     for n in 0..100 {
         now = now + Duration::from_millis(30);
-        table.sent(near, now);
+        table.sent(local, now);
         match n % 5 {
-            0..=2 => table.failed(near, Failure::Refused(Refusal::Shed), now),
-            _ => table.answered(near, call, now),
+            0..=2 => table.failed(local, Failure::Refused(Refusal::Shed), now),
+            _ => table.answered(local, call, now),
         }
-        table.sent(far, now);
-        table.answered(far, call, now);
+        table.sent(remote, now);
+        table.answered(remote, call, now);
     }
     now = now + Duration::from_millis(30);
-    table.sent(far, now);
-    table.sent(far, now);
+    table.sent(remote, now);
+    table.sent(remote, now);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let chosen = choose_replica(&mut table, &[near, far], &[], V1, now, &mut rng);
-    assert_eq!(chosen, Some(far));
+    let chosen = choose_replica(&mut table, &[local, remote], &[], V1, now, &mut rng);
+    assert_eq!(chosen, Some(remote));
 }
--- a/crates/route/tests/scarce.rs
+++ b/crates/route/tests/scarce.rs
@@ -1,4 +1,4 @@
-//! What callers get when most calls are refused and few may be made again.
+//! Spending of a small extra-call budget while targets refuse most calls.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,25 +18,25 @@
 const VERSION: IndexVersion = IndexVersion(0);
 const SHARDS: usize = 10;
 const REPLICAS: usize = 3;
-const GOAL: Duration = Duration::from_millis(90);
+const OBJECTIVE: Duration = Duration::from_millis(90);
 const DEADLINE: Duration = Duration::from_millis(600);
-/// Time of a call that runs, and of one that is refused.
-const RUNS: Duration = Duration::from_millis(11);
-const REFUSED: Duration = Duration::from_millis(2);
+/// Durations of an executed call and of a refused one.
+const RUN_TIME: Duration = Duration::from_millis(11);
+const REFUSAL_TIME: Duration = Duration::from_millis(2);
 const WINDOW: Duration = Duration::from_secs(10);
-/// Time between two queries: 30 a second, the part of one entry of six.
-const GAP: Duration = Duration::from_millis(33);
+/// Time between two queries: one entry's share of the load.
+const INTERVAL: Duration = Duration::from_millis(33);
 const QUERIES: usize = 600;
 
-/// The budget of each shard's service: a fifth of the requests, and the part of
-/// one entry of six of 52 calls in ten seconds.
-fn purse() -> Purse {
+/// Budget of one shard's service: a share of the first calls plus one entry's share of
+/// the slack.
+fn shard_budget() -> Purse {
     let mut budget = Budget::empty(Share::from_permille(200), 1);
     budget.set_slack(52.0 / 6.0, WINDOW);
     Purse::Joint(budget)
 }
 
-/// A table, and shards with a budget each.
+/// Creates a table and shards with a budget each.
 fn shards() -> (Table, Arc<Routes>) {
     let mut table = Table::new(TableConfig::default());
     let shards = (0..SHARDS).map(|shard| Route {
@@ -47,7 +47,7 @@
                 table.add(Backend::Leaf(leaf), 2, Time::ZERO)
             })
             .collect(),
-        purse: table.add_purse(purse()),
+        purse: table.add_purse(shard_budget()),
     });
     let shards = shards.collect();
     let snapshot = Snapshot {
@@ -57,27 +57,27 @@
     (table, Arc::new(Routes { snapshot, shards }))
 }
 
-/// The end of a call, when it comes.
-struct Ending {
+/// The end of a call.
+struct CallEnd {
     query: usize,
     call: CallId,
     shard: usize,
     refused: bool,
 }
 
-struct World {
+struct Simulation {
     table: Table,
     routes: Arc<Routes>,
     rng: ChaCha8Rng,
-    /// Part of the calls that leafs refuse at random.
+    /// Probability that a leaf refuses a call.
     refuse: f64,
     queries: BTreeMap<usize, (Query<()>, Time)>,
-    endings: BTreeMap<(Time, u64), Ending>,
+    call_ends: BTreeMap<(Time, u64), CallEnd>,
     calls: u64,
     credit: f64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, refuse: f64) -> Self {
         let (table, routes) = shards();
         Self {
@@ -86,15 +86,15 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             refuse,
             queries: BTreeMap::new(),
-            endings: BTreeMap::new(),
+            call_ends: BTreeMap::new(),
             calls: 0,
             credit: 0.0,
         }
     }
 
-    fn begin(&mut self, number: usize, least: Share, now: Time) {
+    fn start_query(&mut self, number: usize, least: Share, now: Time) {
         let config = QueryConfig {
-            goal: now + GOAL,
+            goal: now + OBJECTIVE,
             ..QueryConfig::new(now + DEADLINE, least)
         };
         let mut out = Vec::new();
@@ -106,7 +106,7 @@
         };
         let query = Query::start(self.routes.clone(), None, config, &mut cx);
         self.queries.insert(number, (query, now));
-        self.perform(number, out, now);
+        self.apply(number, out, now);
     }
 
     fn event(
@@ -126,54 +126,55 @@
             out: &mut out,
         };
         event(query, &mut cx);
-        self.perform(number, out, now);
+        self.apply(number, out, now);
     }
 
-    /// Makes the calls that a query asks for, and takes its end.
-    fn perform(&mut self, number: usize, out: Vec<Action>, now: Time) {
+    /// Schedules the calls that a query requests, and removes the query if it has
+    /// ended.
+    fn apply(&mut self, number: usize, out: Vec<Action>, now: Time) {
         for action in out {
             let Action::Call { call, shards, .. } = action else {
                 continue;
             };
             let refused = self.rng.random_bool(self.refuse);
-            let at = now + if refused { REFUSED } else { RUNS };
-            let ending = Ending {
+            let at = now + if refused { REFUSAL_TIME } else { RUN_TIME };
+            let call_end = CallEnd {
                 query: number,
                 call,
                 shard: shards[0],
                 refused,
             };
             self.calls += 1;
-            self.endings.insert((at, self.calls), ending);
+            self.call_ends.insert((at, self.calls), call_end);
         }
         let query = self.queries.get(&number);
         if query.is_some_and(|(query, _)| query.end().is_some()) {
             let (query, start) = self.queries.remove(&number).expect("just seen");
-            self.account(&query, now.since(start));
+            self.add_credit(&query, now.since(start));
         }
     }
 
-    /// Credits an answer that covers the least share and comes in time with the
-    /// square of what it covers.
-    fn account(&mut self, query: &Query<()>, span: Duration) {
+    /// Adds the square of the coverage for an answer in time that has the minimum
+    /// coverage.
+    fn add_credit(&mut self, query: &Query<()>, span: Duration) {
         let answered = query.coverage().answered;
-        if answered * 10 >= SHARDS * 9 && span <= GOAL {
+        if answered * 10 >= SHARDS * 9 && span <= OBJECTIVE {
             self.credit += (answered as f64 / SHARDS as f64).powi(2);
         }
     }
 
-    /// Plays all that comes until `until`.
-    fn play(&mut self, until: Time) {
+    /// Processes all events up to `until`.
+    fn run_until(&mut self, until: Time) {
         loop {
-            let ending = self.endings.keys().next().map(|(at, _)| *at);
+            let call_end = self.call_ends.keys().next().map(|(at, _)| *at);
             let wake = self.queries.values().map(|(query, _)| query.wake()).min();
-            let next = ending.unwrap_or(Time::MAX).min(wake.unwrap_or(Time::MAX));
+            let next = call_end.unwrap_or(Time::MAX).min(wake.unwrap_or(Time::MAX));
             if next > until {
                 return;
             }
-            if ending == Some(next) {
-                let (_, ending) = self.endings.pop_first().expect("just seen");
-                self.end(ending, next);
+            if call_end == Some(next) {
+                let (_, call_end) = self.call_ends.pop_first().expect("just seen");
+                self.end(call_end, next);
                 continue;
             }
             let due: VecDeque<usize> = self.queries.keys().copied().collect();
@@ -189,51 +190,46 @@
         }
     }
 
-    fn end(&mut self, ending: Ending, now: Time) {
-        let Ending { query, call, .. } = ending;
-        match ending.refused {
+    fn end(&mut self, call_end: CallEnd, now: Time) {
+        let CallEnd { query, call, .. } = call_end;
+        match call_end.refused {
             true => self.event(query, now, |query, cx| {
                 query.fail(call, Failure::Refused(Refusal::Shed), cx);
             }),
             false => self.event(query, now, |query, cx| {
-                query.answer(call, VERSION, vec![(ending.shard, ())], cx);
+                query.answer(call, VERSION, vec![(call_end.shard, ())], cx);
             }),
         }
     }
 }
 
-/// The mean credit of a query over ten shards, of which nine must be in.
+/// Returns the mean credit of queries over ten shards with a minimum coverage of nine.
 fn credit(seed: u64, refuse: f64) -> f64 {
-    let mut world = World::new(seed, refuse);
+    let mut simulation = Simulation::new(seed, refuse);
     for number in 0..QUERIES {
-        let now = Time::ZERO + GAP * number as u32;
-        world.play(now);
-        world.begin(number, Share::from_permille(890), now);
+        let now = Time::ZERO + INTERVAL * number as u32;
+        simulation.run_until(now);
+        simulation.start_query(number, Share::from_permille(890), now);
     }
-    world.play(Time::ZERO + GAP * QUERIES as u32 + DEADLINE);
-    world.credit / QUERIES as f64
+    simulation.run_until(Time::ZERO + INTERVAL * QUERIES as u32 + DEADLINE);
+    simulation.credit / QUERIES as f64
 }
 
-/// Hardly a request is answered, though one extra call for each of five first ones
-/// is made.
-/// Leafs refuse part of their calls at random, so that most queries lack several
-/// shards. Spent on whoever came first, the extra calls went to queries that
-/// stayed below their least share all the same: at 30% refused the mean credit
-/// was 0.44, at 45% 0.11. Where those that complete an answer come first it is
-/// 0.59 and 0.20 (mean of five seeds, 600 queries each).
+/// Guards against spending a scarce budget on queries that stay below their minimum
+/// coverage anyway.
 #[rstest]
 #[case::none(0.0, 0.99)]
 #[case::a_third(0.3, 0.54)]
 #[case::nearly_half(0.45, 0.17)]
-fn extra_calls_go_where_they_complete_an_answer(#[case] refuse: f64, #[case] least: f64) {
+fn extra_calls_prefer_answers_they_complete(#[case] refuse: f64, #[case] least: f64) {
     let mean = (1..=5).map(|seed| credit(seed, refuse)).sum::<f64>() / 5.0;
     assert!(mean >= least, "{mean:.3} at {refuse}");
 }
 
-/// A caller that has waited too long already takes no extra call from one that
-/// can still be answered in time, as long as few are left.
+/// Guards against a query that is late anyway taking the last extra calls from those
+/// still in time.
 #[test]
-fn a_late_query_leaves_scarce_calls_to_others() {
+fn a_late_query_gets_no_extra_call_from_a_low_budget() {
     let (mut table, routes) = shards();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut out = Vec::new();
@@ -246,15 +242,16 @@
             out: &mut out,
         };
         let config = QueryConfig {
-            goal: now + GOAL,
+            goal: now + OBJECTIVE,
             prospect,
             ..QueryConfig::new(now + DEADLINE, Share::from_permille(890))
         };
-        // The budget of the first shard: not quite three calls, of four that it holds.
+        // Budget of the first shard: not quite three of the four calls that it can
+        // save.
         *cx.table.purse(routes.shards[0].purse) = {
-            let mut purse = purse();
-            purse.earn(11);
-            purse
+            let mut budget = shard_budget();
+            budget.earn(11);
+            budget
         };
         let mut query: Query<()> = Query::start(routes.clone(), None, config, &mut cx);
         let calls: Vec<CallId> = cx
@@ -277,16 +274,13 @@
     assert!(!retried(Prospect::Late));
 }
 
-/// A caller waits until its goal for a failure that was all but sure after two
-/// milliseconds, and its second try is late then.
-/// Two shards that the answer needs were refused, and no extra call is left: the
-/// query ends while the caller can come back in time. With one such shard it
-/// waits, as what the others did is worth keeping.
+/// Guards against a query waiting for several unpaid shards until its caller's retry is
+/// late too. For one such shard it waits, to keep the other shards' work.
 #[rstest]
 #[case::one(1, false)]
 #[case::two(2, true)]
 #[case::three(3, true)]
-fn what_lacks_several_shards_fails_while_the_caller_can_return(
+fn a_query_lacking_several_shards_ends_while_the_caller_can_retry(
     #[case] refused: usize,
     #[case] ends: bool,
 ) {
@@ -301,7 +295,7 @@
         out: &mut out,
     };
     let config = QueryConfig {
-        goal: start + GOAL,
+        goal: start + OBJECTIVE,
         ..QueryConfig::new(start + DEADLINE, Share::WHOLE)
     };
     let mut query: Query<()> = Query::start(routes, None, config, &mut cx);
@@ -313,13 +307,13 @@
             Action::Cancel(_) => None,
         })
         .collect();
-    cx.now = start + REFUSED;
+    cx.now = start + REFUSAL_TIME;
     for call in &calls[..refused] {
         query.fail(*call, Failure::Refused(Refusal::Shed), &mut cx);
     }
-    // After a rest, in which a slot may come free, they are looked at once more.
+    // After a backoff, in which a slot may be freed, they are checked once more.
     cx.now = query.wake();
     query.tick(&mut cx);
     assert_eq!(query.end().is_some(), ends, "{:?}", query.end());
-    assert!(cx.now < start + GOAL / 4);
+    assert!(cx.now < start + OBJECTIVE / 4);
 }
