--- a/crates/route/src/query/wait.rs
+++ b/crates/route/src/query/wait.rs
@@ -85,7 +85,7 @@
         order.into_iter().partition(|position| {
             let needed = available == 0 || !self.has_min_coverage(available);
             let replicas = &route(*position).replicas;
-            available += usize::from(cx.table.any_capacity(replicas, version, cx.now));
+            available += usize::from(cx.table.any_free(replicas, version, cx.now));
             needed || demand(position) == 0
         })
     }
@@ -95,10 +95,7 @@
         let version = self.version();
         let routes = self.shards.iter().map(|s| s.route);
         let route = |number: usize| &self.routes.shards[number];
-        let has_capacity = |number| {
-            cx.table
-                .any_capacity(&route(number).replicas, version, cx.now)
-        };
+        let has_capacity = |number| cx.table.any_free(&route(number).replicas, version, cx.now);
         let full: Vec<usize> = routes.filter(|number| !has_capacity(*number)).collect();
         let available = self.shards.len() - full.len();
         let needed = (1..=full.len()).find(|more| self.has_min_coverage(available + more));
--- a/crates/route/src/room.rs
+++ b/crates/route/src/room.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether any of `replicas` can be called now.
-    pub(crate) fn any_capacity(&self, replicas: &[Ix], version: IndexVersion, now: Time) -> bool {
+    pub(crate) fn any_free(&self, replicas: &[Ix], version: IndexVersion, now: Time) -> bool {
         // Fast path: a healthy replica usually has capacity, and sorting the
         // replicas into tiers for every shard of every query is expensive.
         let healthy = |ix: &&Ix| {
