--- a/crates/relay/src/adverts.rs
+++ b/crates/relay/src/adverts.rs
@@ -1,4 +1,4 @@
-//! What entries leave in the store to find each other.
+//! Discovery of other entries through seeds and through adverts in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,42 +15,41 @@
     shared::Shared,
 };
 
-/// What an entry leaves in the store so that others find it.
+/// The address record that an entry publishes in the store for other entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advert {
-    /// Its name.
+    /// The entry's member name.
     pub member: MemberId,
-    /// Its failure domain.
+    /// The entry's failure domain.
     pub domain: DomainName,
-    /// Where it listens.
+    /// The addresses that the entry listens on.
     pub addresses: Addresses,
 }
 
-/// The port to the adverts.
+/// The port to the adverts in the store.
 pub trait Adverts: std::marker::Send + Sync {
-    /// Reads all adverts.
+    /// Reads all adverts, as fresh as `freshness` asks.
     fn list(&self, freshness: Freshness) -> BoxFuture<'_, Result<Vec<Advert>, FeedError>>;
 
-    /// Writes the advert of this entry, whatever stood there before.
+    /// Writes the advert of this entry, replacing any earlier one.
     fn publish(&self, advert: Advert) -> BoxFuture<'_, Result<(), FeedError>>;
 
-    /// Removes the advert of an entry that is gone.
+    /// Removes the advert of an entry that has left the membership.
     fn remove(&self, member: MemberId) -> BoxFuture<'_, Result<(), FeedError>>;
 }
 
-/// Wait for the answers of the seeds.
-const ANSWER: Duration = Duration::from_millis(100);
-/// Rest while this entry knows nobody, or its advert is not written.
-const REST: Duration = Duration::from_millis(700);
-/// Time between two readings of all adverts. Probes spread the news of members;
-/// the adverts only join groups that lost each other, so a stale copy, which
-/// costs the store little, is enough.
-const AGAIN: Duration = Duration::from_secs(20);
-/// Finds the members, and keeps finding those that the probes lost.
+/// Wait for the seeds to answer join requests.
+const SEED_WAIT: Duration = Duration::from_millis(100);
+/// Retry interval while this entry knows no other, or its advert is not written.
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval between reads of all adverts. Gossip propagates membership; adverts only
+/// rejoin partitioned groups, so a stale read, which is cheap for the store, is enough.
+const READ_INTERVAL: Duration = Duration::from_secs(20);
+/// Discovers other members for as long as the entry runs, including those that gossip
+/// lost.
 ///
-/// Seeds are asked first, as they cost nothing. The adverts in the store are
-/// for entries whose seeds are all gone: those that watch the store keep theirs
-/// there, and whoever knows nobody reads them.
+/// Seeds are asked first, which needs no call to the store. Entries that watch the
+/// store publish adverts there, for entries that can reach no seed and know no member.
 pub(crate) async fn find(shared: Arc<Shared>, members: Arc<Members>, adverts: Arc<dyn Adverts>) {
     if !serves(&shared).await {
         return;
@@ -64,7 +63,7 @@
     let mut published = false;
     loop {
         members.knock(&shared).await;
-        sleep(ANSWER).await;
+        sleep(SEED_WAIT).await;
         let alone = members.count() <= 1;
         let watches = *shared.upstream.borrow() == Some(Upstream::Store);
         if alone || watches {
@@ -75,7 +74,7 @@
                     share(&shared, &members);
                     published |= list.contains(&own);
                     if published {
-                        sweep(&shared, &members, &list, &*adverts).await;
+                        remove_gone(&shared, &members, &list, &*adverts).await;
                     }
                 }
                 Err(error) => {
@@ -87,10 +86,16 @@
             published = publish(&shared, &own, &*adverts).await;
         }
         let settled = members.count() > 1 && (published || !watches);
-        sleep(if settled { AGAIN } else { REST }).await;
+        sleep(if settled {
+            READ_INTERVAL
+        } else {
+            RETRY_INTERVAL
+        })
+        .await;
     }
 }
 
+/// Writes this entry's advert; returns whether that succeeded.
 async fn publish(shared: &Shared, own: &Advert, adverts: &dyn Adverts) -> bool {
     shared.metrics.count_store("publish");
     match adverts.publish(own.clone()).await {
@@ -102,8 +107,8 @@
     }
 }
 
-/// Removes the adverts of members that are gone.
-async fn sweep(shared: &Shared, members: &Members, list: &[Advert], adverts: &dyn Adverts) {
+/// Removes the adverts of members that have left.
+async fn remove_gone(shared: &Shared, members: &Members, list: &[Advert], adverts: &dyn Adverts) {
     let gone = members.gone_of(shared, list);
     for member in gone {
         info!(
--- a/crates/relay/src/allot.rs
+++ b/crates/relay/src/allot.rs
@@ -1,4 +1,4 @@
-//! What one entry may use of what all share.
+//! This entry's quota of the extra calls and leaf connections that all entries share.
 
 use std::time::Duration;
 
@@ -6,37 +6,38 @@
 
 use crate::ExtraCalls;
 
-/// Whether callers are sent to this entry.
+/// Whether the directory sends callers to this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// They are.
+    /// A serving entry: callers are sent to it.
     Carrier,
-    /// They are not; some still come.
+    /// Not a serving entry; callers that connected earlier may still use it.
     Other,
 }
 
-/// Part of the slack of extra calls that is divided among the carriers when
-/// there are other entries too. The rest is for those: they see few requests.
-const CARRIERS_SLACK: f64 = 0.8;
-/// Most of a leaf's connections that are left to entries that carry nothing,
-/// one each, as a part of all.
-const OTHERS_CONNECTIONS: usize = 2;
+/// Share of the extra-call slack that the serving entries divide when there are
+/// others too. The others see few requests and divide the remainder.
+const SERVING_SLACK_SHARE: f64 = 0.8;
+/// Other entries get one connection each, in all at most a leaf's connections divided by
+/// this.
+const NON_SERVING_DIVISOR: usize = 2;
 
-/// How many entries share the extra calls and the leafs' connections.
+/// The entries that share the extra-call budget and the leafs' connections.
+///
+/// An extra call is a hedge or a retry: any call after the first of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allotment {
-    /// Entries that callers are sent to.
+    /// Number of serving entries.
     pub carriers: usize,
-    /// All other entries.
+    /// Number of all other entries.
     pub others: usize,
-    /// Which of them this one is.
+    /// The group that this entry belongs to.
     pub part: Part,
 }
 
 impl Allotment {
-    /// While the others are not known yet. Too many only leaves some unused for
-    /// the first moments; too few would let a group that starts together go
-    /// beyond its bounds.
+    /// Returns the quota to use until the other entries are known. It assumes many:
+    /// with too few, entries that start together would exceed the shared bounds.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Extra calls that may be saved up here, so that all entries together stay
-    /// within the slack.
+    /// Returns how many extra calls this entry may accumulate, so that all entries
+    /// together stay within the slack.
     #[must_use]
     pub fn slack(&self, extra: &ExtraCalls) -> f64 {
         let carriers = self.carriers.max(1) as f64;
@@ -55,16 +56,16 @@
             return extra.slack / carriers;
         }
         match self.part {
-            Part::Carrier => extra.slack * CARRIERS_SLACK / carriers,
-            Part::Other => extra.slack * (1.0 - CARRIERS_SLACK) / self.others as f64,
+            Part::Carrier => extra.slack * SERVING_SLACK_SHARE / carriers,
+            Part::Other => extra.slack * (1.0 - SERVING_SLACK_SHARE) / self.others as f64,
         }
     }
 
-    /// Connections that may be open from here to a leaf that takes `most` from
-    /// all entries together.
+    /// Returns how many connections this entry may open to a leaf that accepts `most`
+    /// from all entries together; at least one.
     #[must_use]
     pub fn connections(&self, most: usize) -> usize {
-        let others = self.others.min(most / OTHERS_CONNECTIONS);
+        let others = self.others.min(most / NON_SERVING_DIVISOR);
         match self.part {
             Part::Carrier => ((most - others) / self.carriers.max(1)).max(1),
             Part::Other => 1,
@@ -72,45 +73,46 @@
     }
 }
 
-/// A rate of events, over the last seconds.
+/// An exponentially weighted moving average of an event rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
-    span: Duration,
+    time_constant: Duration,
     rate: f64,
     count: u64,
-    at: Time,
+    updated: Time,
 }
 
-/// Time over which the rate is taken.
-const RATE_SPAN: Duration = Duration::from_secs(2);
+/// Default time constant of the average.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 impl Default for Rate {
     fn default() -> Self {
-        Self::over(RATE_SPAN)
+        Self::over(RATE_TIME_CONSTANT)
     }
 }
 
 impl Rate {
-    /// A rate over about `span`.
+    /// Returns a rate of zero that is averaged with the time constant `time_constant`.
     #[must_use]
-    pub fn over(span: Duration) -> Self {
+    pub fn over(time_constant: Duration) -> Self {
         Self {
-            span,
+            time_constant,
             rate: 0.0,
             count: 0,
-            at: Time::ZERO,
+            updated: Time::ZERO,
         }
     }
 
-    /// Takes the count of events so far; returns events a second.
+    /// Records the total count of events so far and returns the average in events per
+    /// second.
     pub fn take(&mut self, count: u64, now: Time) -> u32 {
-        let span = now.since(self.at).as_secs_f64();
-        if span > 0.0 {
-            let seen = count.saturating_sub(self.count) as f64 / span;
-            let weight = 1.0 - (-span / self.span.as_secs_f64()).exp();
-            self.rate += weight * (seen - self.rate);
+        let elapsed = now.since(self.updated).as_secs_f64();
+        if elapsed > 0.0 {
+            let sample = count.saturating_sub(self.count) as f64 / elapsed;
+            let weight = 1.0 - (-elapsed / self.time_constant.as_secs_f64()).exp();
+            self.rate += weight * (sample - self.rate);
             self.count = count;
-            self.at = now;
+            self.updated = now;
         }
         self.rate as u32
     }
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -1,131 +1,135 @@
-//! What callers spend outside of this entry.
+//! Estimates of the time that requests spend outside this entry, before they arrive and
+//! after the answer is sent.
 
 use std::time::Duration;
 
 use chestnut_route::Quantiles;
 use chestnut_unit::Time;
 
-/// Longest way that is believed, and the one while nothing is known of callers: four
-/// round trips of 6 ms, to ask where to connect, to connect and to be served, and
-/// the delay of timers.
-const WAY_MAX: Duration = Duration::from_millis(26);
-/// Delay of timers, here and at the caller.
-const TIMERS: Duration = Duration::from_millis(3);
-/// Quantile of the time that ending an answer takes which is kept for it.
+/// Upper limit of the estimated network delay to the caller and back, and the default
+/// before there are samples: lookup, connection and request, with timer delay.
+const MAX_NETWORK_DELAY: Duration = Duration::from_millis(26);
+/// Timer delay, here and at the caller.
+const TIMER_DELAY: Duration = Duration::from_millis(3);
+/// Quantile of the overruns that is reserved for completing an answer.
 const OVERRUN_QUANTILE: f64 = 0.75;
-/// Longest such time that is believed: answers that lack their least share at the goal
-/// go out whenever that is in.
-const OVERRUN_MAX: Duration = Duration::from_millis(20);
-/// Callers with a new connection that must have come before their way is known.
-const SAMPLES_NEEDED: u64 = 8;
-/// Quantile of what they spent before that is taken for the way to a caller and back.
-/// Those that come after a failure have spent much more, and may be most for a
-/// while; those that connect have spent from one round trip to three.
-const QUANTILE: f64 = 0.25;
+/// Longer overruns are ignored: an answer below its minimum coverage at the objective
+/// is sent only once it reaches it.
+const MAX_OVERRUN: Duration = Duration::from_millis(20);
+/// Samples that an estimate needs before it replaces its default.
+const MIN_SAMPLES: u64 = 8;
+/// Quantile of the elapsed times that estimates the network delay to a caller and back.
+/// It is low because callers that retry after a failure have spent much longer.
+const ELAPSED_QUANTILE: f64 = 0.25;
 
-/// Most that the longest time seen may be below a rule's timeout for callers to be
-/// taken to begin with the timeout: what they spend before they reach an entry.
-const TIMEOUT_NEAR: Duration = WAY_MAX;
+/// If the greatest remaining time seen is within this of the rule's timeout, callers
+/// are assumed to start with the full timeout.
+const TIMEOUT_TOLERANCE: Duration = MAX_NETWORK_DELAY;
 
-/// How long the longest time that callers gave is remembered, at least.
-const REMEMBERED: Duration = Duration::from_secs(15);
+/// Interval at which the maximum rotates; each value is kept for at least this long.
+const ROTATION_INTERVAL: Duration = Duration::from_secs(15);
 
-/// The longest time that callers of one rule gave, lately.
+/// The greatest remaining time that callers of one rule sent recently.
+///
+/// It is the maximum over the current and the previous rotation interval.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Longest {
-    before: Duration,
-    now: Duration,
-    turned: Time,
+pub(crate) struct MaxRemaining {
+    previous: Duration,
+    current: Duration,
+    rotated: Time,
 }
 
-impl Longest {
-    /// Takes the time that a caller of a rule with `timeout` gives; returns what it has
-    /// spent already: the first try of a call gives all of its time, and one that has
-    /// asked where to connect, or has failed elsewhere, gives what is left.
+impl MaxRemaining {
+    /// Records the remaining time that a caller of a rule with `timeout` sent and returns
+    /// the time that it has already spent.
     ///
-    /// An entry that few callers visit may not have seen a first try. Where all have
-    /// given a little less than the operator's timeout, they began with that.
-    fn spent(&mut self, left: Duration, timeout: Duration, now: Time) -> Duration {
-        if now.since(self.turned) >= REMEMBERED {
-            self.before = self.now;
-            self.now = Duration::ZERO;
-            self.turned = now;
+    /// A first attempt sends the caller's whole timeout; one after a directory lookup or
+    /// a failure elsewhere sends less. An entry with few callers may see no first attempt,
+    /// so a maximum slightly below `timeout` counts as `timeout`.
+    fn elapsed(&mut self, remaining: Duration, timeout: Duration, now: Time) -> Duration {
+        if now.since(self.rotated) >= ROTATION_INTERVAL {
+            self.previous = self.current;
+            self.current = Duration::ZERO;
+            self.rotated = now;
         }
-        self.now = self.now.max(left);
-        let longest = self.before.max(self.now);
-        let all = match longest + TIMEOUT_NEAR >= timeout {
-            true => longest.max(timeout),
-            false => longest,
+        self.current = self.current.max(remaining);
+        let max_remaining = self.previous.max(self.current);
+        let initial = match max_remaining + TIMEOUT_TOLERANCE >= timeout {
+            true => max_remaining.max(timeout),
+            false => max_remaining,
         };
-        all.saturating_sub(left)
+        initial.saturating_sub(remaining)
     }
 }
 
-/// What callers spend between their request and this entry.
+/// Estimates of the time to subtract from a latency objective, which counts from the
+/// caller's own start.
 ///
-/// A goal counts from the caller's own start. A fixed allowance for connecting
-/// takes too much from callers that keep their connections, most of a goal of 50 ms:
-/// answers then went out without shards that were on their way.
+/// The estimates are learned: a fixed allowance for connecting would be too large for
+/// callers that keep their connections, and drop shards that would answer in time.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
-    /// What callers had spent that had spent anything.
-    spent: Quantiles,
-    /// By how much answers that were ended to be in time went out later than meant.
+    /// Time that callers had spent before they arrived, without zeros.
+    elapsed: Quantiles,
+    /// Delay from the time at which an answer was due to when it was sent.
     overrun: Quantiles,
 }
 
 impl Default for Callers {
     fn default() -> Self {
         Self {
-            spent: Quantiles::new(QUANTILE),
+            elapsed: Quantiles::new(ELAPSED_QUANTILE),
             overrun: Quantiles::new(OVERRUN_QUANTILE),
         }
     }
 }
 
 impl Callers {
-    /// Takes a caller of a rule with `timeout` that gives `left`; returns what is to be
-    /// taken off its goal: what it has spent, and the answer's way back.
-    pub(crate) fn away(
+    /// Records a caller of a rule with `timeout` that sent the remaining time `left`, and
+    /// returns the time to subtract from its objective: the time it has spent, the network
+    /// delay and the overrun.
+    pub(crate) fn overhead(
         &mut self,
-        longest: &mut Longest,
-        left: Option<Duration>,
+        max: &mut MaxRemaining,
+        remaining: Option<Duration>,
         timeout: Duration,
         now: Time,
     ) -> Duration {
-        let spent = left.map_or(Duration::ZERO, |left| longest.spent(left, timeout, now));
-        if !spent.is_zero() {
-            self.spent.record(spent);
+        let elapsed = remaining.map_or(Duration::ZERO, |left| max.elapsed(left, timeout, now));
+        if !elapsed.is_zero() {
+            self.elapsed.record(elapsed);
         }
-        spent + self.way(spent) + self.overrun()
+        elapsed + self.way(elapsed) + self.overrun()
     }
 
-    /// Takes it that an answer which was ended at its goal went out `late` after it.
+    /// Records that an answer cut off at its objective was sent `late` after it.
     pub(crate) fn went_out(&mut self, late: Duration) {
-        if late <= OVERRUN_MAX {
+        if late <= MAX_OVERRUN {
             self.overrun.record(late);
         }
     }
 
-    /// What ending an answer takes.
+    /// Returns the expected time to complete an answer after its cut-off.
     pub(crate) fn overrun(&self) -> Duration {
-        match self.overrun.count() < SAMPLES_NEEDED {
+        match self.overrun.count() < MIN_SAMPLES {
             true => Duration::ZERO,
             false => self.overrun.high(),
         }
     }
 
-    /// Callers that the way was learned from.
+    /// Returns the number of samples of the network delay.
     pub(crate) fn samples(&self) -> u64 {
-        self.spent.count()
+        self.elapsed.count()
     }
 
-    /// The way to a caller that has spent `spent`, and back. While it is not known, a
-    /// caller that has asked and connected has half of it behind it.
-    pub(crate) fn way(&self, spent: Duration) -> Duration {
-        if self.spent.count() < SAMPLES_NEEDED {
-            return WAY_MAX.saturating_sub(spent).max(WAY_MAX / 2);
+    /// Returns the network delay to a caller that has spent `elapsed`, and back. Before there
+    /// are enough samples it is the maximum less `elapsed`, and at least half of the maximum.
+    pub(crate) fn way(&self, elapsed: Duration) -> Duration {
+        if self.elapsed.count() < MIN_SAMPLES {
+            return MAX_NETWORK_DELAY
+                .saturating_sub(elapsed)
+                .max(MAX_NETWORK_DELAY / 2);
         }
-        (self.spent.high() + TIMERS).min(WAY_MAX)
+        (self.elapsed.high() + TIMER_DELAY).min(MAX_NETWORK_DELAY)
     }
 }
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -1,8 +1,9 @@
-//! What leafs that are cold may be sent.
+//! Rate limits of calls to cold leafs, divided among entries by leases.
 //!
-//! A cold leaf crashes when all entries together send it more than a rate. The bound is
-//! cut into the parts of a few leases in the store; an entry that holds none sends nothing
-//! to cold leafs. Leases are taken only while leafs are cold whose service has a bound.
+//! A cold leaf has started recently and is not warmed up yet; it crashes if all entries
+//! together exceed a call rate. The rate limit is divided among a few leases in the store,
+//! and an entry that holds none sends nothing to cold leafs. Leases are acquired only
+//! while there are cold leafs of a service with a limit.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -25,14 +26,15 @@
     shared::Shared,
 };
 
-/// The port to the leases.
+/// The port to the leases in the store.
 pub trait LeaseStore: Send + Sync {
-    /// Reads all leases as they are now.
+    /// Reads all leases, never from a stale copy.
     fn list(&self) -> BoxFuture<'_, Result<Vec<LeaseRecord>, FeedError>>;
 
-    /// Writes a lease if it is at the revision `expected`, or not there. Each write that
-    /// takes effect raises the revision, also one that says what the lease said before.
-    /// After an error the write may take effect nevertheless, or later.
+    /// Writes a lease if it is at the revision `expected`, or absent if that is none.
+    ///
+    /// Each write that takes effect raises the revision, even if the content is unchanged.
+    /// After an error the write may still have taken effect, or take effect later.
     fn grant(
         &self,
         id: LeaseId,
@@ -41,33 +43,33 @@
     ) -> BoxFuture<'_, Result<LeaseReply, FeedError>>;
 }
 
-/// How long a lease holds, and what was sent under it counts.
-const TIMES: LeaseTimes = LeaseTimes {
+/// Term of a lease, and the time for which calls sent under it count.
+const LEASE_TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_millis(1500),
     settle: COLD_WINDOW,
 };
-/// Carriers that look for a lease: as many again as there are leases can take over. The
-/// calls to the store don't grow with the entries.
-const CLAIMANTS: usize = 2 * LEASES as usize;
-/// Time between two looks whether this entry is one of them.
-const LOOK: Duration = Duration::from_millis(500);
-/// Least time between two decisions without news.
-const STEP: Duration = Duration::from_millis(5);
-/// By how much the time of suspension may seem to change while there was none.
-const SLEPT_SLACK: Duration = Duration::from_millis(20);
+/// Serving entries that compete for leases: as many again as there are leases, as standby.
+/// The limit keeps calls to the store independent of the number of entries.
+const MAX_CANDIDATES: usize = 2 * LEASES as usize;
+/// Interval at which an entry checks whether it is a candidate.
+const CANDIDATE_RECHECK: Duration = Duration::from_millis(500);
+/// Least time between two decisions that no notification triggered.
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(5);
+/// Measurement error of the machine's suspended time.
+const SUSPEND_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// What a cold leaf takes where a book bounds it, as the settings have it.
+/// Settings that adjust the rate limit of cold leafs from the book.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ColdCalls {
-    /// Calls in a second, as a multiple of the rate in the book.
+    /// Multiple of the rate in the book.
     pub over: f64,
-    /// Calls in a second on top of it.
+    /// Calls per second that are added to it.
     pub slack: f64,
 }
 
 impl Default for ColdCalls {
-    /// The rate itself.
+    /// The rate in the book, unchanged.
     fn default() -> Self {
         Self {
             over: 1.0,
@@ -76,65 +78,68 @@
     }
 }
 
-/// A lease that is held.
+/// A lease that this entry holds.
 #[derive(Clone, Copy, Debug)]
-struct Grant {
+struct HeldLease {
     id: LeaseId,
     until: Time,
-    /// For how long the machine had been suspended when the lease was asked for.
-    slept: Duration,
+    /// Total suspended time of the machine when the lease was requested.
+    suspended: Duration,
 }
 
-/// Leafs whose calls are bounded now, and what this entry holds of the bounds.
+/// The cold leafs with a rate limit, and the lease that lets this entry call them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ColdLeafs {
-    /// Until when each is cold.
+    /// The time at which each leaf stops being cold.
     leafs: BTreeMap<Ix, Time>,
-    grant: Option<Grant>,
+    lease: Option<HeldLease>,
 }
 
 impl Ground {
-    /// Calls in a second that a cold leaf of `service` takes from all entries together,
-    /// if they are bounded.
-    fn cold_bound(&self, service: &ServiceName) -> Option<u32> {
+    /// Returns the rate limit of a cold leaf of `service`, in calls per second from all
+    /// entries together; none if the book sets no limit.
+    fn cold_rate_limit(&self, service: &ServiceName) -> Option<u32> {
         let rule = self.book.as_ref()?.service(service)?.cold?;
         let calls = rule.rate.as_f64() * self.cold_calls.over + self.cold_calls.slack;
         // The cast saturates.
         Some(calls.max(0.0) as u32)
     }
 
-    fn permit_at(&self, ix: Ix) -> Permit {
-        let place = self.places.get(&ix);
-        let bound = place.and_then(|place| self.cold_bound(&place.service));
-        match (bound, self.cold.grant) {
-            (Some(bound), Some(grant)) => Permit {
-                calls: grant.id.part(bound),
-                until: grant.until,
+    /// Returns what this entry may send to a cold leaf under its lease; nothing without one.
+    fn permit_for(&self, ix: Ix) -> Permit {
+        let endpoint = self.places.get(&ix);
+        let bound = endpoint.and_then(|endpoint| self.cold_rate_limit(&endpoint.service));
+        match (bound, self.cold.lease) {
+            (Some(bound), Some(lease)) => Permit {
+                calls: lease.id.part(bound),
+                until: lease.until,
             },
             _ => Permit::default(),
         }
     }
 }
 
-/// Takes it that a leaf is cold until then.
-pub(crate) fn cool(state: &mut State, ix: Ix, until: Time, now: Time) {
-    let place = state.extra.places.get(&ix);
-    let bounded = place.is_some_and(|place| state.extra.cold_bound(&place.service).is_some());
+/// Records that a leaf is cold until `until`, if its service has a rate limit.
+pub(crate) fn mark_cold(state: &mut State, ix: Ix, until: Time, now: Time) {
+    let endpoint = state.extra.places.get(&ix);
+    let bounded =
+        endpoint.is_some_and(|endpoint| state.extra.cold_rate_limit(&endpoint.service).is_some());
     if !bounded || until <= now {
         return;
     }
     state.table.set_cold(ix, until, now);
-    let permit = state.extra.permit_at(ix);
+    let permit = state.extra.permit_for(ix);
     state.table.permit(ix, permit);
     state.extra.cold.leafs.insert(ix, until);
 }
 
-/// Bounds the leafs that are cold by the book in force.
-pub(crate) fn cool_all(state: &mut State, now: Time) {
+/// Recomputes which cold leafs are rate limited, by the book in force.
+pub(crate) fn refresh_cold(state: &mut State, now: Time) {
     let bounded: Vec<Ix> = state.extra.cold.leafs.keys().copied().collect();
     for ix in bounded {
-        let place = state.extra.places.get(&ix);
-        if place.is_none_or(|place| state.extra.cold_bound(&place.service).is_none()) {
+        let endpoint = state.extra.places.get(&ix);
+        if endpoint.is_none_or(|endpoint| state.extra.cold_rate_limit(&endpoint.service).is_none())
+        {
             state.table.set_warm(ix);
             state.extra.cold.leafs.remove(&ix);
         }
@@ -142,55 +147,63 @@
     let cold: Vec<_> = state.extra.leafs.cold(now).collect();
     for (id, until) in cold {
         if let Some(ix) = state.table.find(&Backend::Leaf(id)) {
-            cool(state, ix, until, now);
+            mark_cold(state, ix, until, now);
         }
     }
 }
 
-/// How long leafs of `service` stay cold.
-pub(crate) fn cold_span(ground: &Ground, service: &ServiceName) -> Duration {
+/// Returns how long leafs of `service` stay cold; zero if the book sets no rate limit.
+pub(crate) fn cold_duration(ground: &Ground, service: &ServiceName) -> Duration {
     let book = ground.book.as_ref();
     let rule = book.and_then(|book| book.service(service)?.cold);
     rule.map_or(Duration::ZERO, |rule| rule.span)
 }
 
-/// Until when a call to `ix` may be sent, and whether it may be sent at all: a lease that
-/// was held before the machine was suspended may be another's by now.
+/// Returns the time until which a call to `ix` may be sent; none if it may not be sent.
+///
+/// After the machine was suspended, another entry may have acquired this entry's lease.
 pub(crate) fn send_until(shared: &Shared, state: &State, ix: Ix) -> Option<Time> {
     let Some(until) = state.table.permitted_until(ix, shared.now()) else {
         return Some(Time::MAX);
     };
-    let slept = shared.host.clock.slept();
-    let grant = state.extra.cold.grant;
-    let awake = grant.is_some_and(|grant| slept <= grant.slept + SLEPT_SLACK);
-    awake.then_some(until)
+    let suspended = shared.host.clock.slept();
+    let lease = state.extra.cold.lease;
+    let valid = lease.is_some_and(|lease| suspended <= lease.suspended + SUSPEND_TOLERANCE);
+    valid.then_some(until)
 }
 
-/// Takes and gives back leases for as long as the entry runs.
+/// Acquires, renews and releases leases for as long as the entry runs.
 pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, store: Arc<dyn LeaseStore>) {
     if !serves(&shared).await {
         return;
     }
-    let (life, start) = {
+    let (incarnation, start) = {
         let mut rng = shared.host.rng();
         (rng.next_u64(), rng.next_u64())
     };
-    let own = Owner(format!("{}/{life:x}", shared.settings.entry.member));
-    let mut leases = Leases::new(TIMES, own, start);
+    let own = Owner(format!("{}/{incarnation:x}", shared.settings.entry.member));
+    let mut leases = Leases::new(LEASE_TIMES, own, start);
     loop {
         let now = shared.now();
         let any = any_cold(&shared, now);
         let wanted = any
             && members
                 .carrier_rank(&shared)
-                .is_some_and(|at| at < CLAIMANTS);
+                .is_some_and(|at| at < MAX_CANDIDATES);
         if let Some(call) = leases.next(wanted, now) {
-            ask(&shared, &*store, &mut leases, call).await;
+            call_store(&shared, &*store, &mut leases, call).await;
             continue;
         }
-        set_permits(&shared, &leases, now);
-        let look = if any { now + LOOK } else { Time::MAX };
-        let wake = leases.wake(wanted, now).min(look).max(now + STEP);
+        update_permits(&shared, &leases, now);
+        let recheck = if any {
+            now + CANDIDATE_RECHECK
+        } else {
+            Time::MAX
+        };
+        let wake = leases
+            .wake(wanted, now)
+            .min(recheck)
+            .max(now + MIN_WAKE_INTERVAL);
         tokio::select! {
             () = shared.cooled.notified() => {}
             () = sleep_until(shared.host.clock.instant(wake)) => {}
@@ -198,9 +211,10 @@
     }
 }
 
-async fn ask(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
+/// Makes a call to the store and passes its result to `leases`.
+async fn call_store(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
     shared.metrics.count_store("leases");
-    let (sent, slept) = (shared.now(), shared.host.clock.slept());
+    let (sent, suspended) = (shared.now(), shared.host.clock.slept());
     match call {
         LeaseCall::List => match store.list().await {
             Ok(list) => leases.listed(list, shared.now()),
@@ -216,60 +230,66 @@
         } => {
             let reply = store.grant(id, expected, owner.clone()).await;
             let reply = reply.unwrap_or_else(|error| {
-                warn!(shared.host.log, "hold: a lease of cold leafs may not be written"; "lease" => %id, "why" => %error);
+                warn!(shared.host.log, "hold: writing a lease of cold leafs failed, its outcome is unknown"; "lease" => %id, "why" => %error);
                 LeaseReply::Unknown
             });
             let (before, owner_wanted) = (leases.is_holding(), owner.is_some());
             leases.answered(id, owner, reply, sent, shared.now());
-            take_grant(shared, leases, slept);
+            record_lease(shared, leases, suspended);
             let after = leases.is_holding();
-            let word = match (before, after, owner_wanted) {
+            let event = match (before, after, owner_wanted) {
                 (false, true, _) => "holds",
                 (true, false, true) => "lost",
                 (true, false, false) => "gave back",
                 _ => return,
             };
-            info!(shared.host.log, "hold: {word} lease {id} of cold leafs");
+            info!(shared.host.log, "hold: {event} lease {id} of cold leafs");
         }
     }
 }
 
-fn take_grant(shared: &Shared, leases: &Leases, slept: Duration) {
+/// Records the lease that is held after a write to the store was answered.
+fn record_lease(shared: &Shared, leases: &Leases, suspended: Duration) {
     let now = shared.now();
     let mut state = lock(&shared.cell.state);
     let held = leases.held(now);
-    let known = state.extra.cold.grant;
-    state.extra.cold.grant = held.map(|(id, until)| match known {
-        // An answer that prolonged nothing says nothing of the time since.
+    let known = state.extra.cold.lease;
+    state.extra.cold.lease = held.map(|(id, until)| match known {
+        // The lease was not renewed, so its suspended time must not move forward either.
         Some(known) if known.id == id && known.until == until => known,
-        _ => Grant { id, until, slept },
+        _ => HeldLease {
+            id,
+            until,
+            suspended,
+        },
     });
     drop(state);
-    set_permits(shared, leases, now);
+    update_permits(shared, leases, now);
 }
 
-/// Brings what the table allows up to what is held, and forgets leafs that are warm.
-fn set_permits(shared: &Shared, leases: &Leases, now: Time) {
+/// Updates the permits in the table to the held lease, and drops leafs that are warm.
+fn update_permits(shared: &Shared, leases: &Leases, now: Time) {
     let mut state = lock(&shared.cell.state);
     let state = &mut *state;
     if leases.held(now).is_none() {
-        state.extra.cold.grant = None;
+        state.extra.cold.lease = None;
     }
     state.extra.cold.leafs.retain(|_, until| now < *until);
     let leafs: Vec<Ix> = state.extra.cold.leafs.keys().copied().collect();
     for ix in &leafs {
-        let permit = state.extra.permit_at(*ix);
+        let permit = state.extra.permit_for(*ix);
         state.table.permit(*ix, permit);
     }
     shared.metrics.cold.set(leafs.len() as i64);
     let held = state
         .extra
         .cold
-        .grant
-        .map_or(-1, |grant| i64::from(grant.id.0));
+        .lease
+        .map_or(-1, |lease| i64::from(lease.id.0));
     shared.metrics.lease.set(held);
 }
 
+/// Returns whether any rate-limited leaf is cold.
 fn any_cold(shared: &Shared, now: Time) -> bool {
     let state = lock(&shared.cell.state);
     state.extra.cold.leafs.values().any(|until| now < *until)
--- a/crates/relay/src/evacuations.rs
+++ b/crates/relay/src/evacuations.rs
@@ -1,24 +1,23 @@
-//! Failure domains whose leafs get no calls, at an operator's request.
+//! Evacuations: failure domains whose leafs get no calls, at an operator's request.
 
 use std::collections::BTreeSet;
 
 use chestnut_port::{Content, Item};
 use chestnut_unit::DomainName;
 
-/// A change that the request path acts upon.
+/// A change of the evacuated failure domains, for the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Shift {
-    /// The leafs of a domain get no calls from now on.
+    /// The domain's evacuation started: its leafs get no calls from now on.
     Emptied(DomainName),
-    /// They may be called again. They may have become cold meanwhile.
+    /// The domain's evacuation ended: its leafs may be called again, and may be cold.
     Refilled(DomainName),
 }
 
-/// The failure domains that are evacuated, as the store lists them.
+/// The evacuated failure domains, as the store lists them.
 ///
-/// Nothing is known before the first list, which differs from nothing being evacuated:
-/// an entry that served by what it does not know yet would call the leafs of a domain
-/// that was emptied before its start.
+/// Until the first list is read the set is unknown, not empty: an entry that served
+/// without it would call leafs of a domain that was evacuated before it started.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     domains: BTreeSet<DomainName>,
@@ -26,61 +25,62 @@
 }
 
 impl Evacuations {
-    /// Whether a list has been read.
+    /// Returns whether a list has been read.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Whether the leafs of `domain` get no calls.
+    /// Returns whether `domain` is evacuated.
     #[must_use]
     pub fn covers(&self, domain: &DomainName) -> bool {
         self.domains.contains(domain)
     }
 
-    /// Domains that are evacuated.
+    /// Returns the evacuated domains.
     pub fn domains(&self) -> impl Iterator<Item = &DomainName> {
         self.domains.iter()
     }
 
-    /// Takes the whole list: what it lacks is over.
+    /// Applies a full list and appends the changes to `out`; evacuations that it lacks
+    /// have ended.
     pub fn listed(&mut self, items: Vec<Item<DomainName>>, out: &mut Vec<Shift>) {
         self.known = true;
         let listed: BTreeSet<DomainName> = items.iter().filter_map(domain_of).collect();
-        let over: Vec<DomainName> = self.domains.difference(&listed).cloned().collect();
-        for domain in over {
-            self.lift(domain, out);
+        let ended: Vec<DomainName> = self.domains.difference(&listed).cloned().collect();
+        for domain in ended {
+            self.restore(domain, out);
         }
         for domain in listed {
-            self.empty(domain, out);
+            self.evacuate(domain, out);
         }
     }
 
-    /// Takes a change.
+    /// Applies one changed object and appends the change, if any, to `out`.
     pub fn changed(&mut self, item: Item<DomainName>, out: &mut Vec<Shift>) {
         match (domain_of(&item), DomainName::new(&item.name)) {
-            (Some(domain), _) => self.empty(domain, out),
-            (None, Ok(domain)) => self.lift(domain, out),
-            // Nothing can have been evacuated under a name that is none.
+            (Some(domain), _) => self.evacuate(domain, out),
+            (None, Ok(domain)) => self.restore(domain, out),
+            // An object whose name is no domain name evacuates nothing.
             (None, Err(_)) => {}
         }
     }
 
-    fn empty(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
+    fn evacuate(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
         if self.domains.insert(domain.clone()) {
             out.push(Shift::Emptied(domain));
         }
     }
 
-    fn lift(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
+    fn restore(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
         if self.domains.remove(&domain) {
             out.push(Shift::Refilled(domain));
         }
     }
 }
 
-/// The domain that an object evacuates; none if the object is gone. The name says all:
-/// an object whose content can't be read is there nevertheless.
+/// Returns the domain that an object evacuates; none if the object was deleted. An
+/// unreadable object counts by its name.
 fn domain_of(item: &Item<DomainName>) -> Option<DomainName> {
     match &item.content {
         Content::Is(domain) => Some(domain.clone()),
--- a/crates/relay/src/ground.rs
+++ b/crates/relay/src/ground.rs
@@ -1,5 +1,5 @@
-//! What the relay keeps beside the table: the book, the leafs, where they are called,
-//! and its part of what all entries share.
+//! The relay state that is kept beside the routing table: the book, the leafs and their
+//! endpoints, and this entry's quota.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,76 +16,96 @@
 
 use crate::{
     allot::Allotment,
-    callers::{Callers, Longest},
+    callers::{Callers, MaxRemaining},
     cold::{ColdCalls, ColdLeafs},
     evacuations::Evacuations,
     leafs::Leafs,
     settings::{ExtraCalls, RelaySettings, Times},
 };
 
-/// Where a leaf is called.
+/// The address and attributes of a leaf that can be called.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Endpoint {
+    /// The leaf's id.
     pub(crate) leaf: LeafId,
+    /// The address that calls go to.
     pub(crate) address: SocketAddr,
+    /// The service that the leaf runs.
     pub(crate) service: ServiceName,
+    /// Whether the leaf is in this entry's failure domain.
     pub(crate) distance: Distance,
+    /// Requests that the leaf runs at once.
     pub(crate) slots: u32,
 }
 
-/// Bytes of a leaf's signature in a merged answer.
+/// Size of a leaf's signature in a merged answer, in bytes.
 const SIGNATURE_BYTES: usize = 36;
 
-/// Connections that a leaf takes from all entries where the book says nothing of its service.
-const CONNECTIONS: usize = 8;
+/// Connections that a leaf accepts from all entries if the book does not list its service.
+const DEFAULT_CONNECTIONS: usize = 8;
 
-/// What is kept for one rule, by its name: it outlives versions of the book.
+/// The state of one rule, kept by the rule's name across versions of the book.
 #[derive(Debug)]
 pub(crate) struct RuleState {
+    /// The class of calls whose statistics the rule uses.
     pub(crate) class: Class,
+    /// The weighted round-robin position of a rule that splits traffic.
     pub(crate) turns: Turns,
-    /// The longest time that its callers gave.
-    pub(crate) longest: Longest,
+    /// The greatest remaining time that the rule's callers sent recently.
+    pub(crate) max_remaining: MaxRemaining,
 }
 
-/// Where the leafs of what callers ask for are.
+/// The failure domains of the leafs that the book's rules use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Homes {
-    /// Failure domains with leafs of at least half as many services of the book as the
-    /// one with most: the loss of some leafs moves no callers.
+    /// Failure domains whose leafs cover at least half as many of these services as the
+    /// best domain; the margin keeps the loss of some leafs from moving callers.
     pub(crate) domains: BTreeSet<DomainName>,
-    /// Their number.
+    /// Number of those leafs, in all failure domains.
     pub(crate) leafs: usize,
 }
 
-/// What the relay keeps beside the table.
+/// The relay state, kept beside the routing table under the same lock.
 #[derive(Debug)]
 pub(crate) struct Ground {
+    /// The book in force; none before the first.
     pub(crate) book: Option<Arc<RouteBook>>,
+    /// The known leafs.
     pub(crate) leafs: Leafs,
+    /// The evacuated failure domains.
     pub(crate) evacuations: Evacuations,
+    /// The rate-limited cold leafs, and the lease to call them.
     pub(crate) cold: ColdLeafs,
+    /// Adjustment of the rate limit of cold leafs, from the settings.
     pub(crate) cold_calls: ColdCalls,
-    pub(crate) places: BTreeMap<Ix, Place>,
+    /// The endpoints of the leafs, by their index in the table.
+    pub(crate) places: BTreeMap<Ix, Endpoint>,
+    /// Estimates of the time that requests spend outside this entry.
     pub(crate) callers: Callers,
+    /// The state of each rule, by its name.
     pub(crate) rules: BTreeMap<String, RuleState>,
-    /// Classes of rules that are gone.
-    pub(crate) spare: Vec<Class>,
-    pub(crate) purses: BTreeMap<ServiceName, PurseId>,
+    /// Classes of removed rules, free for reuse.
+    pub(crate) free_classes: Vec<Class>,
+    /// The extra-call budget of each service.
+    pub(crate) budgets: BTreeMap<ServiceName, PurseId>,
+    /// The admission gate of each list of services that a rule calls.
     pub(crate) gates: BTreeMap<Vec<ServiceName>, GateId>,
+    /// Cached routes of each list of services; cleared when leafs change.
     pub(crate) routes: BTreeMap<Vec<ServiceName>, Arc<Routes>>,
-    /// Where the leafs of what callers ask for are, once worked out.
-    pub(crate) homes: Option<Arc<Homes>>,
+    /// Cached failure domains of the leafs; none until they are computed.
+    pub(crate) leaf_domains: Option<Arc<Homes>>,
+    /// This entry's quota of the resources that all entries share.
     pub(crate) allotment: Allotment,
-    /// Megabits a second of this entry's link.
+    /// Bandwidth of this entry's link, in megabits per second.
     pub(crate) link: f64,
-    /// What a reload of the settings changes.
+    /// The bound on extra calls, reloadable.
     pub(crate) extra: ExtraCalls,
+    /// The configured durations, reloadable.
     pub(crate) times: Times,
 }
 
 impl Ground {
-    /// Nothing is known yet.
+    /// Creates the state of an entry that has received no book and no leafs.
     pub(crate) fn new(settings: &RelaySettings) -> Self {
         let times = settings.times;
         Self {
@@ -97,11 +117,11 @@
             places: BTreeMap::new(),
             callers: Callers::default(),
             rules: BTreeMap::new(),
-            spare: Vec::new(),
-            purses: BTreeMap::new(),
+            free_classes: Vec::new(),
+            budgets: BTreeMap::new(),
             gates: BTreeMap::new(),
             routes: BTreeMap::new(),
-            homes: None,
+            leaf_domains: None,
             allotment: Allotment::unknown(),
             link: settings.entry.link,
             extra: settings.extra,
@@ -109,9 +129,9 @@
         }
     }
 
-    /// Time that the answer to a request of `rule` takes on this entry's link. One over
-    /// 90 shards names 90 signatures: 2 ms at 18 Mbit/s.
-    pub(crate) fn link_time(&self, rule: &Rule) -> Duration {
+    /// Returns the transmission delay of an answer to `rule` on this entry's link. It
+    /// matters for gathers, whose answers carry a signature per shard.
+    pub(crate) fn transmission_delay(&self, rule: &Rule) -> Duration {
         let Target::Gather { shards, top, .. } = &rule.target else {
             return Duration::ZERO;
         };
@@ -119,69 +139,78 @@
         Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link * 1e6))
     }
 
-    /// Where the leafs of what callers ask for are.
-    pub(crate) fn homes(&mut self) -> Arc<Homes> {
-        if let Some(homes) = &self.homes {
-            return homes.clone();
+    /// Returns the failure domains of the leafs that the book's rules use, cached.
+    pub(crate) fn leaf_domains(&mut self) -> Arc<Homes> {
+        if let Some(leaf_domains) = &self.leaf_domains {
+            return leaf_domains.clone();
         }
-        let homes = Arc::new(self.find_homes());
-        self.homes = Some(homes.clone());
-        homes
+        let leaf_domains = Arc::new(self.find_leaf_domains());
+        self.leaf_domains = Some(leaf_domains.clone());
+        leaf_domains
     }
 
-    fn find_homes(&self) -> Homes {
+    fn find_leaf_domains(&self) -> Homes {
         let rules = self.book.iter().flat_map(|book| book.rules());
-        let asked: BTreeSet<&ServiceName> = rules.flat_map(|rule| rule.target.services()).collect();
-        let mut found: BTreeMap<&DomainName, BTreeSet<&ServiceName>> = BTreeMap::new();
+        let services: BTreeSet<&ServiceName> =
+            rules.flat_map(|rule| rule.target.services()).collect();
+        let mut services_by_domain: BTreeMap<&DomainName, BTreeSet<&ServiceName>> = BTreeMap::new();
         let mut leafs = 0;
         for (service, domain) in self.leafs.places() {
-            if asked.contains(service) && !self.evacuations.covers(domain) {
-                found.entry(domain).or_default().insert(service);
+            if services.contains(service) && !self.evacuations.covers(domain) {
+                services_by_domain
+                    .entry(domain)
+                    .or_default()
+                    .insert(service);
                 leafs += 1;
             }
         }
-        let most = found.values().map(BTreeSet::len).max().unwrap_or(0);
-        let homes = found
+        let most = services_by_domain
+            .values()
+            .map(BTreeSet::len)
+            .max()
+            .unwrap_or(0);
+        let leaf_domains = services_by_domain
             .into_iter()
             .filter(|(_, served)| served.len() * 2 >= most);
-        let domains = homes.map(|(domain, _)| domain.clone()).collect();
+        let domains = leaf_domains.map(|(domain, _)| domain.clone()).collect();
         Homes { domains, leafs }
     }
 
-    /// Connections that may be open from here to a leaf of `service`.
+    /// Returns how many connections this entry may open to a leaf of `service`.
     pub(crate) fn connections(&self, service: &ServiceName) -> usize {
         let rule = self.book.as_ref().and_then(|book| book.service(service));
-        let most = rule.map_or(CONNECTIONS, |rule| rule.connections);
+        let most = rule.map_or(DEFAULT_CONNECTIONS, |rule| rule.connections);
         self.allotment.connections(most)
     }
 
-    pub(crate) fn bounds(&self, place: &Place) -> Bounds {
-        let connections = self.connections(&place.service);
-        Bounds::share(place.slots, self.allotment.carriers, connections)
+    /// Returns this entry's bounds on concurrent calls to a leaf.
+    pub(crate) fn bounds(&self, endpoint: &Endpoint) -> Bounds {
+        let connections = self.connections(&endpoint.service);
+        Bounds::share(endpoint.slots, self.allotment.carriers, connections)
     }
 }
 
-/// The tables that tasks share, under one lock.
+/// The routing table and the relay state, which tasks share under one lock.
 pub(crate) type State = chestnut_flow::State<Ground>;
 
-/// Requests of one target that run at once at an entry. It bounds memory; the
-/// leafs' own queues decide before it does.
-const RUNNING_MAX: u32 = 256;
-/// Requests that wait for one of those.
-const WAITING_MAX: usize = 64;
+/// Concurrent requests of one list of services. It bounds memory; the leafs' own queues
+/// limit concurrency first.
+const MAX_CONCURRENT_REQUESTS: u32 = 256;
+/// Requests that may be queued for admission.
+const MAX_QUEUED_REQUESTS: usize = 64;
 
-/// Sets how many calls may be under way at each leaf.
+/// Updates the bounds on concurrent calls of all leafs.
 pub(crate) fn set_bounds(state: &mut State) {
-    for (ix, place) in &state.extra.places {
-        state.table.set_bounds(*ix, state.extra.bounds(place));
+    for (ix, endpoint) in &state.extra.places {
+        state.table.set_bounds(*ix, state.extra.bounds(endpoint));
     }
 }
 
-/// Sets all budgets by the bound on extra calls and this entry's part of it.
+/// Updates all extra-call budgets to the settings and this entry's quota.
 pub(crate) fn set_budgets(state: &mut State) {
     let extra = state.extra.extra;
     let slack = state.extra.allotment.slack(&extra);
-    for id in state.extra.purses.values() {
+    for id in state.extra.budgets.values() {
         if let Purse::Joint(budget) = state.table.purse(*id) {
             budget.set_share(extra.share());
             budget.set_slack(slack, extra.window);
@@ -189,11 +218,11 @@
     }
 }
 
-/// The bound on requests of one target that run at once.
+/// Creates the admission gate of one list of services.
 pub(crate) fn gate() -> Admission {
     Admission::new(AdmitConfig {
-        initial: RUNNING_MAX,
-        queue: WAITING_MAX,
+        initial: MAX_CONCURRENT_REQUESTS,
+        queue: MAX_QUEUED_REQUESTS,
         adapt: Adapt::No,
     })
 }
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -1,4 +1,4 @@
-//! The last versions of the book, to tell others what has changed.
+//! Recent versions of the route book, from which deltas for other entries are built.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,39 +9,38 @@
 use chestnut_book::{BookDelta, BookVersion, RouteBook};
 use chestnut_port::{PackError, RawBook, pack};
 
-/// Versions that are kept. An entry that is further behind, or has one that this entry
-/// never had, gets the whole book. Versions share their rules: one more costs the map and
-/// not the routes.
-const KEPT: usize = 4;
-/// Answers that are kept packed, by what the asker has: one for each kept version, and
-/// the whole book.
-const PACKED: usize = KEPT + 1;
+/// Versions that are kept; they share unchanged rules. An entry that is further behind,
+/// or has a version that is not kept, gets the whole book.
+const MAX_VERSIONS: usize = 4;
+/// Packed answers that are kept: one for each base version, and the whole book.
+const MAX_PACKED: usize = MAX_VERSIONS + 1;
 
-/// The last versions of the book.
+/// The most recent versions of the route book, with packed deltas to the newest.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Oldest first.
+    /// The versions, oldest first.
     books: VecDeque<Arc<RouteBook>>,
-    /// Deltas to the newest one, by the version that they change; 0 for nothing. Packing
-    /// takes milliseconds, and many ask for the same one.
+    /// Packed deltas to the newest version, by base version; 0 for the whole book. They
+    /// are cached because packing is slow and many entries ask for the same delta.
     packed: BTreeMap<BookVersion, Bytes>,
 }
 
 impl History {
-    /// Takes a version that is newer than the others.
+    /// Adds a version, which must be newer than all others.
     pub fn put(&mut self, book: Arc<RouteBook>) {
         self.packed.clear();
         self.books.push_back(book);
-        while self.books.len() > KEPT {
+        while self.books.len() > MAX_VERSIONS {
             self.books.pop_front();
         }
     }
 
-    /// What makes the newest version of `have`, or of nothing.
+    /// Returns the delta from `have` to the newest version, or the whole book if `have`
+    /// is not kept. The delta is empty if `have` is not older than the newest.
     ///
     /// # Errors
     ///
-    /// It can't be packed.
+    /// The delta can't be packed.
     pub fn since(&mut self, have: BookVersion) -> Result<RawBook, PackError> {
         let Some(newest) = self.books.back() else {
             return Ok(RawBook {
@@ -60,7 +59,7 @@
             Some(delta) => delta.clone(),
             None => pack(&BookDelta::between(base.map(|base| &**base), newest))?,
         };
-        if self.packed.len() < PACKED {
+        if self.packed.len() < MAX_PACKED {
             self.packed.insert(key, delta.clone());
         }
         Ok(RawBook { version, delta })
--- a/crates/relay/src/leafs.rs
+++ b/crates/relay/src/leafs.rs
@@ -1,42 +1,42 @@
-//! Which leafs there are, from their entries in the store.
+//! The set of known leafs, from the registrations that leafs keep in the store.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use chestnut_unit::{DomainName, Incarnation, LeafId, ServiceName, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a leaf says of itself.
+/// Whether a leaf accepts work, as it registers itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeafState {
-    /// It takes work.
+    /// The leaf accepts work.
     Ready,
-    /// It is leaving and must get no new work.
+    /// The leaf is leaving and must get no new work.
     Draining,
 }
 
-/// The entry of one life of a leaf.
+/// The registration of one incarnation of a leaf: one run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafEntry {
-    /// The service that it runs.
+    /// The service that the leaf runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the leaf listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The leaf's failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at once.
+    /// Requests that the leaf runs at once.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the leaf accepts work.
     pub state: LeafState,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the leaf is cold after its start.
     pub warmup: Duration,
-    /// Which of its lives this is, if it says so.
+    /// The leaf's incarnation, if it reports one.
     #[serde(default)]
     pub life: Option<Incarnation>,
 }
 
 impl LeafEntry {
-    /// Whether `other` says the same, the time left to warm up apart: it
-    /// changes with every heartbeat of a leaf that has just started.
+    /// Returns whether `other` is equal apart from `warmup`, which changes with every
+    /// heartbeat of a leaf that has just started.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         let warmup = self.warmup;
@@ -48,105 +48,105 @@
     }
 }
 
-/// How the life that an entry is of stands to the one that is known.
+/// How the incarnation of a registration compares with the latest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum IncarnationOrder {
     Earlier,
     Same,
     Later,
 }
 
+/// A known leaf: its latest registration and the state derived from it.
 #[derive(Clone, Debug)]
-struct Known {
+struct Leaf {
     entry: LeafEntry,
-    /// Since when the entry is missing.
-    missing: Option<Time>,
-    /// Until when a leaf that leaves may be called.
-    linger: Option<Time>,
-    /// Until when it is cold, as far as is known.
-    cold: Time,
+    /// When the registration went missing, if it has.
+    missing_since: Option<Time>,
+    /// Time until which a leaving leaf may still be called.
+    linger_until: Option<Time>,
+    /// Time until which the leaf is cold, as far as is known.
+    cold_until: Time,
 }
 
-/// A change that the request path acts upon.
+/// A change of the known leafs, for the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Moved {
-    /// A leaf is new, or its entry changed.
+    /// A leaf is new, or its registration changed.
     Came(LeafId, LeafEntry),
-    /// A leaf has started again under its id: what is known of it, its
-    /// connections and its leaving belong to the life before.
+    /// A leaf restarted under the same id: its statistics, connections and leaving
+    /// state belong to the earlier incarnation.
     Reborn(LeafId, LeafEntry),
-    /// A leaf is cold until then.
+    /// A leaf is cold until the given time.
     Cooled(LeafId, Time),
-    /// An entry of an earlier life was passed over.
+    /// A registration of an earlier incarnation was ignored.
     Outdated(LeafId),
-    /// A leaf is leaving. It is called only where no other can be.
+    /// A leaf is leaving; it is called only if no other can be.
     Leaves(LeafId),
-    /// A leaf that is leaving takes no new work any more.
+    /// A leaving leaf no longer accepts new work.
     Closed(LeafId),
-    /// The entry of a leaf that took work is missing. It is called only where
-    /// no other can be, until it is known whether the entry lapsed.
+    /// The registration of a ready leaf is missing. The leaf is called only if no other
+    /// can be, until the registration returns or the wait for it times out.
     Missing(LeafId),
-    /// A leaf is gone.
+    /// A leaf was removed.
     Gone(LeafId),
 }
 
-/// Leafs that are gone whose latest life is remembered. A list or a peer that is
-/// behind by more departures than that could bring one back for a moment.
-const LIVES_MAX: usize = 4096;
+/// Removed leafs whose latest incarnation is kept, so that a stale list or peer does
+/// not add them again.
+const MAX_REMOVED: usize = 4096;
 
-/// The leafs that the store lists.
+/// The known leafs, updated from lists and changes of the store.
 ///
-/// A missing entry has two causes that look alike: the leaf has gone, or the
-/// store dropped entries while it was away and the leaf lives. Taking every
-/// missing leaf for gone would leave a service without any after each outage;
-/// keeping them would send work to leafs that left. So a missing leaf that was
-/// ready stays callable, as the last choice, for as long as lapsed entries need
-/// to come back. That is shorter than the time that a leaving leaf goes on
-/// serving, so nothing is lost on one that left without saying so. A leaf that
-/// says that it leaves is the last choice for a while too: a shard whose leafs
-/// all leave before others come would otherwise be missing, though they serve.
+/// A registration goes missing if the leaf is gone, or if the store expired it during
+/// an outage while the leaf still runs. A missing ready leaf therefore stays callable as
+/// the last choice until expired registrations have had time to return; otherwise a
+/// service would lose all its leafs in an outage. That time is shorter than a leaving
+/// leaf's drain time, so no call reaches one that has stopped. A leaving leaf stays the
+/// last choice for a while too, or its shard would have no leaf until others start.
 #[derive(Clone, Debug)]
 pub struct Leafs {
-    known: BTreeMap<LeafId, Known>,
-    /// The latest life of each leaf that said which it is, also after it has
-    /// gone.
-    lives: BTreeMap<LeafId, Incarnation>,
-    lapse: Duration,
+    known: BTreeMap<LeafId, Leaf>,
+    /// The latest incarnation that each leaf reported, also of removed leafs.
+    incarnations: BTreeMap<LeafId, Incarnation>,
+    /// Time after which a missing leaf is removed.
+    missing_timeout: Duration,
+    /// Time for which a leaving leaf may still be called.
     linger: Duration,
 }
 
 impl Leafs {
-    /// No leafs. A missing entry counts as gone after `lapse`, and a leaf that
-    /// leaves takes no work after `linger`.
+    /// Creates an empty set, in which a missing leaf is removed after `missing_timeout`
+    /// and a leaving leaf may still be called for `linger`.
     #[must_use]
-    pub fn new(lapse: Duration, linger: Duration) -> Self {
+    pub fn new(missing_timeout: Duration, linger: Duration) -> Self {
         Self {
             known: BTreeMap::new(),
-            lives: BTreeMap::new(),
-            lapse,
+            incarnations: BTreeMap::new(),
+            missing_timeout,
             linger,
         }
     }
 
-    /// Changes the spans, for leafs that go missing or leave from now on.
-    pub fn set_spans(&mut self, lapse: Duration, linger: Duration) {
-        self.lapse = lapse;
+    /// Changes the timeouts: at once for missing leafs, and for leafs that leave from now
+    /// on.
+    pub fn set_spans(&mut self, missing_timeout: Duration, linger: Duration) {
+        self.missing_timeout = missing_timeout;
         self.linger = linger;
     }
 
-    /// Leafs that are known, the missing included.
+    /// Returns the number of known leafs, including missing ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no leaf is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Service and failure domain of each leaf that takes work.
+    /// Returns the service and failure domain of each ready leaf.
     pub fn places(&self) -> impl Iterator<Item = (&ServiceName, &DomainName)> {
         let ready = self.known.values().map(|known| &known.entry);
         ready
@@ -154,7 +154,7 @@
             .map(|entry| (&entry.service, &entry.domain))
     }
 
-    /// The leafs of a failure domain.
+    /// Returns the leafs of a failure domain.
     pub fn within<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a LeafId> {
         let known = self.known.iter();
         known
@@ -162,7 +162,7 @@
             .map(|(id, _)| id)
     }
 
-    /// The leafs of a service that are not leaving.
+    /// Returns all known leafs of a service, including leaving and missing ones.
     pub fn of<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -173,30 +173,36 @@
             .filter(move |(_, entry)| entry.service == *service)
     }
 
-    /// Leafs that are cold, and until when.
+    /// Returns the cold leafs and the time until which each is cold.
     pub fn cold(&self, now: Time) -> impl Iterator<Item = (LeafId, Time)> {
-        let cold = self.known.iter().filter(move |(_, known)| now < known.cold);
-        cold.map(|(id, known)| (id.clone(), known.cold))
+        let cold = self
+            .known
+            .iter()
+            .filter(move |(_, known)| now < known.cold_until);
+        cold.map(|(id, known)| (id.clone(), known.cold_until))
     }
 
-    /// Until when a leaf is cold, as far as is known.
+    /// Returns the time until which a leaf is cold, as far as is known.
     #[must_use]
     pub fn cold_until(&self, id: &LeafId) -> Time {
-        self.known.get(id).map_or(Time::ZERO, |known| known.cold)
+        self.known
+            .get(id)
+            .map_or(Time::ZERO, |known| known.cold_until)
     }
 
-    /// Takes it that a leaf is cold until then, whatever its entry says. Tells whether it
-    /// was not known to be.
+    /// Records that a leaf is cold until `until`, whatever its registration says. Returns
+    /// whether this extends the known time.
     pub fn cool(&mut self, id: &LeafId, until: Time) -> bool {
         let known = self.known.get_mut(id);
         known.is_some_and(|known| {
-            let news = known.cold < until;
-            known.cold = known.cold.max(until);
-            news
+            let is_new = known.cold_until < until;
+            known.cold_until = known.cold_until.max(until);
+            is_new
         })
     }
 
-    /// Takes a full list: what it lacks is missing.
+    /// Applies a full list and appends the changes to `out`; leafs that it lacks are
+    /// missing.
     pub fn listed(&mut self, list: Vec<(LeafId, LeafEntry)>, now: Time, out: &mut Vec<Moved>) {
         let present: std::collections::BTreeSet<LeafId> =
             list.iter().map(|(id, _)| id.clone()).collect();
@@ -209,47 +215,51 @@
         }
     }
 
-    /// Takes a new or changed entry. One of an earlier life than the latest that
-    /// was seen comes from a stale list, out of order or from a peer that is
-    /// behind: it would send calls to an address that the leaf has left.
+    /// Applies a new or changed registration and appends the changes to `out`.
+    ///
+    /// One of an earlier incarnation than the latest known comes from a stale or reordered
+    /// read. It is ignored, since it would send calls to an address that the leaf has left.
     pub fn changed(&mut self, id: LeafId, entry: LeafEntry, now: Time, out: &mut Vec<Moved>) {
         let old = self.known.get(&id);
         let cold = match entry.warmup.is_zero() {
             true => Time::ZERO,
             false => now + entry.warmup,
         };
-        if old.is_some_and(|known| known.missing.is_none() && known.entry.is_same(&entry)) {
+        if old.is_some_and(|known| known.missing_since.is_none() && known.entry.is_same(&entry)) {
             if self.cool(&id, cold) {
                 out.push(Moved::Cooled(id, cold));
             }
             return;
         }
-        let life = self.life_of(&id, &entry);
-        if life == Life::Earlier {
+        let order = self.compare_incarnation(&id, &entry);
+        if order == IncarnationOrder::Earlier {
             out.push(Moved::Outdated(id));
             return;
         }
-        let warm = self.known.get(&id).map_or(Time::ZERO, |known| known.cold);
-        self.remember(&id, entry.life);
-        if life == Life::Later {
+        let known_cold = self
+            .known
+            .get(&id)
+            .map_or(Time::ZERO, |known| known.cold_until);
+        self.record_incarnation(&id, entry.life);
+        if order == IncarnationOrder::Later {
             out.push(Moved::Reborn(id.clone(), entry.clone()));
         }
-        let linger = match entry.state {
+        let linger_until = match entry.state {
             LeafState::Ready => None,
             LeafState::Draining => Some(now + self.linger),
         };
         match entry.state {
-            LeafState::Ready if life == Life::Later => {}
+            LeafState::Ready if order == IncarnationOrder::Later => {}
             LeafState::Ready => out.push(Moved::Came(id.clone(), entry.clone())),
             LeafState::Draining => out.push(Moved::Leaves(id.clone())),
         }
-        let known = Known {
+        let known = Leaf {
             entry,
-            missing: None,
-            linger,
-            cold: match life {
-                Life::Later => cold,
-                Life::Earlier | Life::Same => cold.max(warm),
+            missing_since: None,
+            linger_until,
+            cold_until: match order {
+                IncarnationOrder::Later => cold,
+                IncarnationOrder::Earlier | IncarnationOrder::Same => cold.max(known_cold),
             },
         };
         self.known.insert(id.clone(), known);
@@ -258,46 +268,47 @@
         }
     }
 
-    /// Takes it that an entry can't be read: it names no leaf any more. Unlike a
-    /// deletion it is no matter of an outage, so there is nothing to wait for.
+    /// Removes a leaf whose registration can't be read. Unlike a deletion this is not
+    /// caused by an outage, so the leaf is removed at once.
     pub fn malformed(&mut self, id: &LeafId, out: &mut Vec<Moved>) {
         if self.known.remove(id).is_some() {
             out.push(Moved::Gone(id.clone()));
         }
     }
 
-    /// How the life that `entry` is of stands to the latest that is known. A leaf
-    /// that moved has started again, whether it says so or not: what is known of
-    /// the old address says nothing of the new one.
-    fn life_of(&self, id: &LeafId, entry: &LeafEntry) -> Life {
-        let moved = |known: &Known| known.entry.address != entry.address;
-        match (entry.life, self.lives.get(id)) {
-            (Some(new), Some(latest)) if new < *latest => Life::Earlier,
-            (Some(new), Some(latest)) if new > *latest => Life::Later,
-            _ if self.known.get(id).is_some_and(moved) => Life::Later,
-            _ => Life::Same,
+    /// Compares the incarnation of `entry` with the latest known one. A leaf with a new
+    /// address counts as restarted even if it reports no incarnation.
+    fn compare_incarnation(&self, id: &LeafId, entry: &LeafEntry) -> IncarnationOrder {
+        let moved = |known: &Leaf| known.entry.address != entry.address;
+        match (entry.life, self.incarnations.get(id)) {
+            (Some(new), Some(latest)) if new < *latest => IncarnationOrder::Earlier,
+            (Some(new), Some(latest)) if new > *latest => IncarnationOrder::Later,
+            _ if self.known.get(id).is_some_and(moved) => IncarnationOrder::Later,
+            _ => IncarnationOrder::Same,
         }
     }
 
-    /// Keeps the latest life of a leaf.
-    fn remember(&mut self, id: &LeafId, life: Option<Incarnation>) {
-        let Some(life) = life else {
+    /// Records the latest incarnation of a leaf, and drops the oldest of the removed leafs
+    /// if there are too many.
+    fn record_incarnation(&mut self, id: &LeafId, incarnation: Option<Incarnation>) {
+        let Some(incarnation) = incarnation else {
             return;
         };
-        self.lives.insert(id.clone(), life);
-        if self.lives.len() > self.known.len() + LIVES_MAX {
+        self.incarnations.insert(id.clone(), incarnation);
+        if self.incarnations.len() > self.known.len() + MAX_REMOVED {
             let oldest = self
-                .lives
+                .incarnations
                 .iter()
                 .filter(|(id, _)| !self.known.contains_key(*id));
             let oldest = oldest
-                .min_by_key(|(_, life)| **life)
+                .min_by_key(|(_, incarnation)| **incarnation)
                 .map(|(id, _)| id.clone());
-            oldest.and_then(|id| self.lives.remove(&id));
+            oldest.and_then(|id| self.incarnations.remove(&id));
         }
     }
 
-    /// Takes it that an entry was deleted.
+    /// Applies the deletion of a registration: removes a leaving leaf, and marks a ready
+    /// one as missing.
     pub fn deleted(&mut self, id: &LeafId, now: Time, out: &mut Vec<Moved>) {
         let Some(known) = self.known.get_mut(id) else {
             return;
@@ -305,51 +316,51 @@
         if known.entry.state == LeafState::Draining {
             self.known.remove(id);
             out.push(Moved::Gone(id.clone()));
-        } else if known.missing.is_none() {
-            known.missing = Some(now);
+        } else if known.missing_since.is_none() {
+            known.missing_since = Some(now);
             out.push(Moved::Missing(id.clone()));
         }
     }
 
-    /// Starts the wait of missing leafs anew: the store has just come back,
-    /// and their entries may still return.
+    /// Restarts the timeout of missing leafs, since the store has recovered from an outage
+    /// and their registrations may still return.
     pub fn returned(&mut self, now: Time) {
         for known in self.known.values_mut() {
-            if known.missing.is_some() {
-                known.missing = Some(now);
+            if known.missing_since.is_some() {
+                known.missing_since = Some(now);
             }
         }
     }
 
-    /// Gives up leafs that have been missing too long, and closes those that
-    /// have been leaving too long.
+    /// Removes leafs that have been missing too long, and closes those that have been
+    /// leaving too long.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Moved>) {
         for (id, known) in &mut self.known {
-            if known.linger.is_some_and(|until| until <= now) {
-                known.linger = None;
+            if known.linger_until.is_some_and(|until| until <= now) {
+                known.linger_until = None;
                 out.push(Moved::Closed(id.clone()));
             }
         }
-        let lapse = self.lapse;
-        let over = |known: &Known| known.missing.is_some_and(|since| now.since(since) >= lapse);
-        let gone: Vec<LeafId> = self
+        let limit = self.missing_timeout;
+        let expired = |leaf: &Leaf| leaf.missing_since.is_some_and(|at| now.since(at) >= limit);
+        let expired_ids: Vec<LeafId> = self
             .known
             .iter()
-            .filter(|(_, known)| over(known))
+            .filter(|(_, known)| expired(known))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in expired_ids {
             self.known.remove(&id);
             out.push(Moved::Gone(id));
         }
     }
 
-    /// When [`Leafs::tick`] has something to do next.
+    /// Returns the time at which [`Leafs::tick`] is due next.
     #[must_use]
     pub fn wake(&self) -> Time {
         let known = self.known.values();
-        let lapse = |known: &Known| known.missing.map(|since| since + self.lapse);
-        let wakes = known.flat_map(|known| [lapse(known), known.linger]);
+        let expires = |leaf: &Leaf| leaf.missing_since.map(|at| at + self.missing_timeout);
+        let wakes = known.flat_map(|known| [expires(known), known.linger_until]);
         wakes.flatten().min().unwrap_or(Time::MAX)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,13 +1,21 @@
-//! Forwards requests by the route book.
+//! The entry: a process that callers connect to and that forwards their requests
+//! to leafs by the route book.
 //!
-//! [`Relay::spawn`] starts one entry over the ports that it is given and
-//! returns its handle. [`Relay::forward`] takes a request through the request
-//! path that all faces share (`chestnut-flow`): rule, admission, choice of
-//! leafs, hedges, retries, merge. The book and the leafs are watched; the other
-//! entries are found by their adverts and judged by probes.
+//! [`Relay::spawn`] starts one entry over the ports that it is given and returns
+//! its handle. [`Relay::forward`] runs a request through the path that all
+//! protocol front ends share (`chestnut-flow`): rule lookup, admission, choice of
+//! leafs, hedges, retries, merge. The entry watches the route book and the leafs
+//! through the store or through another entry. It discovers other entries by the
+//! adverts in the store and tracks their liveness by gossip probes.
 //!
-//! It is not for speaking to callers: a face decodes requests and encodes
+//! This crate does not speak to callers: a front end decodes requests and encodes
 //! replies.
+//!
+//! Terms: a *leaf* is a back-end process that runs one service. A *shard* is one
+//! part of an index, which one service holds, and a *replica* is a leaf of that
+//! service. A *gather* sends a request to several shards and merges the answers
+//! (scatter-gather). The *route book* is the versioned set of rules that map requests
+//! to services.
 #![warn(clippy::unwrap_used)]
 
 mod adverts;
--- a/crates/relay/src/moves.rs
+++ b/crates/relay/src/moves.rs
@@ -1,39 +1,39 @@
-//! Takes changes of the leafs into the table.
+//! Applies changes of the leafs and of the evacuations to the routing table.
 
 use chestnut_port::Distance;
 use chestnut_route::{Backend, Ix};
 use chestnut_unit::{LeafId, Time};
 
 use crate::{
-    cold::{cold_span, cool},
+    cold::{cold_duration, mark_cold},
     evacuations::Shift,
-    ground::{Place, State},
+    ground::{Endpoint, State},
     leafs::{LeafEntry, Moved},
     settings::RelaySettings,
 };
 
-/// Takes changes of the leafs into the table.
+/// Applies changes of the known leafs to the table, and clears the caches they affect.
 pub(crate) fn take_moves(state: &mut State, moves: &[Moved], own: &RelaySettings, now: Time) {
     for moved in moves {
         match moved {
             Moved::Came(id, entry) => {
-                // A leaf that was there before this entry is not a cold one.
+                // A leaf without warm-up time is warm, however recently it was discovered.
                 let since = match entry.warmup.is_zero() {
                     true => Time::ZERO,
                     false => now,
                 };
-                came(state, id, entry, own, since, now);
+                add_leaf(state, id, entry, own, since, now);
             }
-            Moved::Reborn(id, entry) => reborn(state, id, entry, own, now),
+            Moved::Reborn(id, entry) => restart_leaf(state, id, entry, own, now),
             Moved::Cooled(id, until) => {
                 if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-                    cool(state, ix, *until, now);
+                    mark_cold(state, ix, *until, now);
                 }
             }
             Moved::Outdated(_) => {}
-            Moved::Leaves(id) | Moved::Missing(id) => set_doubt(state, id, true),
+            Moved::Leaves(id) | Moved::Missing(id) => set_suspected(state, id, true),
             Moved::Closed(id) => set_leaving(state, id, now),
-            Moved::Gone(id) => gone(state, id, now),
+            Moved::Gone(id) => remove_leaf(state, id, now),
         }
     }
     if moves
@@ -41,12 +41,12 @@
         .any(|moved| !matches!(moved, Moved::Cooled(..)))
     {
         state.extra.routes.clear();
-        state.extra.homes = None;
+        state.extra.leaf_domains = None;
     }
 }
 
-/// Takes a leaf that started at `since`.
-fn came(
+/// Adds or updates a leaf that started at `since`.
+fn add_leaf(
     state: &mut State,
     id: &LeafId,
     entry: &LeafEntry,
@@ -57,89 +57,92 @@
     let ix = state
         .table
         .add(Backend::Leaf(id.clone()), entry.slots, since);
-    // It may have been taken for gone while its entry was missing.
+    // The leaf may have been marked as leaving while its registration was missing.
     state.table.set_leaving(ix, false, now);
     let distance = match entry.domain == own.entry.domain {
         true => Distance::Near,
         false => Distance::Far,
     };
     state.table.set_far(ix, distance == Distance::Far);
-    let barred = state.extra.evacuations.covers(&entry.domain);
-    state.table.set_barred(ix, barred, now);
-    let place = Place {
+    let excluded = state.extra.evacuations.covers(&entry.domain);
+    state.table.set_barred(ix, excluded, now);
+    let endpoint = Endpoint {
         leaf: id.clone(),
         address: entry.address,
         service: entry.service.clone(),
         distance,
         slots: entry.slots,
     };
-    state.table.set_bounds(ix, state.extra.bounds(&place));
-    state.extra.places.insert(ix, place);
-    set_doubt(state, id, false);
+    state.table.set_bounds(ix, state.extra.bounds(&endpoint));
+    state.extra.places.insert(ix, endpoint);
+    set_suspected(state, id, false);
 }
 
-/// Takes a leaf of a domain that is back for cold: it may have become so meanwhile, and
-/// its entry tells of it only with its next heartbeat.
-fn warm_up(state: &mut State, id: &LeafId, ix: Ix, now: Time) {
-    let Some(place) = state.extra.places.get(&ix) else {
+/// Assumes that a leaf whose domain is no longer evacuated is cold: it may have cooled
+/// down, which its registration reports only with its next heartbeat.
+fn assume_cold(state: &mut State, id: &LeafId, ix: Ix, now: Time) {
+    let Some(endpoint) = state.extra.places.get(&ix) else {
         return;
     };
-    let until = now + cold_span(&state.extra, &place.service);
+    let until = now + cold_duration(&state.extra, &endpoint.service);
     state.extra.leafs.cool(id, until);
-    cool(state, ix, until, now);
+    mark_cold(state, ix, until, now);
 }
 
-/// Takes changes of the failure domains that are evacuated into the table. Returns the
-/// leafs that get no more calls.
+/// Applies changes of the evacuated failure domains to the table. Returns the leafs that
+/// get no more calls.
 pub(crate) fn take_shifts(state: &mut State, shifts: &[Shift], now: Time) -> Vec<LeafId> {
-    let mut emptied = Vec::new();
+    let mut evacuated = Vec::new();
     for shift in shifts {
-        let (domain, barred) = match shift {
+        let (domain, excluded) = match shift {
             Shift::Emptied(domain) => (domain, true),
             Shift::Refilled(domain) => (domain, false),
         };
         let leafs: Vec<LeafId> = state.extra.leafs.within(domain).cloned().collect();
         for id in leafs {
             if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-                state.table.set_barred(ix, barred, now);
-                if !barred {
-                    warm_up(state, &id, ix, now);
+                state.table.set_barred(ix, excluded, now);
+                if !excluded {
+                    assume_cold(state, &id, ix, now);
                 }
             }
-            if barred {
-                emptied.push(id);
+            if excluded {
+                evacuated.push(id);
             }
         }
     }
     if !shifts.is_empty() {
-        state.extra.homes = None;
+        state.extra.leaf_domains = None;
     }
-    emptied
+    evacuated
 }
 
-fn gone(state: &mut State, id: &LeafId, now: Time) {
+/// Removes a leaf.
+fn remove_leaf(state: &mut State, id: &LeafId, now: Time) {
     set_leaving(state, id, now);
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
         state.extra.places.remove(&ix);
     }
 }
 
-/// Takes a new life of a leaf: calls to the old one end as they end, and say
-/// nothing of the new one.
-fn reborn(state: &mut State, id: &LeafId, entry: &LeafEntry, own: &RelaySettings, now: Time) {
-    gone(state, id, now);
+/// Replaces a leaf by its new incarnation; results of calls to the old one don't count
+/// for the new one.
+fn restart_leaf(state: &mut State, id: &LeafId, entry: &LeafEntry, own: &RelaySettings, now: Time) {
+    remove_leaf(state, id, now);
     state.table.renew(&Backend::Leaf(id.clone()));
-    came(state, id, entry, own, now, now);
+    add_leaf(state, id, entry, own, now, now);
 }
 
+/// Marks a leaf as leaving.
 fn set_leaving(state: &mut State, id: &LeafId, now: Time) {
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
         state.table.set_leaving(ix, true, now);
     }
 }
 
-fn set_doubt(state: &mut State, id: &LeafId, doubted: bool) {
+/// Marks a leaf as suspected, which is called only if no other can be, or as present.
+fn set_suspected(state: &mut State, id: &LeafId, suspected: bool) {
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-        state.table.set_doubt(ix, doubted);
+        state.table.set_doubt(ix, suspected);
     }
 }
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and how long its answer may take.
+//! The plan of a request: the leafs it may go to and the time its answer may take.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,40 +8,44 @@
 use chestnut_unit::{IndexVersion, ServiceName, ShardName, Snapshot, Time};
 
 use crate::{
-    callers::Longest,
+    callers::MaxRemaining,
     ground::{RuleState, State, gate},
 };
 
-/// Rules that have a class of calls of their own. More share the first one: a
-/// class costs some 30 KB, and an entry has 256 MB for everything. Those of rules
-/// that are gone are used again, or a day of 5,200 edits would use them up.
-const CLASSES_MAX: usize = 64;
+/// Classes of calls, one per rule; further rules share the first one. The limit bounds
+/// memory. Classes of removed rules are reused, or edits would use them all up.
+const MAX_CLASSES: usize = 64;
 
-/// What a request needs of the tables to run.
+/// What a request needs from the shared tables to run.
 pub(crate) struct Plan {
+    /// The replicas of each shard.
     pub(crate) routes: Arc<Routes>,
+    /// The admission gate that the request has to pass.
     pub(crate) gate: GateId,
+    /// The class of calls whose statistics the request uses.
     pub(crate) class: Class,
-    /// Time from the request's arrival to when its answer must go out to come by
-    /// the goal.
+    /// Time from the request's arrival to when its answer must be sent to meet the latency
+    /// objective.
     pub(crate) ahead: Duration,
+    /// Whether the answer can still meet the objective.
     pub(crate) prospect: Prospect,
 }
 
-/// Finds where a request of `rule` goes now, whose caller gives `left`.
+/// Plans a request of `rule` whose caller has the time `remaining`; `draw` is a random
+/// number that starts a weighted split.
 pub(crate) fn plan(
     state: &mut State,
     rule: &Rule,
-    left: Option<Duration>,
+    remaining: Option<Duration>,
     draw: u64,
     now: Time,
 ) -> Plan {
     let class = class_of(state, rule);
     state.table.set_goal(class, rule.goal);
-    let (ahead, prospect) = time_ahead(state, rule, class, left, now);
+    let (ahead, prospect) = time_ahead(state, rule, class, remaining, now);
     let services = match &rule.target {
         Target::One(service) => vec![service.clone()],
-        Target::Split(parts) => vec![turn(state, rule, parts, draw)],
+        Target::Split(parts) => vec![pick_service(state, rule, parts, draw)],
         Target::Gather { shards, .. } => shards.clone(),
     };
     let routes = match state.extra.routes.get(&services) {
@@ -69,67 +73,78 @@
     }
 }
 
-/// How long the answer may take to come by the goal, and whether it can. One that
-/// can't is given the goal's time once more: it is late in any case, and the
-/// more of it is in the better.
+/// Returns the time that the answer may take to meet the objective, and whether it can.
+///
+/// An answer that can't gets the whole objective from now: it is late in any case, and
+/// more complete with more time.
 fn time_ahead(
     state: &mut State,
     rule: &Rule,
     class: Class,
-    left: Option<Duration>,
+    remaining: Option<Duration>,
     now: Time,
 ) -> (Duration, Prospect) {
-    let usual = state.table.profile(class).calls.median();
+    let median = state.table.profile(class).calls.median();
     let ground = &mut state.extra;
     let Some(kept) = ground.rules.get_mut(&rule.name) else {
         return (rule.goal, Prospect::InTime);
     };
-    let away = ground
+    let overhead = ground
         .callers
-        .away(&mut kept.longest, left, rule.timeout, now);
-    let ahead = rule.goal.saturating_sub(away + ground.link_time(rule));
-    match ahead > usual {
+        .overhead(&mut kept.max_remaining, remaining, rule.timeout, now);
+    let ahead = rule
+        .goal
+        .saturating_sub(overhead + ground.transmission_delay(rule));
+    match ahead > median {
         true => (ahead, Prospect::InTime),
         false => (rule.goal, Prospect::Late),
     }
 }
 
+/// Returns the class of a rule, allocating it on first use.
 fn class_of(state: &mut State, rule: &Rule) -> Class {
     if let Some(known) = state.extra.rules.get(&rule.name) {
         return known.class;
     }
-    let class = match state.extra.spare.pop() {
+    let class = match state.extra.free_classes.pop() {
         Some(class) => {
             state.table.reset_class(class);
             class
         }
-        None if state.table.classes() < CLASSES_MAX => state.table.add_class(),
+        None if state.table.classes() < MAX_CLASSES => state.table.add_class(),
         None => Class::default(),
     };
     let turns = Turns::default();
     let kept = RuleState {
         class,
         turns,
-        longest: Longest::default(),
+        max_remaining: MaxRemaining::default(),
     };
     state.extra.rules.insert(rule.name.clone(), kept);
     class
 }
 
-fn turn(state: &mut State, rule: &Rule, parts: &[(ServiceName, u32)], draw: u64) -> ServiceName {
+/// Picks the next service of a weighted split.
+fn pick_service(
+    state: &mut State,
+    rule: &Rule,
+    parts: &[(ServiceName, u32)],
+    draw: u64,
+) -> ServiceName {
     let weights: Vec<u32> = parts.iter().map(|(_, weight)| *weight).collect();
     let kept = state.extra.rules.get_mut(&rule.name);
     let at = kept.and_then(|kept| kept.turns.next(&weights, draw));
     parts[at.unwrap_or(0)].0.clone()
 }
 
+/// Builds the routes to the replicas of `services`.
 fn find_routes(state: &mut State, services: &[ServiceName]) -> Routes {
     let shards = services
         .iter()
         .map(|service| Route {
             name: ShardName::new(service.as_str()).expect("the same characters are legal"),
             replicas: replicas(state, service),
-            purse: purse_of(state, service),
+            purse: budget_of(state, service),
         })
         .collect();
     Routes {
@@ -141,6 +156,7 @@
     }
 }
 
+/// Returns the leafs of a service.
 fn replicas(state: &State, service: &ServiceName) -> Vec<Ix> {
     state
         .extra
@@ -150,14 +166,15 @@
         .collect()
 }
 
-fn purse_of(state: &mut State, service: &ServiceName) -> PurseId {
-    if let Some(id) = state.extra.purses.get(service) {
+/// Returns the extra-call budget of a service, creating it on first use.
+fn budget_of(state: &mut State, service: &ServiceName) -> PurseId {
+    if let Some(id) = state.extra.budgets.get(service) {
         return *id;
     }
     let extra = state.extra.extra;
     let mut budget = Budget::empty(extra.share(), 1);
     budget.set_slack(state.extra.allotment.slack(&extra), extra.window);
     let id = state.table.add_purse(Purse::Joint(budget));
-    state.extra.purses.insert(service.clone(), id);
+    state.extra.budgets.insert(service.clone(), id);
     id
 }
--- a/crates/relay/src/ranked.rs
+++ b/crates/relay/src/ranked.rs
@@ -1,28 +1,29 @@
-//! Which entries watch the store, by failure domain and strength.
+//! The ranking of entries by failure domain and weight, which decides who watches the
+//! store.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use chestnut_fleet::{Liveness, Member};
 use chestnut_unit::DomainName;
 
-use crate::upstream::spread;
+use crate::upstream::member_hash;
 
-/// Entries of a failure domain, the strongest first, of which the others follow
-/// the first that answers. Only the first watches the store, as long as it
-/// does; the second takes over within a pulse.
-const WATCHERS: usize = 2;
+/// Entries of a failure domain that others may use as upstream, in order of weight. The
+/// first watches the store; the second takes over within a revision poll if it fails.
+const MAX_WATCHERS: usize = 2;
 
-/// The entries by failure domain, the strongest first.
-pub(crate) struct Ranked {
-    /// Those of the own domain.
-    pub(crate) near: Vec<SocketAddr>,
-    /// Position of the own one among them, unless it is leaving.
-    pub(crate) own: Option<usize>,
-    /// The strongest of each other domain.
-    far: Vec<SocketAddr>,
+/// The live entries by failure domain, in descending order of weight.
+pub(crate) struct Ranking {
+    /// Peer addresses of the entries in the own domain.
+    pub(crate) local: Vec<SocketAddr>,
+    /// Position of this entry in the own domain, unless it is leaving.
+    pub(crate) own_rank: Option<usize>,
+    /// Peer address of the entry with the greatest weight in each other domain.
+    remote: Vec<SocketAddr>,
 }
 
-impl Ranked {
+impl Ranking {
+    /// Ranks `own` and the live entries among `others`.
     pub(crate) fn new<'a>(own: &'a Member, others: impl Iterator<Item = &'a Member>) -> Self {
         let mut domains: BTreeMap<&DomainName, Vec<&Member>> = BTreeMap::new();
         let working = others
@@ -34,29 +35,30 @@
         for members in domains.values_mut() {
             members.sort_by_key(|member| (std::cmp::Reverse(member.weight), &member.id));
         }
-        let near = domains.remove(&own.domain).unwrap_or_default();
-        let mut far: Vec<SocketAddr> = domains
+        let local = domains.remove(&own.domain).unwrap_or_default();
+        let mut remote: Vec<SocketAddr> = domains
             .values()
             .filter_map(|members| members.first())
             .map(|member| member.addresses.peers)
             .collect();
-        if !far.is_empty() {
-            let first = spread(own) % far.len();
-            far.rotate_left(first);
+        if !remote.is_empty() {
+            let first = member_hash(own) % remote.len();
+            remote.rotate_left(first);
         }
         Self {
-            own: near.iter().position(|member| member.id == own.id),
-            near: near.iter().map(|member| member.addresses.peers).collect(),
-            far,
+            own_rank: local.iter().position(|member| member.id == own.id),
+            local: local.iter().map(|member| member.addresses.peers).collect(),
+            remote,
         }
     }
 
-    /// The other entries that watch the store, those to follow first.
+    /// Returns the other entries that may watch the store, in order of preference.
     pub(crate) fn watchers(&self) -> Vec<SocketAddr> {
-        let near = self.near.iter().enumerate().take(WATCHERS);
-        let near = near.filter(|(rank, _)| Some(*rank) != self.own);
-        near.map(|(_, peer)| peer)
-            .chain(&self.far)
+        let local = self.local.iter().enumerate().take(MAX_WATCHERS);
+        let local = local.filter(|(rank, _)| Some(*rank) != self.own_rank);
+        local
+            .map(|(_, peer)| peer)
+            .chain(&self.remote)
             .copied()
             .collect()
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! The tables that the tasks of one entry share.
+//! The state that the tasks of one entry share.
 
 use std::{
     collections::BTreeSet,
@@ -21,7 +21,7 @@
 
 use crate::{
     allot::Allotment,
-    cold::cool_all,
+    cold::refresh_cold,
     ground::{Ground, Homes, gate, set_bounds, set_budgets},
     metrics::Metrics,
     pass::Passed,
@@ -32,61 +32,73 @@
     upstream::{Upstream, UpstreamChoice},
 };
 
-/// Where an entry is in its life.
+/// The lifecycle phase of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has no book, or no list of leafs, yet.
+    /// The entry has no book, or no list of leafs, yet.
     Starting,
-    /// It serves.
+    /// The entry serves callers.
     Serving,
-    /// It serves callers that still have its address, and takes no others.
+    /// The entry serves callers that still have its address, and is not offered to others.
     Leaving,
 }
 
-/// About the length of the pauses that collectors and compactions cause: shorter sends
-/// calls into the rest of a pause, longer idles a leaf that has long recovered.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Cooldown of a leaf that stalls with a late call, about the length of a garbage collection
+/// or compaction: shorter sends calls into the stall, longer idles a recovered leaf.
+const STALL_COOLDOWN: Duration = Duration::from_millis(250);
 
-/// What the tasks of one entry share.
+/// The state and notifications that the tasks of one entry share.
 pub(crate) struct Shared {
+    /// The settings that the entry started with.
     pub(crate) settings: RelaySettings,
+    /// Clock, log and random numbers.
     pub(crate) host: Host,
+    /// The routing table and the relay state, under one lock.
     pub(crate) cell: Arc<Cell<Ground>>,
+    /// The port for calls to leafs.
     pub(crate) forward: Arc<dyn Forward>,
+    /// The entry's metrics.
     pub(crate) metrics: Metrics,
+    /// Byte counts of all ports.
     pub(crate) traffic: Arc<Traffic>,
+    /// The lifecycle phase.
     pub(crate) phase: watch::Sender<Phase>,
+    /// The outcome of the last revision polls of the store.
     pub(crate) pulse: watch::Sender<Pulse>,
-    /// None while the entry asks peers of which none has answered.
+    /// The current upstream; none while no peer that was asked has answered.
     pub(crate) upstream: watch::Sender<Option<Upstream>>,
+    /// What this entry passes on to its followers.
     pub(crate) passed: Passed,
-    /// Which peers failed as upstream.
+    /// The choice of the upstream, and the peers that failed as one.
     pub(crate) upstreams: Mutex<UpstreamChoice>,
-    /// Which peers have a newer book.
+    /// The peers that have a newer book.
     pub(crate) spread: Mutex<Spread>,
-    /// A peer told of a newer book.
+    /// Notified when a peer has reported a newer book.
     pub(crate) newer: Notify,
     /// The version of the book in force; 0 if there is none.
     pub(crate) version: watch::Sender<BookVersion>,
-    /// Leafs have become cold, or what bounds them has changed.
+    /// Notified when leafs become cold, or their rate limits change.
     pub(crate) cooled: Notify,
-    /// The upstream may have to change.
+    /// Notified when the upstream has to be chosen again.
     pub(crate) choose: Notify,
-    /// What is known against requests.
+    /// The crash records of suspect requests.
     pub(crate) ledger: Mutex<Ledger>,
-    /// The ledger has news to tell.
+    /// Notified when the ledger has updates to send.
     pub(crate) struck: Notify,
-    /// Where tries go that have to be looked into.
+    /// Queue of failed calls to examine for a suspect request.
     pub(crate) doubts: mpsc::Sender<Doubt>,
-    /// Where requests go whose record in the store has to change.
+    /// Queue of requests whose record in the store has to be updated.
     pub(crate) verdicts: mpsc::Sender<Fingerprint>,
+    /// Requests that run now.
     pub(crate) in_flight: AtomicU32,
-    /// Calls to leafs so far.
+    /// Total number of calls to leafs.
     pub(crate) calls: AtomicU64,
+    /// The next request id.
     requests: AtomicU64,
 }
 
 impl Shared {
+    /// Creates the state of an entry that starts.
     pub(crate) fn new(
         settings: RelaySettings,
         host: Host,
@@ -97,7 +109,7 @@
     ) -> Self {
         let config = TableConfig {
             choice: Choice::Predicted,
-            stall: PAUSE,
+            stall: STALL_COOLDOWN,
             ..TableConfig::default()
         };
         let ground = Ground::new(&settings);
@@ -130,55 +142,58 @@
         }
     }
 
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Time {
         self.host.now()
     }
 
+    /// Returns the lifecycle phase.
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
+    /// Returns a new request id.
     pub(crate) fn next_request(&self) -> RequestId {
         RequestId(self.requests.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes it that a peer failed as upstream.
+    /// Records that a peer failed as upstream, and has the upstream chosen again.
     pub(crate) fn failed(&self, peer: SocketAddr) {
         let now = self.now();
         lock(&self.upstreams).failed(peer, now.since(Time::ZERO), now);
         self.choose.notify_one();
     }
 
-    /// The version of the book in force; 0 if there is none.
+    /// Returns the version of the book in force; 0 if there is none.
     pub(crate) fn book_version(&self) -> BookVersion {
         *self.version.borrow()
     }
 
-    /// Takes it that a peer has `version` of the book in force.
+    /// Records the version of the book that a peer has in force.
     pub(crate) fn hear_version(&self, peer: SocketAddr, version: BookVersion, from: Distance) {
         let now = self.now();
         let mut spread = lock(&self.spread);
-        let news = spread.told(peer, version, from, now);
+        let is_newer = spread.told(peer, version, from, now);
         let behind = spread.behind(now);
         self.metrics.set_behind(behind);
         drop(spread);
-        if news {
+        if is_newer {
             info!(self.host.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
         }
-        // Also if the version is no news: a near peer that has it is asked at once, and
-        // before it a far one may have told of it.
+        // Also if the version was known: a remote peer may have reported it first, and a
+        // local peer can be asked at once.
         if behind.is_some() {
             self.newer.notify_one();
         }
     }
 
-    /// Takes a book, unless a newer one is known. Tells whether it did.
+    /// Puts a book in force if it is newer than the one in force; returns whether it is.
     pub(crate) fn take_book(&self, mut book: RouteBook, from: Upstream) -> bool {
         let (now, version) = (self.now(), book.version);
         if from == Upstream::Store {
-            let held = lock(&self.cell.state).extra.book.clone();
-            if let Some(held) = held {
-                book.share(&held);
+            let current = lock(&self.cell.state).extra.book.clone();
+            if let Some(current) = current {
+                book.share(&current);
             }
         }
         let mut state = lock(&self.cell.state);
@@ -186,13 +201,13 @@
         if known.is_some_and(|known| known >= version) {
             return false;
         }
-        keep_rules(&mut state.extra, &book);
+        retain_rules(&mut state.extra, &book);
         let rules = book.rules().count();
         let book = Arc::new(book);
         state.extra.book = Some(book.clone());
-        state.extra.homes = None;
+        state.extra.leaf_domains = None;
         set_bounds(&mut state);
-        cool_all(&mut state, now);
+        refresh_cold(&mut state, now);
         lock(&self.passed.books).put(book);
         drop(state);
         self.metrics.book.set(version.0 as i64);
@@ -207,7 +222,7 @@
         true
     }
 
-    /// Puts settings in force that may change while the entry runs.
+    /// Applies the settings that may change while the entry runs.
     pub(crate) fn reload(&self, extra: ExtraCalls, times: Times) {
         let mut state = lock(&self.cell.state);
         let state = &mut *state;
@@ -217,12 +232,12 @@
         set_budgets(state);
     }
 
-    /// Where the leafs of what callers ask for are.
+    /// Returns the failure domains of the leafs that the book's rules use.
     pub(crate) fn homes(&self) -> Arc<Homes> {
-        lock(&self.cell.state).extra.homes()
+        lock(&self.cell.state).extra.leaf_domains()
     }
 
-    /// Sets what this entry may use of what all share.
+    /// Sets this entry's quota of the resources that all entries share.
     pub(crate) fn allot(&self, allotment: Allotment) {
         let mut state = lock(&self.cell.state);
         let state = &mut *state;
@@ -237,15 +252,14 @@
     }
 }
 
-/// Keeps what is known of the rules that `book` names, and frees the classes of the
-/// others.
-fn keep_rules(ground: &mut Ground, book: &RouteBook) {
+/// Keeps the state of the rules that `book` names, and frees the classes of all others.
+fn retain_rules(ground: &mut Ground, book: &RouteBook) {
     let named: BTreeSet<&String> = book.rules().map(|rule| &rule.name).collect();
     ground.rules.retain(|name, kept| {
-        let stays = named.contains(name);
-        if !stays && kept.class != Class::default() {
-            ground.spare.push(kept.class);
+        let retained = named.contains(name);
+        if !retained && kept.class != Class::default() {
+            ground.free_classes.push(kept.class);
         }
-        stays
+        retained
     });
 }
--- a/crates/relay/src/spread.rs
+++ b/crates/relay/src/spread.rs
@@ -1,4 +1,5 @@
-//! From which peer an entry reads a newer book, and when.
+//! Propagation of the route book: from which peer an entry reads a newer version, and
+//! when.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -6,66 +7,65 @@
 use chestnut_port::Distance;
 use chestnut_unit::Time;
 
-/// Peers of which it is kept that they have a newer book. Past it the others are
-/// passed over: one is enough to read from, and each tells again with its next probe.
-const AHEAD_MAX: usize = 64;
-/// How long peers of the own failure domain are waited for before one of another domain
-/// is asked. They mostly have the version some milliseconds later, and bytes between
-/// domains are paid for.
-const FAR_REST: Duration = Duration::from_millis(100);
-/// How long a peer that did not answer is not asked again.
-const BAD_SPAN: Duration = Duration::from_secs(1);
-
-/// How long a reading may take before another peer is asked beside it. A peer whose link
-/// is full is slow and not lost, and others may have room; a change of 1,400 routes is
-/// 21 KB and takes 12 ms on a link of 14 Mbit/s that is free.
-const SLOW: Duration = Duration::from_millis(400);
-/// Readings under way at once.
-const READINGS: usize = 2;
-
-/// What to do about a newer book.
+/// Peers with a newer book that are tracked. Others are ignored: one is enough to read
+/// from, and each reports its version again with its next probe.
+const MAX_TRACKED_PEERS: usize = 64;
+/// Delay before a peer in another failure domain is asked. Peers in the own domain
+/// usually have the version shortly after, and traffic between domains costs money.
+const REMOTE_DELAY: Duration = Duration::from_millis(100);
+/// Backoff of a peer from which a read failed.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
+
+/// Delay before a hedged read from another peer, as a peer whose link is congested is
+/// slow but not lost.
+const HEDGE_DELAY: Duration = Duration::from_millis(400);
+/// Concurrent reads.
+const MAX_READS: usize = 2;
+
+/// The next step towards a newer book.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pull {
-    /// Read it from this peer.
+    /// Read the book from this peer.
     From(SocketAddr),
-    /// Look again then, or when a peer tells of its book.
+    /// Check again at this time, or when a peer reports its version.
     Rest(Time),
-    /// Nothing, until a peer tells of its book or a reading ends.
+    /// Wait until a peer reports its version or a read ends.
     Nothing,
 }
 
+/// A peer's version of the book that is newer than the own one.
 #[derive(Clone, Copy, Debug)]
-struct Ahead {
+struct NewerVersion {
     version: BookVersion,
     distance: Distance,
-    /// From when on it may be asked.
-    from: Time,
+    /// Time before which the peer is not asked.
+    not_before: Time,
 }
 
-/// Which peers have a newer book than this entry.
+/// The peers that have a newer book than this entry, and the reads under way.
 ///
-/// A version that the store has taken is in force for good, so whoever has it may pass
-/// it on, whatever became of the store or of what that peer follows. Every probe and
-/// pulse tells the sender's version, and whoever takes a new one tells some members at
-/// once: a change goes from entry to entry, and one that was missed reads it from any
-/// member that it meets.
+/// Every probe and revision poll reports the sender's version, and an entry that puts a
+/// new version in force reports it to some members at once, so versions propagate by
+/// gossip. An entry that missed one reads it from any member that has it.
 ///
-/// Unlike lists of leafs, of which old news does harm, books need no upstream. If they
-/// came from it alone, entries that have a version would keep it from others that ask,
-/// because they follow another one or have lost the store.
+/// Books can come from any peer, whatever its upstream and the state of the store, since a
+/// version that the store accepted stays valid. Lists of leafs must come from the upstream,
+/// because stale ones do harm.
 #[derive(Clone, Debug, Default)]
 pub struct Spread {
-    own: BookVersion,
-    ahead: BTreeMap<SocketAddr, Ahead>,
-    /// Peers that are being read from, and since when.
-    readings: BTreeMap<SocketAddr, Time>,
-    /// Since when a newer version than the own one is known of.
+    /// The version in force here.
+    own_version: BookVersion,
+    /// The peers with a newer version.
+    ahead: BTreeMap<SocketAddr, NewerVersion>,
+    /// Peers that are being read from, and the start of each read.
+    reads: BTreeMap<SocketAddr, Time>,
+    /// When a version newer than the own one was first reported.
     since: Option<Time>,
 }
 
 impl Spread {
-    /// Takes it that `peer` has `version`. Tells whether it is newer than all that was
-    /// known of.
+    /// Records that `peer` has `version`. Returns whether it is newer than all versions
+    /// that were known.
     pub fn told(
         &mut self,
         peer: SocketAddr,
@@ -73,35 +73,35 @@
         distance: Distance,
         now: Time,
     ) -> bool {
-        if version <= self.own {
+        if version <= self.own_version {
             self.lacks(peer);
             return false;
         }
-        let news = self.newest().is_none_or(|newest| version > newest);
-        let rest = match distance {
+        let is_newer = self.newest().is_none_or(|newest| version > newest);
+        let delay = match distance {
             Distance::Near => Duration::ZERO,
-            Distance::Far => FAR_REST,
+            Distance::Far => REMOTE_DELAY,
         };
-        let room = self.ahead.len() < AHEAD_MAX;
+        let has_capacity = self.ahead.len() < MAX_TRACKED_PEERS;
         if let Some(ahead) = self.ahead.get_mut(&peer) {
             ahead.version = version;
-        } else if room {
-            let from = now + rest;
-            let ahead = Ahead {
+        } else if has_capacity {
+            let not_before = now + delay;
+            let ahead = NewerVersion {
                 version,
                 distance,
-                from,
+                not_before,
             };
             self.ahead.insert(peer, ahead);
         }
         self.since.get_or_insert(now);
-        news
+        is_newer
     }
 
-    /// Takes it that `version` is in force here. Tells for how long a newer one had
-    /// been known of.
+    /// Records that `version` is in force here. Returns for how long a newer version than
+    /// the one before had been known.
     pub fn taken(&mut self, version: BookVersion, now: Time) -> Option<Duration> {
-        self.own = self.own.max(version);
+        self.own_version = self.own_version.max(version);
         self.ahead.retain(|_, ahead| ahead.version > version);
         let since = self.since?;
         if self.ahead.is_empty() {
@@ -110,7 +110,7 @@
         Some(now.since(since))
     }
 
-    /// Takes it that `peer` has no newer version after all.
+    /// Records that `peer` has no newer version.
     pub fn lacks(&mut self, peer: SocketAddr) {
         self.ahead.remove(&peer);
         if self.ahead.is_empty() {
@@ -118,61 +118,61 @@
         }
     }
 
-    /// Takes it that `peer` did not pass on what it told of.
+    /// Records that a read from `peer` failed, which starts its backoff.
     pub fn failed(&mut self, peer: SocketAddr, now: Time) {
         if let Some(ahead) = self.ahead.get_mut(&peer) {
-            ahead.from = now + BAD_SPAN;
+            ahead.not_before = now + FAILURE_BACKOFF;
         }
     }
 
-    /// Takes it that a reading from `peer` begins.
+    /// Records the start of a read from `peer`.
     pub fn begun(&mut self, peer: SocketAddr, now: Time) {
-        self.readings.insert(peer, now);
+        self.reads.insert(peer, now);
     }
 
-    /// Takes it that the reading from `peer` has ended, well or not.
+    /// Records the end of the read from `peer`, successful or not.
     pub fn ended(&mut self, peer: SocketAddr) {
-        self.readings.remove(&peer);
+        self.reads.remove(&peer);
     }
 
-    /// What to do now. Among peers that are equally good `draw` decides, so that
-    /// entries which hear of a version together don't all ask the same peer.
+    /// Returns the next step. The random number `draw` breaks ties between peers, so that
+    /// entries that learn of a version together don't all ask the same peer.
     #[must_use]
     pub fn next(&self, draw: u64, now: Time) -> Pull {
-        let slow = self.readings.values().max().map(|since| *since + SLOW);
-        if self.readings.len() >= READINGS {
+        let hedge_at = self.reads.values().max().map(|since| *since + HEDGE_DELAY);
+        if self.reads.len() >= MAX_READS {
             return Pull::Nothing;
         }
         let others = self.ahead.iter();
-        let others = others.filter(|(peer, _)| !self.readings.contains_key(peer));
-        if let Some(slow) = slow.filter(|slow| now < *slow) {
+        let others = others.filter(|(peer, _)| !self.reads.contains_key(peer));
+        if let Some(hedge_at) = hedge_at.filter(|hedge_at| now < *hedge_at) {
             return match others.count() {
                 0 => Pull::Nothing,
-                _ => Pull::Rest(slow),
+                _ => Pull::Rest(hedge_at),
             };
         }
-        let ready = others.clone().filter(|(_, ahead)| ahead.from <= now);
-        let rank = |ahead: &Ahead| (ahead.distance, std::cmp::Reverse(ahead.version));
+        let ready = others.clone().filter(|(_, ahead)| ahead.not_before <= now);
+        let rank = |ahead: &NewerVersion| (ahead.distance, std::cmp::Reverse(ahead.version));
         let best = ready.clone().map(|(_, ahead)| rank(ahead)).min();
         let Some(best) = best else {
-            let soonest = others.map(|(_, ahead)| ahead.from).min();
+            let soonest = others.map(|(_, ahead)| ahead.not_before).min();
             return soonest.map_or(Pull::Nothing, Pull::Rest);
         };
-        let equal: Vec<&SocketAddr> = ready
+        let tied: Vec<&SocketAddr> = ready
             .filter(|(_, ahead)| rank(ahead) == best)
             .map(|(peer, _)| peer)
             .collect();
-        let at = (draw % equal.len() as u64) as usize;
-        Pull::From(*equal[at])
+        let at = (draw % tied.len() as u64) as usize;
+        Pull::From(*tied[at])
     }
 
-    /// The newest version that a peer told of, if it is newer than the own one.
+    /// Returns the newest version that a peer reported, if it is newer than the own one.
     #[must_use]
     pub fn newest(&self) -> Option<BookVersion> {
         self.ahead.values().map(|ahead| ahead.version).max()
     }
 
-    /// For how long a newer version has been known of.
+    /// Returns for how long a newer version has been known, if one is.
     #[must_use]
     pub fn behind(&self, now: Time) -> Option<Duration> {
         self.since.map(|since| now.since(since))
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,4 +1,4 @@
-//! From whom an entry hears of changes.
+//! The choice of an entry's upstream: the store, or another entry that watches the store.
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr, time::Duration};
 
@@ -6,58 +6,53 @@
 use chestnut_unit::Time;
 use displaydoc::Display;
 
-use crate::ranked::Ranked;
-
-/// How long a peer that did not answer is not asked again.
-const BAD_SPAN: Duration = Duration::from_secs(5);
-/// How long it is believed that a peer has lost the store, or hears of it from
-/// another one, unless it is asked again.
-const WORD_SPAN: Duration = Duration::from_secs(3);
-/// How long an answer of the store to this entry outweighs what peers say of it:
-/// two pulses.
-const SERVED_SPAN: Duration = Duration::from_secs(2);
-/// How long after an answer of the store an entry passes on what it hears: three
-/// pulses. One that is cut off finds out within a pulse and its wait, 1.8 s.
-const HEARS_SPAN: Duration = Duration::from_secs(3);
-/// How long a peer is not asked again that sent this entry to one that is no use.
-const LOOP_REST: Duration = Duration::from_millis(300);
-/// How long it is believed that a peer which follows one that has lost the store has
-/// lost it too: a pulse, with which it notices and asks another one, or the store.
-const NOTICE_SPAN: Duration = Duration::from_secs(1);
-/// Peers that must have lost the store before it is taken to be lost to all. One
-/// alone may be cut off from it.
+use crate::ranked::Ranking;
+
+/// Backoff of a peer that did not answer.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
+/// Lifetime of a peer's report that it has lost the store, or of a redirect to another
+/// peer.
+const REPORT_TTL: Duration = Duration::from_secs(3);
+/// Time for which an answer of the store to this entry outweighs a peer's report that
+/// the store is lost: two revision polls.
+const OWN_ANSWER_PRECEDENCE: Duration = Duration::from_secs(2);
+/// Time after an answer of the store for which an entry passes on updates: three
+/// revision polls, longer than a partitioned entry needs to notice.
+const STORE_ANSWER_TTL: Duration = Duration::from_secs(3);
+/// Backoff of a peer that is not ready, or redirected this entry to an unusable peer.
+const REDIRECT_BACKOFF: Duration = Duration::from_millis(300);
+/// Time for which a peer counts as having lost the store because its upstream has: one
+/// revision poll, with which the peer notices and changes its upstream.
+const INFERRED_LOSS_TTL: Duration = Duration::from_secs(1);
+/// Peers that must have lost the store before it counts as lost for all; a single one
+/// may be partitioned from it.
 const LOST_QUORUM: usize = 2;
-/// How long an entry that starts asks the seeds before it asks the store: seeds that
-/// run, or start with it, answer within it. The time differs between entries up to
-/// the longest, as those that all ask the store at once are paid for one by one.
-///
-/// After a loss of power the seeds may come back last, and the others would refuse every
-/// caller meanwhile beside a store that answers in milliseconds.
-const SEEDS_LEAST: Duration = Duration::from_millis(30);
-const SEEDS_MOST: Duration = Duration::from_millis(120);
-/// Calls a second that an entry must be able to carry to ask so soon: a hundred
-/// requests over fifteen shards. Weaker ones carry callers only where there are no
-/// stronger ones, and are many: their calls to the store cost more than callers gain.
-const SWIFT: u32 = 1500;
-/// How long weaker ones ask the seeds.
-const SEEDS_SLOW: Duration = Duration::from_millis(400);
-/// How long a seed that did not answer is not asked again, during that span.
-const SEED_REST: Duration = Duration::from_millis(25);
-/// How long an entry that has started stays with the peer that answered it. Its
-/// view of the members takes about three seconds to become whole at 90 entries;
-/// by a part of it, many would take themselves for their domain's strongest.
-const SETTLE: Duration = Duration::from_secs(5);
-
-/// From whom an entry hears of changes.
+/// Least time that a starting entry asks the seeds before it asks the store. It is short,
+/// so that entries can serve if the seeds are the last to restart after a power loss.
+const MIN_SEED_WAIT: Duration = Duration::from_millis(30);
+/// Upper end of that time, which varies by entry so that calls to the store are spread out.
+const MAX_SEED_WAIT: Duration = Duration::from_millis(120);
+/// Weight, in calls per second, from which an entry turns to the store so soon. Lighter
+/// ones are many and rarely serve callers, so their calls to the store would not pay off.
+const FAST_WEIGHT: u32 = 1500;
+/// Time that lighter entries ask the seeds.
+const SLOW_SEED_WAIT: Duration = Duration::from_millis(400);
+/// Backoff of a seed that did not answer, during that time.
+const SEED_BACKOFF: Duration = Duration::from_millis(25);
+/// Time after the start for which an entry keeps the peer that answered it. With an
+/// incomplete view of the members, many would rank themselves first in their domain.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+
+/// The source from which an entry receives updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From an entry that watches the store.
+    /// Another entry, which watches the store.
     Peer(SocketAddr),
 }
 
-/// Why an entry hears of changes from where it does.
+/// The reason for the choice of an upstream; each text is a value in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 pub enum Cause {
     /// it starts and asks the seeds, or the store after them
@@ -90,152 +85,159 @@
     }
 }
 
-/// Chooses from whom to hear.
+/// The state from which an entry chooses its upstream.
 ///
-/// The strongest entry of each failure domain watches the store and passes on
-/// what it hears; the others follow it, the second strongest, or the strongest of
-/// another domain. So the store's calls grow with the failure domains and not
-/// with the entries. Entries that follow pass nothing on, and name the one that
-/// they follow: two that took each other for watchers would hear nothing and
-/// miss nothing.
+/// The entry with the greatest weight in each failure domain watches the store and passes
+/// on updates. The others receive updates from it, from the second in the domain, or from
+/// the first of another domain, so that the load on the store grows with the failure
+/// domains and not with the entries. Entries that don't watch the store pass on nothing and
+/// redirect to their upstream; otherwise two could follow each other and receive nothing.
 ///
-/// When the store is lost, entries that follow wait for those that watch it. If
-/// all turned to the store, thousands would ask it in vain, and again all at
-/// once when it is back. As a single watcher may be cut off, it takes two that
-/// have lost the store, and none that has it. A watcher that has lost the store
-/// asks those of other domains, and sends its followers where it finds it.
+/// While the store is lost, followers wait for the watchers; if all turned to the store,
+/// they would overload it as it recovers. They wait only if two watchers have lost the
+/// store and none is usable, as a single one may be partitioned. A watcher that has lost
+/// the store asks those of other domains and redirects its followers.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamChoice {
-    /// Peers that did not answer, and until when they are not asked.
-    bad: BTreeMap<SocketAddr, Time>,
-    /// Peers that have lost the store, and until when that is believed.
+    /// Peers in backoff, and the end of each backoff.
+    backoffs: BTreeMap<SocketAddr, Time>,
+    /// Peers that have lost the store, and the time at which each report expires.
     lost: BTreeMap<SocketAddr, Time>,
-    /// The peer that answered last.
+    /// The peer that answered most recently.
     current: Option<SocketAddr>,
-    /// The peer that this entry was sent to, and until when it follows it.
-    sent: Option<(SocketAddr, Time)>,
-    /// Until when the store is not asked, as it did not answer this entry.
-    deaf: Option<Time>,
-    /// When the store answered this entry last; none if it has failed to since.
-    served: Option<Time>,
+    /// The peer that this entry was redirected to, and the time at which that expires.
+    redirect: Option<(SocketAddr, Time)>,
+    /// End of the backoff of the store, after it did not answer this entry.
+    store_backoff: Option<Time>,
+    /// Time of the store's last answer to this entry; none after a failure.
+    last_answer: Option<Time>,
+    /// Reason for the last choice.
     cause: Cause,
 }
 
 impl UpstreamChoice {
-    /// Takes it that a peer did not answer.
+    /// Records that a peer did not answer, which starts its backoff; `age` is the time since
+    /// this entry started.
     pub fn failed(&mut self, peer: SocketAddr, age: Duration, now: Time) {
-        let span = if age < SEEDS_SLOW {
-            SEED_REST
+        let backoff = if age < SLOW_SEED_WAIT {
+            SEED_BACKOFF
         } else {
-            BAD_SPAN
+            FAILURE_BACKOFF
         };
-        self.avoid(peer, now + span);
+        self.back_off(peer, now + backoff);
     }
 
-    /// Takes it that a peer has nothing to pass on to an entry that starts: it
-    /// may just start too.
+    /// Records that a peer has nothing to pass on to an entry that starts, since it may be
+    /// starting too; `age` is the time since this entry started.
     pub fn not_ready(&mut self, peer: SocketAddr, age: Duration, now: Time) {
-        let rest = match age < SEEDS_SLOW {
-            true => SEED_REST,
-            false => LOOP_REST,
+        let backoff = match age < SLOW_SEED_WAIT {
+            true => SEED_BACKOFF,
+            false => REDIRECT_BACKOFF,
         };
-        self.avoid(peer, now + rest);
+        self.back_off(peer, now + backoff);
     }
 
-    /// Takes it that a peer answered.
+    /// Records that a peer answered.
     pub fn answered(&mut self, peer: SocketAddr) {
         self.lost.remove(&peer);
         self.current = Some(peer);
     }
 
-    /// Takes it that a peer has lost the store. Where the store has just answered
-    /// this entry, that is the peer's own trouble.
+    /// Records that a peer has lost the store. If the store has just answered this entry,
+    /// the peer counts as failed instead.
     pub fn lost(&mut self, peer: SocketAddr, now: Time) {
-        self.forget(peer);
-        match self.served.is_some_and(|at| now.since(at) < SERVED_SPAN) {
-            true => self.bad.insert(peer, now + BAD_SPAN),
-            false => self.lost.insert(peer, now + WORD_SPAN),
+        self.clear_current(peer);
+        match self
+            .last_answer
+            .is_some_and(|at| now.since(at) < OWN_ANSWER_PRECEDENCE)
+        {
+            true => self.backoffs.insert(peer, now + FAILURE_BACKOFF),
+            false => self.lost.insert(peer, now + REPORT_TTL),
         };
     }
 
-    /// Takes it that `peer` hears of the store from the entry at `to`. Where that one has
-    /// lost the store, so has `peer`, which will notice it with its next pulse. Taken
-    /// for no use, it would leave one that has lost the store, one short of the quorum,
-    /// and all entries would ask the store.
+    /// Records that `peer` redirected this entry, whose address is `own`, to `to`.
+    ///
+    /// If `to` has lost the store, `peer` has lost it too and will notice. Were `peer` only
+    /// put into backoff, the quorum would be missed and all entries would ask the store.
     pub fn redirected(&mut self, peer: SocketAddr, to: SocketAddr, own: SocketAddr, now: Time) {
         if to != own && self.is_lost(to) {
-            self.forget(peer);
-            self.lost.insert(peer, now + NOTICE_SPAN);
+            self.clear_current(peer);
+            self.lost.insert(peer, now + INFERRED_LOSS_TTL);
         } else if to == own || !self.is_usable(to) {
-            self.avoid(peer, now + LOOP_REST);
+            self.back_off(peer, now + REDIRECT_BACKOFF);
         } else {
-            self.sent = Some((to, now + WORD_SPAN));
+            self.redirect = Some((to, now + REPORT_TTL));
         }
     }
 
-    /// Takes it that the store answered this entry.
+    /// Records that the store answered this entry.
     pub fn store_answered(&mut self, now: Time) {
-        self.served = Some(now);
+        self.last_answer = Some(now);
     }
 
-    /// Whether the store has answered this entry lately, which may pass that on. It
-    /// goes by the answer and not by the upstream: an entry that looks for a moment
-    /// whether its peers have the store again would tell those that ask in that
-    /// moment that it has lost it, and be believed for three seconds.
+    /// Returns whether the store answered this entry recently, so that it may pass on
+    /// updates.
+    ///
+    /// The last answer counts, not the upstream: an entry that briefly checks whether its
+    /// peers have the store again would otherwise report that it has lost the store.
     #[must_use]
     pub fn hears_store(&self, now: Time) -> bool {
-        self.served.is_some_and(|at| now.since(at) < HEARS_SPAN)
+        self.last_answer
+            .is_some_and(|at| now.since(at) < STORE_ANSWER_TTL)
     }
 
-    /// Takes it that the store did not answer this entry, which asks others until
-    /// then.
+    /// Records that the store did not answer this entry, which asks peers until `until`.
     pub fn store_failed(&mut self, until: Time) {
-        self.deaf = Some(until);
-        self.served = None;
+        self.store_backoff = Some(until);
+        self.last_answer = None;
     }
 
-    /// Whether the store is not asked now, as it did not answer this entry.
+    /// Returns whether the store is in backoff, as it did not answer this entry.
     #[must_use]
     pub fn is_deaf(&self) -> bool {
-        self.deaf.is_some()
+        self.store_backoff.is_some()
     }
 
-    /// Takes it that the store answers this entry although its peers have lost
-    /// it.
+    /// Records that the store answers this entry although its peers have lost it; those
+    /// peers go into backoff.
     pub fn store_answers(&mut self, now: Time) {
         for (peer, _) in std::mem::take(&mut self.lost) {
-            self.bad.insert(peer, now + BAD_SPAN);
+            self.backoffs.insert(peer, now + FAILURE_BACKOFF);
         }
     }
 
-    /// Whether `peer` answered last time. Only such a one is named to others:
-    /// entries that look for one to follow would send each other around.
+    /// Returns whether `peer` was the last to answer. Others are redirected only to such a
+    /// peer, or entries in search of an upstream would redirect each other in circles.
     #[must_use]
     pub fn is_heard(&self, peer: SocketAddr) -> bool {
         self.current == Some(peer)
     }
 
-    /// Whether a peer has lost the store.
+    /// Returns whether a peer has lost the store.
     #[must_use]
     pub fn is_lost(&self, peer: SocketAddr) -> bool {
         self.lost.contains_key(&peer)
     }
 
+    /// Returns whether a peer is neither in backoff nor has lost the store.
     fn is_usable(&self, peer: SocketAddr) -> bool {
-        !self.bad.contains_key(&peer) && !self.lost.contains_key(&peer)
+        !self.backoffs.contains_key(&peer) && !self.lost.contains_key(&peer)
     }
 
-    fn avoid(&mut self, peer: SocketAddr, until: Time) {
-        self.forget(peer);
-        self.bad.insert(peer, until);
+    /// Starts the backoff of a peer.
+    fn back_off(&mut self, peer: SocketAddr, until: Time) {
+        self.clear_current(peer);
+        self.backoffs.insert(peer, until);
     }
 
-    fn forget(&mut self, peer: SocketAddr) {
+    /// Clears the current peer if it is `peer`.
+    fn clear_current(&mut self, peer: SocketAddr) {
         self.current = self.current.filter(|current| *current != peer);
     }
 
-    /// The upstream of `own`, which started `age` ago, among the members that
-    /// it knows.
+    /// Chooses the upstream of `own`, which started `age` ago, among the store, the known
+    /// members `others` and the seeds.
     pub fn choose<'a>(
         &mut self,
         own: &'a Member,
@@ -244,86 +246,91 @@
         age: Duration,
         now: Time,
     ) -> Upstream {
-        self.bad.retain(|_, until| now < *until);
+        self.backoffs.retain(|_, until| now < *until);
         self.lost.retain(|_, until| now < *until);
-        self.deaf = self.deaf.filter(|until| now < *until);
-        let ranked = Ranked::new(own, others);
-        let (upstream, cause) = self.decide(own, &ranked, seeds, age, now);
+        self.store_backoff = self.store_backoff.filter(|until| now < *until);
+        let ranking = Ranking::new(own, others);
+        let (upstream, cause) = self.decide(own, &ranking, seeds, age, now);
         self.cause = cause;
         upstream
     }
 
-    /// Why the last choice fell as it did.
+    /// Returns the reason for the last choice.
     #[must_use]
     pub fn cause(&self) -> Cause {
         self.cause
     }
 
+    /// Chooses the upstream by the ranking, without expiring any state.
     fn decide(
         &self,
         own: &Member,
-        ranked: &Ranked,
+        ranking: &Ranking,
         seeds: &[SocketAddr],
         age: Duration,
         now: Time,
     ) -> (Upstream, Cause) {
         let is_seed = seeds.contains(&own.addresses.peers);
-        let watches = match age < SETTLE {
+        let watches = match age < SETTLE_TIME {
             true => is_seed,
-            false => ranked.own == Some(0),
+            false => ranking.own_rank == Some(0),
         };
-        if watches && self.deaf.is_none() {
+        if watches && self.store_backoff.is_none() {
             return (Upstream::Store, Cause::Watches);
         }
-        let sent = self.sent.filter(|(_, until)| now < *until);
-        let current = self.current.filter(|_| age < SETTLE);
-        let sent = sent.map(|(peer, _)| (peer, Cause::Sent));
-        let word = sent.or(current.map(|peer| (peer, Cause::Stays)));
-        if let Some((peer, cause)) = word.filter(|(peer, _)| self.is_usable(*peer)) {
+        let redirect = self.redirect.filter(|(_, until)| now < *until);
+        let current = self.current.filter(|_| age < SETTLE_TIME);
+        let redirect = redirect.map(|(peer, _)| (peer, Cause::Sent));
+        let recent = redirect.or(current.map(|peer| (peer, Cause::Stays)));
+        if let Some((peer, cause)) = recent.filter(|(peer, _)| self.is_usable(*peer)) {
             return (Upstream::Peer(peer), cause);
         }
-        let watchers = ranked.watchers();
-        let alone = ranked.near.len() <= 1;
-        let nobody = (Upstream::Store, Cause::Nobody);
-        match ranked.own {
-            _ if self.deaf.is_some() => {
+        let watchers = ranking.watchers();
+        let alone = ranking.local.len() <= 1;
+        let fallback = (Upstream::Store, Cause::Nobody);
+        match ranking.own_rank {
+            _ if self.store_backoff.is_some() => {
                 let own = own.addresses.peers;
                 let seeds: Vec<SocketAddr> = seeds.iter().copied().filter(|s| *s != own).collect();
-                let peer = self.follow(&watchers).or_else(|| self.follow(&seeds));
-                peer.map_or(nobody, |peer| (Upstream::Peer(peer), Cause::Deaf))
+                let peer = self
+                    .first_usable(&watchers)
+                    .or_else(|| self.first_usable(&seeds));
+                peer.map_or(fallback, |peer| (Upstream::Peer(peer), Cause::Deaf))
             }
-            _ if alone => (self.seed(own, seeds, age), Cause::Starts),
+            _ if alone => (self.seed_upstream(own, seeds, age), Cause::Starts),
             Some(0) => (Upstream::Store, Cause::Watches),
-            Some(1) if !self.is_usable(ranked.near[0]) => (Upstream::Store, Cause::TakesOver),
+            Some(1) if !self.is_usable(ranking.local[0]) => (Upstream::Store, Cause::TakesOver),
             _ => {
-                let follows = self.follow(&watchers).map(|peer| (peer, Cause::Follows));
-                let waits = || self.wait(&watchers).map(|peer| (peer, Cause::Waits));
-                let word = follows.or_else(waits);
-                word.map_or(nobody, |(peer, cause)| (Upstream::Peer(peer), cause))
+                let follows = self
+                    .first_usable(&watchers)
+                    .map(|peer| (peer, Cause::Follows));
+                let waits = || self.find_lost(&watchers).map(|peer| (peer, Cause::Waits));
+                let choice = follows.or_else(waits);
+                choice.map_or(fallback, |(peer, cause)| (Upstream::Peer(peer), cause))
             }
         }
     }
 
-    /// The first of `watchers` that may be followed.
-    fn follow(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
+    /// Returns the first usable peer of `watchers`.
+    fn first_usable(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
         let peer = watchers.iter().find(|peer| self.is_usable(**peer));
         peer.copied()
     }
 
-    /// One of `watchers` that has lost the store, if enough have.
-    fn wait(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
+    /// Returns one of `watchers` that has lost the store, if a quorum has.
+    fn find_lost(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
         let mut lost = watchers.iter().filter(|peer| self.is_lost(**peer));
         let enough = lost.clone().count() >= LOST_QUORUM;
         lost.next().copied().filter(|_| enough)
     }
 
-    /// Before any member is known.
-    fn seed(&self, own: &Member, seeds: &[SocketAddr], age: Duration) -> Upstream {
-        if age >= patience(own) {
+    /// Chooses the upstream before any member is known.
+    fn seed_upstream(&self, own: &Member, seeds: &[SocketAddr], age: Duration) -> Upstream {
+        if age >= seed_wait(own) {
             return Upstream::Store;
         }
         match self.pick_seed(own, seeds) {
-            // None answers yet: they start at the same time as this entry.
+            // No seed answers yet; the seeds may be starting together with this entry.
             Upstream::Store => seeds
                 .first()
                 .map_or(Upstream::Store, |s| Upstream::Peer(*s)),
@@ -331,33 +338,33 @@
         }
     }
 
-    /// One of the seeds that is not known to be bad, a different one for
-    /// different entries.
+    /// Picks one of the seeds that are not in backoff, by a hash of the member id; the
+    /// store if there is none.
     fn pick_seed(&self, own: &Member, peers: &[SocketAddr]) -> Upstream {
-        let good: Vec<&SocketAddr> = peers
+        let usable: Vec<&SocketAddr> = peers
             .iter()
-            .filter(|peer| !self.bad.contains_key(peer))
+            .filter(|peer| !self.backoffs.contains_key(peer))
             .collect();
-        match good.is_empty() {
+        match usable.is_empty() {
             true => Upstream::Store,
-            false => Upstream::Peer(*good[spread(own) % good.len()]),
+            false => Upstream::Peer(*usable[member_hash(own) % usable.len()]),
         }
     }
 }
 
-/// How long `own` asks the seeds when it starts.
-fn patience(own: &Member) -> Duration {
-    /// Steps from the least to the most.
+/// Returns how long `own` asks the seeds when it starts.
+fn seed_wait(own: &Member) -> Duration {
+    /// Number of different wait limits.
     const STEPS: usize = 16;
-    if own.weight < SWIFT {
-        return SEEDS_SLOW;
+    if own.weight < FAST_WEIGHT {
+        return SLOW_SEED_WAIT;
     }
-    let part = (spread(own) % STEPS) as f64 / STEPS as f64;
-    SEEDS_LEAST + (SEEDS_MOST - SEEDS_LEAST).mul_f64(part)
+    let part = (member_hash(own) % STEPS) as f64 / STEPS as f64;
+    MIN_SEED_WAIT + (MAX_SEED_WAIT - MIN_SEED_WAIT).mul_f64(part)
 }
 
-/// A number that differs between entries, so that they choose differently.
-pub(crate) fn spread(own: &Member) -> usize {
+/// Hashes the member id, so that entries make different choices.
+pub(crate) fn member_hash(own: &Member) -> usize {
     let mix = |sum: usize, byte: u8| sum.wrapping_mul(31).wrapping_add(usize::from(byte));
     own.id.as_str().bytes().fold(0, mix)
 }
