--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -1,4 +1,7 @@
-//! Calls of one forwarded request to leafs.
+//! The calls that one forwarded request makes to leafs.
+//!
+//! A leaf is a process that runs requests of one service. In a gather (scatter-gather)
+//! each service is one shard.
 
 use std::{
     fmt::Display,
@@ -16,34 +19,38 @@
 
 use crate::{cold::send_until, ground::Ground, shared::Shared};
 
-/// A forwarded request and what its calls brought beside answers.
-pub(crate) struct Forwarded<'a> {
+/// Makes the leaf calls of one forwarded request and collects their outcomes.
+pub(crate) struct LeafCalls<'a> {
+    /// The entry that makes the calls.
     pub(crate) shared: &'a Shared,
+    /// The request as it is sent to every leaf.
     pub(crate) message: Arc<Message>,
+    /// Whether the request may run more than once.
     pub(crate) kind: Kind,
-    /// Whether answers are parts of a merged one.
+    /// Whether the answers of several shards are merged into one.
     pub(crate) merges: bool,
-    /// The last failure that a leaf answered with, to pass on if nothing
-    /// better comes.
-    pub(crate) failed: Arc<Mutex<Option<LeafReply>>>,
-    pub(crate) seen: Arc<Mutex<Seen>>,
+    /// The last error reply of a leaf, returned to the caller if no call
+    /// succeeds.
+    pub(crate) last_failure: Arc<Mutex<Option<LeafReply>>>,
+    /// Evidence for the quarantine.
+    pub(crate) outcomes: Arc<Mutex<CallOutcomes>>,
 }
 
-/// What calls tell of what their request does to leafs.
+/// Outcomes of the calls of one request, from which the quarantine decides whether
+/// the request crashes leafs.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
-    /// Whether a leaf ran it and answered.
+pub(crate) struct CallOutcomes {
+    /// Whether a leaf ran the request and answered.
     pub(crate) answered: bool,
-    /// Leafs whose connection ended under a call.
+    /// Leafs whose connection was lost during a call.
     pub(crate) lost: Vec<(LeafId, SocketAddr)>,
 }
 
-/// Longest idle time of a connection for a request that runs at most once. Leafs
-/// keep idle connections for some seconds, and sometimes forget them sooner; a
-/// new one costs a few milliseconds.
-const IDLE_ONCE: Duration = Duration::from_millis(500);
+/// Longest idle time of a connection that is reused for a request that runs at most
+/// once: such a request can't be retried if the leaf has closed the connection.
+const ONCE_IDLE_MAX: Duration = Duration::from_millis(500);
 
-impl Calls for Forwarded<'_> {
+impl Calls for LeafCalls<'_> {
     type Extra = Ground;
     type Part = LeafReply;
 
@@ -65,7 +72,7 @@
         let Some((connections, place, until)) = place else {
             return async { Err(Failure::NotSent) }.boxed();
         };
-        let called = (place.leaf.clone(), place.address);
+        let callee = (place.leaf.clone(), place.address);
         let call = LeafCall {
             leaf: place.leaf,
             address: place.address,
@@ -75,31 +82,31 @@
             connections,
             idle: match self.kind {
                 Kind::Idempotent => Duration::MAX,
-                Kind::Once => IDLE_ONCE,
+                Kind::Once => ONCE_IDLE_MAX,
             },
             until,
         };
         let reply = self.shared.forward.call(call);
-        let (failed, shards, merges) = (self.failed.clone(), start.shards, self.merges);
+        let (last_failure, shards, merges) = (self.last_failure.clone(), start.shards, self.merges);
         let version = start.routes.snapshot.version;
-        let seen = self.seen.clone();
+        let outcomes = self.outcomes.clone();
         async move {
             let reply = reply.await;
             match &reply {
-                Ok(_) => lock(&seen).answered = true,
-                Err(LeafFailure::Lost) => lock(&seen).lost.push(called),
+                Ok(_) => lock(&outcomes).answered = true,
+                Err(LeafFailure::Lost) => lock(&outcomes).lost.push(callee),
                 Err(_) => {}
             }
             match reply {
-                // What a leaf refuses, as a wrong path, is signed like any answer
-                // but holds no records: merged it would look like an empty shard.
+                // An error status holds no records: merged, it would look like an
+                // empty shard.
                 Ok(reply) if merges && !reply.answer.status().is_success() => {
-                    *lock(&failed) = Some(reply);
+                    *lock(&last_failure) = Some(reply);
                     Err(Failure::Failed)
                 }
                 Ok(reply) => Ok(Parts {
                     version,
-                    // One call asks one leaf for one shard.
+                    // A call asks for a single shard.
                     parts: shards.into_iter().map(|at| (at, reply.clone())).collect(),
                     draining: false,
                 }),
@@ -107,7 +114,7 @@
                 Err(LeafFailure::Refused(refusal)) => Err(Failure::Refused(refusal)),
                 Err(LeafFailure::Lost) => Err(Failure::Lost),
                 Err(LeafFailure::Failed(reply)) => {
-                    *lock(&failed) = Some(reply);
+                    *lock(&last_failure) = Some(reply);
                     Err(Failure::Failed)
                 }
             }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -1,4 +1,7 @@
-//! One forwarded request, from its rule to its reply.
+//! Handles one request, from the lookup of its rule in the route book to its reply.
+//!
+//! The route book is the versioned list of routing rules. A rule names one service, a
+//! weighted split over services, or a gather: a scatter-gather over shards.
 
 use std::{
     sync::{Arc, Mutex},
@@ -17,28 +20,28 @@
 use slog::info;
 
 use crate::{
-    calls::Forwarded,
+    calls::LeafCalls,
     ground::Ground,
     plan::{Plan, plan},
-    quarantine::{self, Try},
+    quarantine::{self, Attempt},
     shared::{Phase, Shared},
 };
 
-/// A request of a caller.
+/// A request of a caller, with its host and its timeout.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The host that it names.
+    /// The host name, matched against the rules.
     pub host: String,
-    /// What is passed on.
+    /// The message that is forwarded to leafs.
     pub message: Arc<Message>,
-    /// How long the caller will wait.
+    /// How much longer the caller will wait, if it says so.
     pub left: Option<Duration>,
 }
 
 impl Ask {
-    /// The fingerprint of what is asked. Who asks counts where the request says so: a leaf
-    /// may answer the one and not the other. The caller's name of the try and its deadline
-    /// are new each time.
+    /// The fingerprint by which the quarantine recognises repeats of a request. It includes
+    /// the credentials, as a leaf may answer one caller and crash under another, but not the
+    /// request id and deadline, which differ between attempts.
     fn fingerprint(&self) -> Fingerprint {
         let message = &self.message;
         let caller = message.headers.get(AUTHORIZATION);
@@ -52,29 +55,29 @@
     }
 }
 
-/// Why a request gets no answer of a leaf.
+/// Why a request was not answered by a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// No rule of the book fits it.
+    /// No rule of the route book matches the request.
     NoRule,
-    /// This entry has no book or no list of leafs yet.
+    /// This entry has not read the route book or the list of leafs yet.
     NotReady,
-    /// It can't be served now.
+    /// Admission, the quarantine or the targets refused it.
     Declined(Reason),
-    /// Its time is over.
+    /// The deadline passed.
     Timeout,
     /// Every call failed.
     Failed,
 }
 
-/// A request that is given up on, at once and for good.
+/// The refusal of a request, without further attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Declined {
-    /// Why.
+    /// The reason.
     pub why: Why,
-    /// Whether any of it ran.
+    /// Whether the request may have run on a leaf.
     pub run: Run,
-    /// When to come back, where that may help.
+    /// Delay before a retry, where one may help.
     pub after: Option<Duration>,
 }
 
@@ -83,102 +86,101 @@
 pub enum Reply {
     /// One leaf's answer, unchanged.
     Whole(LeafReply),
-    /// The merge of the answers of many shards.
+    /// The merged answers of several shards.
     Merged {
-        /// The signatures of the answers that are in.
+        /// Signatures of the merged answers.
         proofs: Vec<HeaderValue>,
-        /// Shards that are not.
+        /// Number of shards without an answer.
         missing: usize,
-        /// The greatest records.
+        /// The greatest records of all answers.
         body: Bytes,
     },
-    /// No answer.
+    /// No answer, with the reason.
     Declined(Declined),
 }
 
-/// When to come back to an entry that is starting: it mostly needs well under
-/// a second to read the book and the leafs.
-const AFTER_START: Duration = Duration::from_millis(500);
-/// When to come back after leafs refused or none was there, as part of the time
-/// that the caller had: late enough that a burst or a pause may have passed,
-/// early enough for a second try as long as the first could have been.
-const AFTER_PART: u32 = 4;
-/// Bounds of it. A slot comes free within the least; few callers stay for more
-/// than the most.
-const AFTER_MIN: Duration = Duration::from_millis(50);
-const AFTER_MAX: Duration = Duration::from_secs(1);
+/// Retry delay for callers of an entry that is still reading the book and the leafs.
+const RETRY_AFTER_START: Duration = Duration::from_millis(500);
+/// Divisor of the caller's timeout that gives the retry delay after leafs refused or
+/// none was available: bursts pass meanwhile, and time is left for another attempt.
+const RETRY_AFTER_DIVISOR: u32 = 4;
+/// Least retry delay, in which a slot of a leaf usually becomes free.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
+/// Greatest retry delay, as few callers wait longer.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(1);
 
-/// What the log tells of a request, beside its reply.
-struct Account {
+/// Fields of the log line of a request, beside its reply.
+struct RequestLog {
     rule: Option<Arc<Rule>>,
     version: u64,
     calls: usize,
-    /// Times that no budget paid for an extra call.
+    /// Extra calls that the budget did not allow.
     withheld: u32,
-    /// Whether the answer was ended for its caller to have it in time.
-    ended: bool,
-    /// Time that the answer had to come by the goal, the caller's way taken off; none
-    /// if the caller was late already.
-    ahead: Option<Duration>,
+    /// Whether the answer was returned without the missing shards to meet the latency
+    /// objective.
+    cut_short: bool,
+    /// Time from arrival by which the answer has to be sent to meet the latency objective,
+    /// network delay to the caller deducted; none if that is impossible.
+    send_by: Option<Duration>,
     coverage: Option<Coverage>,
     /// Leafs that were called for shards which are missing.
-    in_vain: String,
-    /// Leafs whose connection ended under a call.
-    lost: usize,
-    /// Whether a leaf ran it and answered.
-    ran: bool,
-    /// Shards for want of whose room it was refused.
-    full: String,
+    failed_leafs: String,
+    /// Number of leafs whose connection was lost during a call.
+    lost_leafs: usize,
+    /// Whether a leaf ran the request and answered.
+    answered: bool,
+    /// Shards whose lack of capacity caused the refusal.
+    full_shards: String,
 }
 
-/// Takes a request through the request path.
+/// Handles a request and logs its outcome.
 pub(crate) async fn forward(shared: &Shared, ask: Ask) -> Reply {
-    let _flight = InFlight::enter(&shared.in_flight);
+    let _in_flight = InFlight::enter(&shared.in_flight);
     let start = shared.now();
-    let mut account = Account {
+    let mut log = RequestLog {
         rule: None,
         version: 0,
         calls: 0,
         withheld: 0,
-        ended: false,
-        ahead: None,
+        cut_short: false,
+        send_by: None,
         coverage: None,
-        in_vain: String::new(),
-        lost: 0,
-        ran: false,
-        full: String::new(),
+        failed_leafs: String::new(),
+        lost_leafs: 0,
+        answered: false,
+        full_shards: String::new(),
     };
-    let reply = decide(shared, &ask, start, &mut account)
+    let reply = handle(shared, &ask, start, &mut log)
         .await
         .unwrap_or_else(Reply::Declined);
-    let span = shared.now().since(start);
-    if let (true, Some(ahead)) = (account.ended, account.ahead) {
-        let late = span.saturating_sub(ahead);
+    let elapsed = shared.now().since(start);
+    if let (true, Some(send_by)) = (log.cut_short, log.send_by) {
+        let late = elapsed.saturating_sub(send_by);
         lock(&shared.cell.state).extra.callers.went_out(late);
     }
-    tell(shared, &ask, &account, &reply, span);
+    log_outcome(shared, &ask, &log, &reply, elapsed);
     reply
 }
 
-async fn decide(
+async fn handle(
     shared: &Shared,
     ask: &Ask,
     start: Time,
-    account: &mut Account,
+    log: &mut RequestLog,
 ) -> Result<Reply, Declined> {
     let book = lock(&shared.cell.state).extra.book.clone();
     let book = match book {
         Some(book) if shared.phase() > Phase::Starting => book,
-        _ => return Err(unrun(Why::NotReady, Some(AFTER_START))),
+        _ => return Err(not_run(Why::NotReady, Some(RETRY_AFTER_START))),
     };
-    account.version = book.version.0;
+    log.version = book.version.0;
     let path = ask.message.target.path();
     let Some(rule) = book.find(&ask.host, path).cloned() else {
-        return Err(unrun(Why::NoRule, None));
+        return Err(not_run(Why::NoRule, None));
     };
-    account.rule = Some(rule.clone());
-    let asks = ask.fingerprint();
-    let trust = quarantine::admit(shared, asks)?;
+    log.rule = Some(rule.clone());
+    let fingerprint = ask.fingerprint();
+    let trust = quarantine::admit(shared, fingerprint)?;
     let draw = shared.host.rng().next_u64();
     let Plan {
         routes,
@@ -187,9 +189,9 @@
         ahead,
         prospect,
     } = plan(&mut lock(&shared.cell.state), &rule, ask.left, draw, start);
-    account.ahead = (prospect == Prospect::InTime).then_some(ahead);
-    let span = ask.left.unwrap_or(rule.timeout).min(rule.timeout);
-    let deadline = start + span;
+    log.send_by = (prospect == Prospect::InTime).then_some(ahead);
+    let timeout = ask.left.unwrap_or(rule.timeout).min(rule.timeout);
+    let deadline = start + timeout;
     let order = Order {
         id: shared.next_request(),
         urgency: urgency(rule.rank),
@@ -198,10 +200,10 @@
     };
     let running = admit(&shared.host, &shared.cell, gate, order)
         .await
-        .map_err(|(reason, after)| unrun(Why::Declined(reason), Some(after)))?;
+        .map_err(|(reason, after)| not_run(Why::Declined(reason), Some(after)))?;
     let config = QueryConfig {
         deadline,
-        least: least(&rule),
+        least: min_coverage(&rule),
         goal: start + ahead,
         prospect,
         attempts: rule.attempts,
@@ -212,50 +214,58 @@
         trust,
         class,
     };
-    let forwarded = forwarded(shared, &rule, ask);
-    let _try = Try::new(shared, asks, forwarded.seen.clone());
-    let query = run(&shared.host, &shared.cell, &forwarded, routes, None, config).await;
-    account.ended = query.end() == Some(End::Partial(Give::Enough));
-    account.calls = query.calls();
-    account.withheld = query.withheld();
-    account.coverage = Some(query.coverage());
-    account.in_vain = names(shared, &query.in_vain());
-    account.full = query
+    let leaf_calls = leaf_calls(shared, &rule, ask);
+    let _attempt = Attempt::new(shared, fingerprint, leaf_calls.outcomes.clone());
+    let query = run(
+        &shared.host,
+        &shared.cell,
+        &leaf_calls,
+        routes,
+        None,
+        config,
+    )
+    .await;
+    log.cut_short = query.end() == Some(End::Partial(Give::Enough));
+    log.calls = query.calls();
+    log.withheld = query.withheld();
+    log.coverage = Some(query.coverage());
+    log.failed_leafs = leaf_names(shared, &query.in_vain());
+    log.full_shards = query
         .full()
         .map(|name| name.as_str())
         .collect::<Vec<_>>()
         .join(" ");
     {
-        let seen = lock(&forwarded.seen);
-        (account.lost, account.ran) = (seen.lost.len(), seen.answered);
+        let outcomes = lock(&leaf_calls.outcomes);
+        (log.lost_leafs, log.answered) = (outcomes.lost.len(), outcomes.answered);
     }
-    finish(running, &query);
-    let failed = lock(&forwarded.failed).take();
-    let after = come_back(span, shared.host.rng().next_u64());
-    reply(&rule, query, failed, after)
+    release(running, &query);
+    let last_failure = lock(&leaf_calls.last_failure).take();
+    let retry_after = retry_after(timeout, shared.host.rng().next_u64());
+    reply(&rule, query, last_failure, retry_after)
 }
 
-fn forwarded<'a>(shared: &'a Shared, rule: &Rule, ask: &Ask) -> Forwarded<'a> {
-    Forwarded {
+fn leaf_calls<'a>(shared: &'a Shared, rule: &Rule, ask: &Ask) -> LeafCalls<'a> {
+    LeafCalls {
         shared,
         message: ask.message.clone(),
         kind: rule.kind,
         merges: matches!(rule.target, Target::Gather { .. }),
-        failed: Arc::new(Mutex::new(None)),
-        seen: Arc::default(),
+        last_failure: Arc::new(Mutex::new(None)),
+        outcomes: Arc::default(),
     }
 }
 
-/// The names of leafs, for the log.
-fn names(shared: &Shared, leafs: &[Ix]) -> String {
+/// The names of leafs, separated by spaces.
+fn leaf_names(shared: &Shared, leafs: &[Ix]) -> String {
     let state = lock(&shared.cell.state);
     let places = leafs.iter().filter_map(|ix| state.extra.places.get(ix));
     let names: Vec<&str> = places.map(|place| place.leaf.as_str()).collect();
     names.join(" ")
 }
 
-/// Gives back the place of a request that ran.
-fn finish(mut running: Running<'_, Ground>, query: &Query<LeafReply>) {
+/// Releases the admission slot of a request and records its calls.
+fn release(mut running: Running<'_, Ground>, query: &Query<LeafReply>) {
     running.calls = query.calls() as u32;
     running.sheds = query.sheds();
 }
@@ -268,7 +278,7 @@
     }
 }
 
-fn least(rule: &Rule) -> Share {
+fn min_coverage(rule: &Rule) -> Share {
     match &rule.target {
         Target::One(_) | Target::Split(_) => Share::WHOLE,
         Target::Gather { least, .. } => *least,
@@ -278,18 +288,18 @@
 fn reply(
     rule: &Rule,
     query: Query<LeafReply>,
-    failed: Option<LeafReply>,
-    after: Duration,
+    last_failure: Option<LeafReply>,
+    retry_after: Duration,
 ) -> Result<Reply, Declined> {
     let coverage = query.coverage();
-    let covered = coverage.answered > 0 && coverage.reaches(least(rule));
-    match (&rule.target, failed) {
+    let covered = coverage.answered > 0 && coverage.reaches(min_coverage(rule));
+    match (&rule.target, last_failure) {
         (Target::Gather { top, .. }, _) if covered => Ok(merge(*top, coverage, query)),
-        (Target::Gather { .. }, _) => Err(given_up(&query, after)),
-        (Target::One(_) | Target::Split(_), failed) => {
-            let declined = given_up(&query, after);
+        (Target::Gather { .. }, _) => Err(query_failure(&query, retry_after)),
+        (Target::One(_) | Target::Split(_), last_failure) => {
+            let declined = query_failure(&query, retry_after);
             let answer = query.into_parts().next().map(|(_, reply)| reply);
-            match answer.or(failed) {
+            match answer.or(last_failure) {
                 Some(reply) => Ok(Reply::Whole(reply)),
                 None => Err(declined),
             }
@@ -307,16 +317,16 @@
     }
 }
 
-/// Why a query that covers too little was given up. "Not run" needs the proof
-/// that no call of it could have run.
-fn given_up(query: &Query<LeafReply>, after: Duration) -> Declined {
+/// The refusal for a query whose coverage is too small. It says "not run" only if no call
+/// can have run on a leaf.
+fn query_failure(query: &Query<LeafReply>, retry_after: Duration) -> Declined {
     if query.not_run().is_some() {
         let reason = match query.end() {
             Some(End::Partial(Give::Deadline)) => Reason::Deadline,
             Some(End::Partial(Give::Full)) => Reason::Overload,
             _ => Reason::TargetRefused,
         };
-        return unrun(Why::Declined(reason), Some(after));
+        return not_run(Why::Declined(reason), Some(retry_after));
     }
     let why = match query.end() {
         Some(End::Partial(Give::Deadline)) => Why::Timeout,
@@ -329,15 +339,14 @@
     }
 }
 
-/// When a caller that had `span` should come back: from half to one and a half
-/// times the usual, by `draw`, so that callers refused together don't return
-/// together.
-fn come_back(span: Duration, draw: u64) -> Duration {
-    let base = (span / AFTER_PART).clamp(AFTER_MIN, AFTER_MAX);
+/// Retry delay for a caller with this timeout, jittered by `draw` to between half and one
+/// and a half times its base, so that callers refused together don't retry together.
+fn retry_after(timeout: Duration, draw: u64) -> Duration {
+    let base = (timeout / RETRY_AFTER_DIVISOR).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
     base.mul_f64(0.5 + draw as f64 / u64::MAX as f64)
 }
 
-fn unrun(why: Why, after: Option<Duration>) -> Declined {
+fn not_run(why: Why, after: Option<Duration>) -> Declined {
     Declined {
         why,
         run: Run::NotRun,
@@ -345,9 +354,9 @@
     }
 }
 
-/// Logs and counts what became of a request.
-fn tell(shared: &Shared, ask: &Ask, account: &Account, reply: &Reply, span: Duration) {
-    let rule = account.rule.as_ref().map_or("-", |rule| rule.name.as_str());
+/// Logs the outcome of a request and updates the metrics.
+fn log_outcome(shared: &Shared, ask: &Ask, log: &RequestLog, reply: &Reply, elapsed: Duration) {
+    let rule = log.rule.as_ref().map_or("-", |rule| rule.name.as_str());
     let outcome = match reply {
         Reply::Whole(reply) if reply.answer.status().is_success() => "answered",
         Reply::Whole(_) => "leaf failed",
@@ -355,8 +364,8 @@
         Reply::Merged { .. } => "partial",
         Reply::Declined(declined) => declined.why.as_str(),
     };
-    shared.metrics.observe(rule, outcome, span);
-    let missing = account.coverage.as_ref().map_or(String::new(), |coverage| {
+    shared.metrics.observe(rule, outcome, elapsed);
+    let missing = log.coverage.as_ref().map_or(String::new(), |coverage| {
         let names: Vec<&str> = coverage.missing.iter().map(|name| name.as_str()).collect();
         names.join(" ")
     });
@@ -365,16 +374,16 @@
         Reply::Whole(_) | Reply::Merged { .. } => "Ran".to_owned(),
     };
     info!(shared.host.log, "forward: {outcome}";
-        "request" => &ask.message.id, "asks" => %ask.fingerprint(), "rule" => rule, "book" => account.version,
+        "request" => &ask.message.id, "asks" => %ask.fingerprint(), "rule" => rule, "book" => log.version,
         "left_ms" => ask.left.map(|left| left.as_millis() as u64),
-        "ahead_ms" => account.ahead.map(|ahead| ahead.as_millis() as u64),
-        "calls" => account.calls, "withheld" => account.withheld, "missing" => missing, "in_vain" => &account.in_vain,
-        "lost" => account.lost, "answered" => account.ran, "full" => &account.full, "run" => run,
-        "ms" => span.as_secs_f64() * 1e3);
+        "ahead_ms" => log.send_by.map(|send_by| send_by.as_millis() as u64),
+        "calls" => log.calls, "withheld" => log.withheld, "missing" => missing, "in_vain" => &log.failed_leafs,
+        "lost" => log.lost_leafs, "answered" => log.answered, "full" => &log.full_shards, "run" => run,
+        "ms" => elapsed.as_secs_f64() * 1e3);
 }
 
 impl Why {
-    /// The words in logs and metrics.
+    /// The name used in logs and metric labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -1,4 +1,8 @@
-//! The other entries: found by their adverts, judged by probes.
+//! Membership of this entry among the others: gossip and failure detection (SWIM), the
+//! quota of each entry, and the entries that callers are sent to.
+//!
+//! An entry is one process of the relay. Serving entries are those that callers are sent
+//! to; the others are spare.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,36 +32,39 @@
     shared::{Phase, Shared},
 };
 
-/// Time over which the load is taken that decides who carries callers.
-const STEADY_SPAN: Duration = Duration::from_secs(6);
-/// Members that are told directly that this entry starts or leaves.
-const TOLD: usize = 32;
+/// Averaging time of the load by which serving entries are chosen.
+const STEADY_LOAD_SPAN: Duration = Duration::from_secs(6);
+/// Members to which this entry announces directly that it starts, leaves or stops.
+const ANNOUNCE_FANOUT: usize = 32;
 
-/// Members of the own failure domain that are told of a new version of the book. When
-/// each entry tells five, all but one in 150 of a domain hear of it within a few hops;
-/// the others by the next pulse or probe.
-const TOLD_NEAR: usize = 5;
-/// Members of other domains. Mostly the entry that watches the store there has told it;
-/// should it not, a few of all these are enough.
-const TOLD_FAR: usize = 1;
+/// Fan-out of status updates within the own failure domain. It reaches nearly all members
+/// within a few hops; the others learn of a new book by the next heartbeat or probe.
+const LOCAL_FANOUT: usize = 5;
+/// Fan-out to other failure domains, as a fallback: each domain usually has its own
+/// entry that watches the store.
+const REMOTE_FANOUT: usize = 1;
 
-/// An entry that hears less than one in so many of the others is likelier cut off itself.
-const LONELY_PART: usize = 8;
+/// An entry is taken to be isolated itself if fewer than one in this many of the other
+/// members is alive.
+const ISOLATED_DIVISOR: usize = 8;
 
-/// The members that an entry knows.
+/// The membership view of an entry, and the loads from which quotas are derived.
 pub(crate) struct Members {
     swim: Mutex<Swim>,
+    /// The rate of calls to leafs, which is reported to other members.
     rate: Mutex<Rate>,
-    /// The same over longer, by which it is worked out who carries callers. Over two
-    /// seconds a search of 90 calls shows as 45 a second, and the peaks of all add up to
-    /// twice the load.
-    steady: Mutex<Rate>,
+    /// The call rate averaged over a longer time, for the choice of serving entries: short
+    /// peaks of all entries add up to more than their total load.
+    steady_rate: Mutex<Rate>,
+    /// The last value of `steady_rate`, in calls per second.
     load: AtomicU32,
-    held: Mutex<Held>,
+    /// Keeps the number of serving entries for a while after the load has dropped.
+    serving_count: Mutex<Held>,
     probes: Arc<dyn Probes>,
 }
 
 impl Members {
+    /// The view of an entry that has just started and knows only itself.
     pub(crate) fn new(shared: &Shared, probes: Arc<dyn Probes>) -> Self {
         let settings = &shared.settings;
         let mut own = Member::starting(
@@ -75,14 +82,14 @@
         Self {
             swim: Mutex::new(swim),
             rate: Mutex::new(Rate::default()),
-            steady: Mutex::new(Rate::over(STEADY_SPAN)),
+            steady_rate: Mutex::new(Rate::over(STEADY_LOAD_SPAN)),
             load: AtomicU32::new(0),
-            held: Mutex::default(),
+            serving_count: Mutex::default(),
             probes,
         }
     }
 
-    /// Where callers should connect, at most `most` addresses.
+    /// Addresses of the serving entries for callers, at most `most`.
     pub(crate) fn addresses(&self, shared: &Shared, most: usize) -> Vec<SocketAddr> {
         let homes = shared.homes();
         let swim = lock(&self.swim);
@@ -93,18 +100,18 @@
             .working()
             .filter(is_started)
             .filter(|member| member.id != *own || own_serves);
-        let known = by_turns(known);
+        let known = interleave_domains(known);
         let alive = |member: &&&Member| member.liveness == Liveness::Alive;
-        let others = known.iter().filter(alive).any(|member| member.id != *own);
-        // When every other entry looks silent it is more likely this one that
-        // is cut off, and callers may still reach the others.
+        let any_other_alive = known.iter().filter(alive).any(|member| member.id != *own);
+        // If no other entry seems alive, it is more likely this one that is cut
+        // off, and callers may still reach the others.
         let listed = known
             .iter()
-            .filter(|member| !others || member.liveness == Liveness::Alive)
+            .filter(|member| !any_other_alive || member.liveness == Liveness::Alive)
             .map(|member| self.candidate(&swim, &homes, member, member.addresses.callers))
             .collect::<Vec<_>>();
-        let held = lock(&self.held).count();
-        let mut list = carriers(&listed, homes.leafs, held);
+        let serving_count = lock(&self.serving_count).count();
+        let mut list = carriers(&listed, homes.leafs, serving_count);
         let mut rng = shared.host.rng();
         while list.len() > most {
             let at = (rng.next_u64() % list.len() as u64) as usize;
@@ -113,43 +120,44 @@
         list
     }
 
-    /// The place of this entry among those that carry callers.
+    /// The position of this entry in the list of serving entries, if it is one of them.
     pub(crate) fn carrier_rank(&self, shared: &Shared) -> Option<usize> {
         let homes = shared.homes();
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
         let list = self.candidates(&swim, &homes);
-        let held = lock(&self.held).count();
-        let carriers = carriers(&list, homes.leafs, held);
-        carriers.iter().position(|member| member.id == *own)
+        let serving_count = lock(&self.serving_count).count();
+        let serving = carriers(&list, homes.leafs, serving_count);
+        serving.iter().position(|member| member.id == *own)
     }
 
-    /// Those that may carry callers. One that is leaving still serves and counts.
+    /// The members that may serve callers, including those that are leaving.
     fn candidates<'a>(&self, swim: &'a Swim, homes: &Homes) -> Vec<Candidate<&'a Member>> {
-        let present = by_turns(swim.view.present()).into_iter();
+        let present = interleave_domains(swim.view.present()).into_iter();
         let candidates = present.map(|member| self.candidate(swim, homes, member, member));
         candidates.collect()
     }
 
-    /// What this entry may use, beside the entries that serve.
+    /// The quota of this entry, from the numbers of serving and other entries.
     fn allotment(&self, shared: &Shared) -> Allotment {
         let homes = shared.homes();
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
         let list = self.candidates(&swim, &homes);
         let wanted = carriers(&list, homes.leafs, 0).len();
-        let held = lock(&self.held).want(wanted, shared.now());
-        let carriers = carriers(&list, homes.leafs, held);
+        let serving_count = lock(&self.serving_count).want(wanted, shared.now());
+        let serving = carriers(&list, homes.leafs, serving_count);
         Allotment {
-            carriers: carriers.len().max(1),
-            others: list.len() - carriers.len(),
-            part: match carriers.iter().any(|member| member.id == *own) {
+            carriers: serving.len().max(1),
+            others: list.len() - serving.len(),
+            part: match serving.iter().any(|member| member.id == *own) {
                 true => Part::Carrier,
                 false => Part::Other,
             },
         }
     }
 
+    /// A member as a candidate for serving, known as `id`.
     fn candidate<T>(&self, swim: &Swim, homes: &Homes, member: &Member, id: T) -> Candidate<T> {
         let load = match member.id == swim.view.own().id {
             true => self.load.load(Ordering::Relaxed),
@@ -163,10 +171,10 @@
         }
     }
 
-    /// Of the members in `list` those that are gone, if it is this entry that removes them:
-    /// only the first of the working members does, so that one call is made for each.
+    /// The members of `list` that are gone, for removal of their adverts. Empty except at the
+    /// member with the lowest id, so that each advert is removed once.
     pub(crate) fn gone_of(&self, shared: &Shared, list: &[Advert]) -> Vec<MemberId> {
-        if !self.is_first(shared) {
+        if !self.has_lowest_id(shared) {
             return Vec::new();
         }
         let swim = lock(&self.swim);
@@ -178,16 +186,16 @@
         listed.filter(is_gone).cloned().collect()
     }
 
-    /// Whether this entry is the first of the working members.
-    pub(crate) fn is_first(&self, shared: &Shared) -> bool {
+    /// Whether this entry has the lowest id of the working members.
+    pub(crate) fn has_lowest_id(&self, shared: &Shared) -> bool {
         let swim = lock(&self.swim);
         let first = swim.view.working().map(|member| &member.id).min();
         first == Some(&shared.settings.entry.member)
     }
 
-    /// Whether hardly any of the others that this entry knows answers, those apart that
-    /// said that they leave.
-    pub(crate) fn is_lonely(&self) -> bool {
+    /// Whether hardly any of the other known members is alive. Those that are leaving don't
+    /// count.
+    pub(crate) fn is_isolated(&self) -> bool {
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
         let others = swim.view.all().filter(|member| member.id != *own);
@@ -196,23 +204,24 @@
             known += 1;
             alive += usize::from(member.liveness == Liveness::Alive);
         }
-        alive * LONELY_PART < known
+        alive * ISOLATED_DIVISOR < known
     }
 
-    /// Addresses of the members in the own failure domain.
-    fn near(&self, shared: &Shared) -> BTreeSet<IpAddr> {
+    /// Addresses of the members in the same failure domain.
+    fn local_peers(&self, shared: &Shared) -> BTreeSet<IpAddr> {
         let own = &shared.settings.entry.domain;
         let swim = lock(&self.swim);
         let present = swim.view.present();
-        let near = present.filter(|member| member.domain == *own);
-        near.map(|member| member.addresses.peers.ip()).collect()
+        let local = present.filter(|member| member.domain == *own);
+        local.map(|member| member.addresses.peers.ip()).collect()
     }
 
+    /// Number of members that are present, this one included.
     pub(crate) fn count(&self) -> usize {
         lock(&self.swim).view.present().count()
     }
 
-    /// From whom this entry hears of changes now.
+    /// Chooses the upstream from which this entry receives updates, and says why.
     pub(crate) fn upstream(&self, shared: &Shared) -> (Upstream, Cause) {
         let now = shared.now();
         let swim = lock(&self.swim);
@@ -224,23 +233,23 @@
         (upstream, upstreams.cause())
     }
 
-    /// Tells some members what this entry says of itself, a new version of its book
-    /// above all.
-    fn tell_some(&self, shared: &Shared) -> Vec<Send> {
+    /// Messages that report this entry's status, such as a new book version, to a random
+    /// sample of members.
+    fn status_updates(&self, shared: &Shared) -> Vec<Send> {
         let status = status(shared, self);
         let mut rng = shared.host.rng();
         let swim = lock(&self.swim);
         let alive = swim.view.others().filter(is_started);
         let alive = alive.filter(|member| member.liveness == Liveness::Alive);
         let own = &shared.settings.entry.domain;
-        let (near, far): (Vec<&Member>, Vec<&Member>) =
+        let (local, remote): (Vec<&Member>, Vec<&Member>) =
             alive.partition(|member| member.domain == *own);
-        let mut told = some(near, TOLD_NEAR, &mut rng);
-        told.extend(some(far, TOLD_FAR, &mut rng));
-        swim.tell(status, told)
+        let mut peers = sample(local, LOCAL_FANOUT, &mut rng);
+        peers.extend(sample(remote, REMOTE_FANOUT, &mut rng));
+        swim.tell(status, peers)
     }
 
-    /// Asks the seeds who they are.
+    /// Sends join requests to the seeds.
     pub(crate) async fn knock(&self, shared: &Shared) {
         let out: Vec<Send> = {
             let swim = lock(&self.swim);
@@ -252,6 +261,7 @@
         send_all(shared, self, out).await;
     }
 
+    /// Adds members that are known only by their adverts.
     pub(crate) fn introduce(&self, shared: &Shared, adverts: &[Advert]) {
         let now = shared.now();
         let mut swim = lock(&self.swim);
@@ -267,9 +277,9 @@
     }
 }
 
-/// Members of all failure domains in turn. Where only some of those that are alike
-/// carry callers, the loss of one domain must not take all of them.
-fn by_turns<'a>(members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
+/// Orders members so that failure domains alternate. If only some of several equal members
+/// serve, they don't all fail with one domain.
+fn interleave_domains<'a>(members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
     let mut turns: BTreeMap<&DomainName, usize> = BTreeMap::new();
     let mut list: Vec<(usize, &Member)> = members
         .map(|member| {
@@ -282,8 +292,8 @@
     list.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The addresses of `most` of the members.
-fn some(mut members: Vec<&Member>, most: usize, rng: &mut dyn Rng) -> Vec<SocketAddr> {
+/// Addresses of a random sample of at most `most` members.
+fn sample(mut members: Vec<&Member>, most: usize, rng: &mut dyn Rng) -> Vec<SocketAddr> {
     while members.len() > most {
         let at = (rng.next_u64() % members.len() as u64) as usize;
         members.swap_remove(at);
@@ -294,11 +304,12 @@
         .collect()
 }
 
-/// A member that is only known by its advert may not have started.
+/// Whether a member has been seen to run; one known only by its advert may not have started.
 fn is_started(member: &&Member) -> bool {
     member.incarnation > Incarnation(0)
 }
 
+/// The addresses at which this entry listens.
 pub(crate) fn addresses(settings: &RelaySettings) -> Addresses {
     Addresses {
         callers: settings.listen.callers,
@@ -307,15 +318,15 @@
     }
 }
 
-/// Waits until the entry serves: others send callers to every member that they
-/// have heard of. Tells whether it does; if not, it has ended.
+/// Waits until the entry serves callers, as other entries direct callers to every member
+/// that they know. Returns false if the entry has ended instead.
 pub(crate) async fn serves(shared: &Shared) -> bool {
     let mut phases = shared.phase.subscribe();
     let served = phases.wait_for(|phase| *phase > Phase::Starting).await;
     served.is_ok()
 }
 
-/// Probes, and answers probes, for as long as the entry runs.
+/// Runs the membership protocol for as long as the entry runs: sends and answers probes.
 pub(crate) async fn probe(shared: Arc<Shared>, members: Arc<Members>) {
     if !serves(&shared).await {
         return;
@@ -328,10 +339,10 @@
         tokio::select! {
             biased;
             (probe, from) = members.probes.receive() => {
-                receive(&shared, &members, &probe, from, &mut out);
+                receive_probe(&shared, &members, &probe, from, &mut out);
             }
-            // The sender lives as long as the entry.
-            _ = versions.changed() => out = members.tell_some(&shared),
+            // An error is impossible, as the entry keeps the sender.
+            _ = versions.changed() => out = members.status_updates(&shared),
             () = sleep_until(wake) => {
                 let now = shared.now();
                 let mut rng = shared.host.rng();
@@ -344,28 +355,30 @@
             }
         }
         send_all(&shared, &members, out).await;
-        take_changes(&shared, &members);
+        apply_changes(&shared, &members);
     }
 }
 
-/// Tells the members that this entry leaves.
+/// Announces to other members that this entry is leaving.
 pub(crate) async fn leave(shared: &Shared, members: &Members) {
     lock(&members.swim).leave(None);
     announce(shared, members).await;
 }
 
-/// Tells the members that this entry ends now.
-pub(crate) async fn farewell(shared: &Shared, members: &Members) {
-    let out = lock(&members.swim).stop(status(shared, members), TOLD);
+/// Sends the leave messages of an entry that stops now.
+pub(crate) async fn announce_stop(shared: &Shared, members: &Members) {
+    let out = lock(&members.swim).stop(status(shared, members), ANNOUNCE_FANOUT);
     send_all(shared, members, out).await;
 }
 
+/// Sends this entry's status to other members without waiting for the next probe.
 async fn announce(shared: &Shared, members: &Members) {
-    let out = lock(&members.swim).announce(status(shared, members), TOLD);
+    let out = lock(&members.swim).announce(status(shared, members), ANNOUNCE_FANOUT);
     send_all(shared, members, out).await;
 }
 
-fn receive(
+/// Handles a probe message of another member.
+fn receive_probe(
     shared: &Shared,
     members: &Members,
     probe: &Probe,
@@ -378,15 +391,15 @@
         true => Distance::Near,
         false => Distance::Far,
     };
-    quarantine::hear(shared, &probe.cases);
+    quarantine::merge_reports(shared, &probe.cases);
     shared.hear_version(probe.from.addresses.peers, probe.book, distance);
 }
 
-/// What this entry says of itself: its load in calls to leafs a second.
+/// The status that this entry reports: its load in calls per second and its book version.
 fn status(shared: &Shared, members: &Members) -> Status {
     let calls = shared.calls.load(Ordering::Relaxed);
     let load = lock(&members.rate).take(calls, shared.now());
-    let steady = lock(&members.steady).take(calls, shared.now());
+    let steady = lock(&members.steady_rate).take(calls, shared.now());
     members.load.store(steady, Ordering::Relaxed);
     Status {
         load,
@@ -395,48 +408,49 @@
     }
 }
 
-/// Tells some members what is news of requests that end leafs.
-pub(crate) async fn tell_cases(shared: &Shared, members: &Members) {
-    let out = members.tell_some(shared);
+/// Sends quarantine reports to a random sample of members.
+pub(crate) async fn send_reports(shared: &Shared, members: &Members) {
+    let out = members.status_updates(shared);
     send_all(shared, members, out).await;
 }
 
-/// Sends messages that are due together. They carry the same cases.
+/// Sends messages, all with the same quarantine reports attached.
 async fn send_all(shared: &Shared, members: &Members, out: Vec<Send>) {
     if out.is_empty() {
         return;
     }
-    let cases = quarantine::cases(shared, members.count());
+    let reports = quarantine::next_reports(shared, members.count());
     for Send { to, mut probe } in out {
-        probe.carry(&cases);
+        probe.carry(&reports);
         members.probes.send(to, probe).await;
     }
 }
 
-fn take_changes(shared: &Shared, members: &Members) {
+/// Logs membership changes, and updates the upstream and the quotas after them.
+fn apply_changes(shared: &Shared, members: &Members) {
     let changes: BTreeMap<MemberId, Change> =
         lock(&members.swim).take_changes().into_iter().collect();
     if changes.is_empty() {
         return;
     }
     for (id, change) in changes {
-        let word = match change {
+        let state = match change {
             Change::Joined => "joined",
             Change::Suspected => "is suspected",
             Change::Leaving => "is leaving",
             Change::Gone => "is gone",
             Change::None => continue,
         };
-        info!(shared.host.log, "fleet: {id} {word}");
+        info!(shared.host.log, "fleet: {id} {state}");
     }
     shared.choose.notify_one();
     share(shared, members);
 }
 
-/// Divides what all entries may use together among those that are there. One
-/// that is leaving still serves and counts.
+/// Updates this entry's quota of the shared limits from the members that are present,
+/// including those that are leaving.
 pub(crate) fn share(shared: &Shared, members: &Members) {
     shared.metrics.members.set(members.count() as i64);
-    shared.traffic.set_near(members.near(shared));
+    shared.traffic.set_near(members.local_peers(shared));
     shared.allot(members.allotment(shared));
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, in the text form that Prometheus reads.
+//! The metrics of an entry, encoded in the Prometheus text format.
 
 use std::{
     collections::BTreeMap,
@@ -23,10 +23,10 @@
 use crate::Cause;
 
 /// Upper bound of the first latency bucket, in seconds.
-const BUCKET_FIRST: f64 = 0.002;
-/// Ratio of one bucket's bound to the one before.
+const FIRST_BUCKET: f64 = 0.002;
+/// Ratio of the upper bounds of successive latency buckets.
 const BUCKET_RATIO: f64 = 1.6;
-/// Buckets: the last bound is about 9 s.
+/// Number of latency buckets; the last bound is about 9 s.
 const BUCKETS: u16 = 19;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -56,46 +56,59 @@
     cause: String,
 }
 
-/// The metrics of one entry.
+/// The metrics of one entry, and their registry.
 pub(crate) struct Metrics {
     registry: Registry,
     latency: Family<RuleLabels, Histogram>,
     outcomes: Family<OutcomeLabels, Counter>,
     calls: Family<KindLabels, Counter>,
-    store: Family<KindLabels, Counter>,
-    asked: Mutex<BTreeMap<&'static str, u64>>,
+    store_calls: Family<KindLabels, Counter>,
+    /// Store calls by kind since they were logged last.
+    unlogged_store_calls: Mutex<BTreeMap<&'static str, u64>>,
+    /// Leafs evicted by outlier ejection.
     pub(crate) evictions: Counter,
-    pub(crate) passed: Counter,
+    /// Bytes of book updates sent to other entries.
+    pub(crate) passed_bytes: Counter,
+    /// Entries that are present.
     pub(crate) members: Gauge,
+    /// Leafs that are known.
     pub(crate) leafs: Gauge,
+    /// Cold leafs, whose call rate is bounded after their start.
     pub(crate) cold: Gauge,
+    /// Id of the lease of cold leafs that this entry holds; -1 if it holds none.
     pub(crate) lease: Gauge,
+    /// Failure domains that are being evacuated.
     pub(crate) evacuated: Gauge,
+    /// Calls in flight to leafs of evacuated failure domains.
     pub(crate) evacuated_calls: Gauge,
+    /// Version of the route book in force.
     pub(crate) book: Gauge,
-    behind: Gauge,
-    readings: Family<KindLabels, Counter>,
-    moves: Family<CauseLabels, Counter>,
+    book_behind: Gauge,
+    feed_reads: Family<KindLabels, Counter>,
+    upstream_moves: Family<CauseLabels, Counter>,
     bytes: Family<ByteLabels, Gauge>,
-    extra: Family<KindLabels, Gauge<f64, AtomicU64>>,
-    cases: Family<KindLabels, Gauge>,
+    extra_calls: Family<KindLabels, Gauge<f64, AtomicU64>>,
+    quarantine_records: Family<KindLabels, Gauge>,
+    /// Requests being handled.
     pub(crate) in_flight: Gauge,
+    /// Latency classes in the routing table.
     pub(crate) classes: Gauge,
 }
 
 impl Metrics {
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Self {
         let new_histogram =
-            || Histogram::new(exponential_buckets(BUCKET_FIRST, BUCKET_RATIO, BUCKETS));
+            || Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_RATIO, BUCKETS));
         let mut metrics = Self {
             registry: Registry::with_prefix("chestnut_relay"),
             latency: Family::new_with_constructor(new_histogram),
             outcomes: Family::default(),
             calls: Family::default(),
-            store: Family::default(),
-            asked: Mutex::default(),
+            store_calls: Family::default(),
+            unlogged_store_calls: Mutex::default(),
             evictions: Counter::default(),
-            passed: Counter::default(),
+            passed_bytes: Counter::default(),
             members: Gauge::default(),
             leafs: Gauge::default(),
             cold: Gauge::default(),
@@ -103,12 +116,12 @@
             evacuated: Gauge::default(),
             evacuated_calls: Gauge::default(),
             book: Gauge::default(),
-            behind: Gauge::default(),
-            readings: Family::default(),
-            moves: Family::default(),
+            book_behind: Gauge::default(),
+            feed_reads: Family::default(),
+            upstream_moves: Family::default(),
             bytes: Family::default(),
-            extra: Family::default(),
-            cases: Family::default(),
+            extra_calls: Family::default(),
+            quarantine_records: Family::default(),
             in_flight: Gauge::default(),
             classes: Gauge::default(),
         };
@@ -123,11 +136,15 @@
         let outcomes = self.outcomes.clone();
         r.register("requests", "Requests by outcome", outcomes);
         r.register("calls", "Calls to leafs by kind", self.calls.clone());
-        r.register("store_calls", "Calls to the store", self.store.clone());
+        r.register(
+            "store_calls",
+            "Calls to the store",
+            self.store_calls.clone(),
+        );
         r.register(
             "passed_bytes",
             "Bytes passed on to other entries",
-            self.passed.clone(),
+            self.passed_bytes.clone(),
         );
         r.register("evictions", "Leafs evicted", self.evictions.clone());
         r.register("members", "Entries that serve", self.members.clone());
@@ -142,63 +159,75 @@
         r.register("evacuated_calls", calls, self.evacuated_calls.clone());
         r.register("book_version", "Version in force", self.book.clone());
         let behind = "Milliseconds since a peer told of a newer version, 0 if none has";
-        r.register("upstream_moves", "Changes of upstream", self.moves.clone());
-        r.register("book_behind_ms", behind, self.behind.clone());
+        r.register(
+            "upstream_moves",
+            "Changes of upstream",
+            self.upstream_moves.clone(),
+        );
+        r.register("book_behind_ms", behind, self.book_behind.clone());
         r.register(
             "readings",
             "Readings of a feed by how they ended",
-            self.readings.clone(),
+            self.feed_reads.clone(),
         );
         let bytes = "Bytes so far by purpose, distance and flow";
         r.register("bytes", bytes, self.bytes.clone());
         let extra = "Extra calls so far: earned, lost, spent, withheld";
-        r.register("extra_calls", extra, self.extra.clone());
+        r.register("extra_calls", extra, self.extra_calls.clone());
         let cases = "Requests under which leafs ended: known, and refused now";
-        r.register("cases", cases, self.cases.clone());
+        r.register("cases", cases, self.quarantine_records.clone());
         r.register("in_flight", "Requests that run", self.in_flight.clone());
         r.register("classes", "Classes of calls", self.classes.clone());
     }
 
-    pub(crate) fn observe(&self, rule: &str, outcome: &'static str, span: Duration) {
+    /// Records the outcome and the latency of a request under its rule.
+    pub(crate) fn observe(&self, rule: &str, outcome: &'static str, latency: Duration) {
         let rule = rule.to_owned();
         self.latency
             .get_or_create(&RuleLabels { rule })
-            .observe(span.as_secs_f64());
+            .observe(latency.as_secs_f64());
         self.outcomes
             .get_or_create(&OutcomeLabels { outcome })
             .inc();
     }
 
+    /// Counts a call to a leaf: first call, hedge or retry.
     pub(crate) fn count_call(&self, kind: CallKind) {
         let kind = kind.as_str();
         self.calls.get_or_create(&KindLabels { kind }).inc();
     }
 
+    /// Counts a call to the store.
     pub(crate) fn count_store(&self, kind: &'static str) {
-        self.store.get_or_create(&KindLabels { kind }).inc();
-        *lock(&self.asked).entry(kind).or_default() += 1;
+        self.store_calls.get_or_create(&KindLabels { kind }).inc();
+        *lock(&self.unlogged_store_calls).entry(kind).or_default() += 1;
     }
 
-    /// Calls to the store by kind since the last call of this function.
-    pub(crate) fn take_asked(&self) -> BTreeMap<&'static str, u64> {
-        std::mem::take(&mut *lock(&self.asked))
+    /// Takes the number of store calls by kind since the last take.
+    pub(crate) fn take_store_calls(&self) -> BTreeMap<&'static str, u64> {
+        std::mem::take(&mut *lock(&self.unlogged_store_calls))
     }
 
-    /// Sets for how long a newer book has been known of; `None` if none is.
-    pub(crate) fn set_behind(&self, span: Option<Duration>) {
-        self.behind
-            .set(span.map_or(0, |span| span.as_millis() as i64));
+    /// Sets how long a newer book version has been known; `None` if the book is current.
+    pub(crate) fn set_behind(&self, delay: Option<Duration>) {
+        self.book_behind
+            .set(delay.map_or(0, |delay| delay.as_millis() as i64));
     }
 
+    /// Counts a change of upstream by its cause.
     pub(crate) fn count_move(&self, cause: Cause) {
         let cause = format!("{cause:?}").to_lowercase();
-        self.moves.get_or_create(&CauseLabels { cause }).inc();
+        self.upstream_moves
+            .get_or_create(&CauseLabels { cause })
+            .inc();
     }
 
+    /// Counts a read of a feed by its result.
     pub(crate) fn count_reading(&self, kind: &'static str) {
-        self.readings.get_or_create(&KindLabels { kind }).inc();
+        self.feed_reads.get_or_create(&KindLabels { kind }).inc();
     }
 
+    /// Sets the total bytes of one purpose, distance and flow.
     pub(crate) fn set_bytes(&self, purpose: Purpose, distance: Distance, flow: Flow, bytes: u64) {
         let labels = ByteLabels {
             purpose: purpose.as_str(),
@@ -208,19 +237,22 @@
         self.bytes.get_or_create(&labels).set(bytes as i64);
     }
 
-    /// Sets how many requests are known under which leafs ended, and are refused.
-    pub(crate) fn set_cases(&self, known: usize, refused: usize) {
+    /// Sets the number of requests with a quarantine record, and of those refused now.
+    pub(crate) fn set_quarantine_records(&self, known: usize, refused: usize) {
         for (kind, count) in [("known", known), ("refused", refused)] {
-            let cases = self.cases.get_or_create(&KindLabels { kind });
-            cases.set(count as i64);
+            let gauge = self.quarantine_records.get_or_create(&KindLabels { kind });
+            gauge.set(count as i64);
         }
     }
 
-    pub(crate) fn set_extra(&self, kind: &'static str, calls: f64) {
-        self.extra.get_or_create(&KindLabels { kind }).set(calls);
+    /// Sets the total of extra calls (hedges and retries) of one kind.
+    pub(crate) fn set_extra_calls(&self, kind: &'static str, calls: f64) {
+        self.extra_calls
+            .get_or_create(&KindLabels { kind })
+            .set(calls);
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string does not fail");
--- a/crates/relay/src/pass.rs
+++ b/crates/relay/src/pass.rs
@@ -1,4 +1,5 @@
-//! Passes on to other entries what this one hears of the store.
+//! Serves the feeds of the store (book, leafs, evacuations) to other entries, from the
+//! state that this one has received.
 
 use std::{
     sync::{Arc, Mutex},
@@ -22,16 +23,20 @@
     sources::{EVACUATIONS, LEAFS},
 };
 
-/// What is passed on.
+/// Copies of the feeds that are served to other entries.
 pub(crate) struct Passed {
+    /// The last versions of the route book.
     pub(crate) books: Mutex<History>,
+    /// The leafs, as of the last update.
     pub(crate) leafs: Mutex<Mirror<(LeafId, LeafEntry)>>,
+    /// The evacuated failure domains, as of the last update.
     pub(crate) evacuations: Mutex<Mirror<DomainName>>,
-    /// Raised with every answer of a feed.
+    /// Incremented with every update of a feed.
     pub(crate) told: watch::Sender<u64>,
 }
 
 impl Passed {
+    /// No feed has been received yet.
     pub(crate) fn new() -> Self {
         Self {
             books: Mutex::default(),
@@ -42,18 +47,18 @@
     }
 }
 
-/// The service to other entries.
-pub(crate) struct Passing(pub(crate) Arc<Shared>);
+/// Serves the feeds to other entries.
+pub(crate) struct FeedServer(pub(crate) Arc<Shared>);
 
-/// What is asked of a feed.
+/// The part of a feed that is requested: all objects, or those changed after a revision.
 #[derive(Clone, Copy)]
-enum Wanted {
+enum FeedRange {
     All,
     Since(u64),
 }
 
-impl Wanted {
-    fn of<T: Clone>(self, mirror: &Mirror<T>) -> Result<Batch<T>, FeedError> {
+impl FeedRange {
+    fn read<T: Clone>(self, mirror: &Mirror<T>) -> Result<Batch<T>, FeedError> {
         match self {
             Self::All => mirror.all(),
             Self::Since(revision) => mirror.since(revision),
@@ -61,38 +66,40 @@
     }
 }
 
-impl Passing {
-    fn tell(&self, feed: &str, wanted: Wanted) -> Result<RawBatch, FeedError> {
+impl FeedServer {
+    /// Reads and encodes a part of the feed named `feed`.
+    fn read(&self, feed: &str, range: FeedRange) -> Result<RawBatch, FeedError> {
         let passed = &self.0.passed;
         match feed {
-            LEAFS => raw(wanted.of(&lock(&passed.leafs))?),
-            EVACUATIONS => raw(wanted.of(&lock(&passed.evacuations))?),
+            LEAFS => encode(range.read(&lock(&passed.leafs))?),
+            EVACUATIONS => encode(range.read(&lock(&passed.evacuations))?),
             _ => Err(FeedError::Refused(format!("no feed {feed}"))),
         }
     }
 
-    async fn wait(&self, feed: &str, revision: u64) -> Result<RawBatch, FeedError> {
-        let mut told = self.0.passed.told.subscribe();
-        let mut pulses = self.0.pulse.subscribe();
+    /// Waits until objects of a feed have changed after `revision`, and reads those.
+    async fn wait_for_changes(&self, feed: &str, revision: u64) -> Result<RawBatch, FeedError> {
+        let mut updates = self.0.passed.told.subscribe();
+        let mut heartbeats = self.0.pulse.subscribe();
         loop {
-            told.borrow_and_update();
-            pulses.borrow_and_update();
-            // Changes come from an entry that hears of the store itself only.
+            updates.borrow_and_update();
+            heartbeats.borrow_and_update();
+            // Fails if this entry has lost the store or has a peer as its upstream.
             self.pulse()?;
-            let batch = self.tell(feed, Wanted::Since(revision))?;
+            let batch = self.read(feed, FeedRange::Since(revision))?;
             if !batch.items.is_empty() {
                 return Ok(batch);
             }
             tokio::select! {
-                // An error means that the entry ends.
-                _ = told.changed() => {}
-                _ = pulses.changed() => {}
+                // An error means that the entry is stopping.
+                _ = updates.changed() => {}
+                _ = heartbeats.changed() => {}
             }
         }
     }
 }
 
-impl FeedService for Passing {
+impl FeedService for FeedServer {
     fn version(&self) -> BookVersion {
         self.0.book_version()
     }
@@ -100,8 +107,8 @@
     fn book(&self, have: BookVersion) -> Result<RawBook, FeedError> {
         let book = lock(&self.0.passed.books).since(have);
         let book = book.map_err(|error| FeedError::Refused(error.to_string()))?;
-        self.0.metrics.passed.inc_by(book.delta.len() as u64);
-        debug!(self.0.host.log, "watch: passes on book {}", book.version;
+        self.0.metrics.passed_bytes.inc_by(book.delta.len() as u64);
+        debug!(self.0.host.log, "watch: sends book {} to a peer", book.version;
             "since" => %have, "bytes" => book.delta.len());
         Ok(book)
     }
@@ -114,21 +121,20 @@
             });
         }
         let pulse = *self.0.pulse.borrow();
-        // An entry that is cut off from the store asks it again and again. Until
-        // it answers, what was heard from others is not passed on as the store's:
-        // entries that the store serves would follow such a one, and hear late.
-        let hears = lock(&self.0.upstreams).hears_store(self.0.now()) && !pulse.is_lost();
-        match hears && pulse.revision() > 0 {
+        // An entry that has lost the store keeps polling it. Meanwhile it must not
+        // report a revision received from peers as the store's: other entries
+        // would choose it as their upstream and receive updates late.
+        let connected = lock(&self.0.upstreams).hears_store(self.0.now()) && !pulse.is_lost();
+        match connected && pulse.revision() > 0 {
             true => Ok(pulse.revision()),
             false => Err(FeedError::Lost),
         }
     }
 
-    /// All leafs that were heard of, also if the store is lost since: an entry that starts
-    /// meanwhile can serve by it as this one does, instead of refusing every caller
-    /// until the store is back. What changed comes from elsewhere.
+    /// All objects of a feed, also while the store is lost: an entry that starts meanwhile
+    /// can serve from them instead of refusing callers until the store is back.
     fn all(&self, feed: &str) -> Result<RawBatch, FeedError> {
-        self.tell(feed, Wanted::All)
+        self.read(feed, FeedRange::All)
     }
 
     fn follow(
@@ -139,15 +145,16 @@
     ) -> BoxFuture<'static, Result<RawBatch, FeedError>> {
         let this = Self(self.0.clone());
         async move {
-            let waited = timeout(wait, this.wait(&feed, revision)).await;
+            let result = timeout(wait, this.wait_for_changes(&feed, revision)).await;
             let items = Vec::new();
-            waited.unwrap_or(Ok(RawBatch { items, revision }))
+            result.unwrap_or(Ok(RawBatch { items, revision }))
         }
         .boxed()
     }
 }
 
-fn raw<T: Serialize>(batch: Batch<T>) -> Result<RawBatch, FeedError> {
+/// Encodes the values of a batch as JSON.
+fn encode<T: Serialize>(batch: Batch<T>) -> Result<RawBatch, FeedError> {
     let items = batch.items.into_iter().map(|item| {
         Ok(Item {
             name: item.name,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,4 +1,9 @@
-//! Finds out which requests end the leafs that run them, and tells the other entries.
+//! Detects requests that crash the leafs that run them, and reports them to the other
+//! entries.
+//!
+//! A request is suspect if leafs crash under it and none answers it. The ledger keeps a
+//! record of each suspect request and decides how it is handled: run, run with a single
+//! trial call, or refused (quarantined).
 
 use std::{
     collections::BTreeMap,
@@ -19,97 +24,111 @@
 };
 
 use crate::{
-    calls::Seen,
+    calls::CallOutcomes,
     forward::{Declined, Why},
     members::{self, Members},
     shared::Shared,
 };
 
-/// Tries that wait to be looked into. Past it they are dropped: what ends its leafs comes
-/// again.
-const DOUBTS_MAX: usize = 256;
-/// Tries that are looked into at once, and leafs of one try. Three are enough to take a
-/// request for the cause.
-const DOUBTS_AT_ONCE: usize = 8;
-const LEAFS_MAX: usize = 6;
-/// Longest wait for a leaf to take or refuse a connection. One that does neither has not
-/// ended by itself, or not alone.
-const LOOK_WAIT: Duration = Duration::from_millis(300);
-/// How long what became of a leaf is remembered. All requests that it ran ask at once.
-const LOOK_SPAN: Duration = Duration::from_secs(1);
-/// Cases that are told together.
-const CASES: usize = 4;
-/// Time between two looks for cases that are over.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
-
-/// A try that no leaf answered, and the leafs that it was lost at.
+/// Suspect attempts that wait for a check. Further ones are dropped: a request that
+/// crashes leafs is sent again.
+const QUEUE_MAX: usize = 256;
+/// Attempts that are checked concurrently.
+const CHECKS_MAX: usize = 8;
+/// Leafs checked for one attempt; the ledger needs fewer to blame a request.
+const LEAFS_PER_CHECK: usize = 6;
+/// Wait limit for a leaf to accept or refuse a connection. A leaf that does neither has
+/// not crashed by itself: its machine or network has failed too.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long the result of a check is cached, since all requests of a crashed leaf check it
+/// at about the same time.
+const CHECK_TTL: Duration = Duration::from_secs(1);
+/// Records in one message to another entry.
+const RECORDS_PER_MESSAGE: usize = 4;
+/// Interval at which expired records are removed, while there is nothing to report.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
+
+/// An attempt that no leaf answered, with the leafs whose connection was lost.
 pub(crate) struct Doubt {
-    asks: Fingerprint,
+    fingerprint: Fingerprint,
     leafs: Vec<(LeafId, std::net::SocketAddr)>,
 }
 
-/// The tries to look into.
-pub(crate) type Doubts = mpsc::Receiver<Doubt>;
+/// The queue of suspect attempts to check.
+pub(crate) type SuspectReceiver = mpsc::Receiver<Doubt>;
 
-pub(crate) fn doubts() -> (mpsc::Sender<Doubt>, Doubts) {
-    mpsc::channel(DOUBTS_MAX)
+/// The bounded queue of suspect attempts.
+pub(crate) fn suspect_channel() -> (mpsc::Sender<Doubt>, SuspectReceiver) {
+    mpsc::channel(QUEUE_MAX)
 }
 
-/// A try under way. Dropping it, also when the caller hangs up, takes into account what
-/// its calls did to leafs.
-pub(crate) struct Try<'a> {
+/// A running attempt at a request. Dropping it, also when the caller disconnects, passes
+/// the outcomes of its calls to the quarantine.
+pub(crate) struct Attempt<'a> {
     shared: &'a Shared,
-    asks: Fingerprint,
-    seen: Arc<Mutex<Seen>>,
+    fingerprint: Fingerprint,
+    outcomes: Arc<Mutex<CallOutcomes>>,
 }
 
-impl<'a> Try<'a> {
-    pub(crate) fn new(shared: &'a Shared, asks: Fingerprint, seen: Arc<Mutex<Seen>>) -> Self {
-        Self { shared, asks, seen }
+impl<'a> Attempt<'a> {
+    /// An attempt whose calls are recorded in `outcomes`.
+    pub(crate) fn new(
+        shared: &'a Shared,
+        fingerprint: Fingerprint,
+        outcomes: Arc<Mutex<CallOutcomes>>,
+    ) -> Self {
+        Self {
+            shared,
+            fingerprint,
+            outcomes,
+        }
     }
 }
 
-impl Drop for Try<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
-        let seen = std::mem::take(&mut *lock(&self.seen));
+        let outcomes = std::mem::take(&mut *lock(&self.outcomes));
         let shared = self.shared;
-        if seen.answered {
+        if outcomes.answered {
             let mut ledger = lock(&shared.ledger);
-            let blamed = ledger.blames(self.asks);
-            let news = ledger.answered(self.asks, shared.now());
+            let blamed = ledger.blames(self.fingerprint);
+            let changed = ledger.answered(self.fingerprint, shared.now());
             drop(ledger);
             if blamed {
-                record(shared, self.asks);
+                queue_update(shared, self.fingerprint);
             }
-            if news {
-                info!(shared.host.log, "quarantine: a leaf answered {}", self.asks);
+            if changed {
+                info!(
+                    shared.host.log,
+                    "quarantine: a leaf answered {}", self.fingerprint
+                );
                 shared.struck.notify_one();
             }
             return;
         }
-        if seen.lost.is_empty() {
+        if outcomes.lost.is_empty() {
             return;
         }
-        let doubt = Doubt {
-            asks: self.asks,
-            leafs: seen.lost,
+        let suspect = Doubt {
+            fingerprint: self.fingerprint,
+            leafs: outcomes.lost,
         };
-        match shared.doubts.try_send(doubt) {
+        match shared.doubts.try_send(suspect) {
             Ok(()) | Err(TrySendError::Closed(_)) => {}
             Err(TrySendError::Full(_)) => {
-                warn!(shared.host.log, "quarantine: too many tries to look into, one is passed over"; "asks" => %self.asks);
+                warn!(shared.host.log, "quarantine: too many suspect attempts to check, one is dropped"; "asks" => %self.fingerprint);
             }
         }
     }
 }
 
-/// How a request is to be handled.
+/// Decides how a request is handled: in full or with a single trial call.
 ///
 /// # Errors
 ///
-/// It is not run.
-pub(crate) fn admit(shared: &Shared, asks: Fingerprint) -> Result<Trust, Declined> {
-    match lock(&shared.ledger).admit(asks, shared.now()) {
+/// The request is quarantined and must not run.
+pub(crate) fn admit(shared: &Shared, fingerprint: Fingerprint) -> Result<Trust, Declined> {
+    match lock(&shared.ledger).admit(fingerprint, shared.now()) {
         Stand::Free => Ok(Trust::Full),
         Stand::Trial => Ok(Trust::Trial),
         Stand::Refused(after) => Err(Declined {
@@ -120,117 +139,129 @@
     }
 }
 
-/// Takes what another entry tells.
-pub(crate) fn hear(shared: &Shared, cases: &[Report]) {
-    if cases.is_empty() {
+/// Merges reports of other entries, or of the store, into the ledger.
+pub(crate) fn merge_reports(shared: &Shared, reports: &[Report]) {
+    if reports.is_empty() {
         return;
     }
     let now = shared.now();
     let mut ledger = lock(&shared.ledger);
-    let mut news = false;
-    for case in cases {
-        news |= ledger.hear(case, now);
+    let mut changed = false;
+    for report in reports {
+        changed |= ledger.hear(report, now);
     }
-    shared.metrics.set_cases(ledger.len(), ledger.refused(now));
+    shared
+        .metrics
+        .set_quarantine_records(ledger.len(), ledger.refused(now));
     drop(ledger);
-    if news {
+    if changed {
         shared.struck.notify_one();
     }
 }
 
-/// What goes with a message to others.
-pub(crate) fn cases(shared: &Shared, members: usize) -> Vec<Report> {
-    lock(&shared.ledger).tell(CASES, members, shared.now())
+/// The reports to attach to the next message, among this number of members.
+pub(crate) fn next_reports(shared: &Shared, members: usize) -> Vec<Report> {
+    lock(&shared.ledger).tell(RECORDS_PER_MESSAGE, members, shared.now())
 }
 
-/// Looks into tries for as long as the entry runs.
-pub(crate) async fn judge(shared: Arc<Shared>, doubts: Doubts) {
-    let looks = Mutex::new(BTreeMap::new());
-    let doubts = stream::unfold(doubts, |mut doubts| async move {
-        let doubt = doubts.recv().await?;
-        Some((doubt, doubts))
+/// Checks suspect attempts for as long as the entry runs.
+pub(crate) async fn check_suspects(shared: Arc<Shared>, suspects: SuspectReceiver) {
+    let cache = Mutex::new(BTreeMap::new());
+    let suspects = stream::unfold(suspects, |mut suspects| async move {
+        let suspect = suspects.recv().await?;
+        Some((suspect, suspects))
     });
-    doubts
-        .for_each_concurrent(DOUBTS_AT_ONCE, |doubt| look_into(&shared, &looks, doubt))
+    suspects
+        .for_each_concurrent(CHECKS_MAX, |suspect| check_leafs(&shared, &cache, suspect))
         .await;
 }
 
-type Looks = Mutex<BTreeMap<LeafId, (Time, Listening)>>;
+/// Recent results of leaf checks, with their time.
+type CheckCache = Mutex<BTreeMap<LeafId, (Time, Listening)>>;
 
-async fn look_into(shared: &Shared, looks: &Looks, doubt: Doubt) {
-    let Doubt { asks, mut leafs } = doubt;
+/// Checks the leafs of a suspect attempt and records those that have crashed.
+async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: Doubt) {
+    let Doubt {
+        fingerprint,
+        mut leafs,
+    } = suspect;
     leafs.sort();
     leafs.dedup();
-    leafs.truncate(LEAFS_MAX);
-    let looked = leafs
-        .iter()
-        .map(|(leaf, address)| async move { (leaf, look(shared, looks, leaf, *address).await) });
-    let looked = futures::future::join_all(looked).await;
-    let ended = looked.iter().filter(|(_, found)| *found == Listening::No);
-    let marks: Vec<LeafMark> = ended.clone().map(|(leaf, _)| LeafMark::of(leaf)).collect();
+    leafs.truncate(LEAFS_PER_CHECK);
+    let checks = leafs.iter().map(|(leaf, address)| async move {
+        (leaf, check_leaf(shared, cache, leaf, *address).await)
+    });
+    let checks = futures::future::join_all(checks).await;
+    let crashed = checks.iter().filter(|(_, found)| *found == Listening::No);
+    let marks: Vec<LeafMark> = crashed
+        .clone()
+        .map(|(leaf, _)| LeafMark::of(leaf))
+        .collect();
     if marks.is_empty() {
         return;
     }
-    let names: Vec<&str> = ended.map(|(leaf, _)| leaf.as_str()).collect();
+    let names: Vec<&str> = crashed.map(|(leaf, _)| leaf.as_str()).collect();
     let now = shared.now();
     let mut ledger = lock(&shared.ledger);
-    let news = ledger.ended(asks, &marks, now);
-    let stand = ledger.look(asks, now);
-    let blamed = ledger.blames(asks);
-    shared.metrics.set_cases(ledger.len(), ledger.refused(now));
+    let changed = ledger.ended(fingerprint, &marks, now);
+    let decision = ledger.look(fingerprint, now);
+    let blamed = ledger.blames(fingerprint);
+    shared
+        .metrics
+        .set_quarantine_records(ledger.len(), ledger.refused(now));
     drop(ledger);
-    info!(shared.host.log, "quarantine: leafs ended under {asks}, which none answered";
-        "leafs" => names.join(" "), "stand" => format!("{stand:?}"));
-    if news {
+    info!(shared.host.log, "quarantine: leafs ended under {fingerprint}, which none answered";
+        "leafs" => names.join(" "), "stand" => format!("{decision:?}"));
+    if changed {
         shared.struck.notify_one();
     }
-    if news && blamed {
-        record(shared, asks);
+    if changed && blamed {
+        queue_update(shared, fingerprint);
     }
 }
 
-/// Has the store's record of a request follow what is known here.
-fn record(shared: &Shared, asks: Fingerprint) {
-    // If it is full, or the entry ends, other entries still know.
-    if shared.verdicts.try_send(asks).is_err() {
-        warn!(shared.host.log, "quarantine: too many records to write, one is passed over"; "asks" => %asks);
+/// Queues an update of the store's record of a request.
+fn queue_update(shared: &Shared, fingerprint: Fingerprint) {
+    // A dropped update is no loss while other entries still have the record.
+    if shared.verdicts.try_send(fingerprint).is_err() {
+        warn!(shared.host.log, "quarantine: too many records to write, one is dropped"; "asks" => %fingerprint);
     }
 }
 
-/// Whether a leaf still takes connections. Its connection alone tells nothing: connections
-/// are reset, and answers cut off, by leafs that go on.
-async fn look(
+/// Checks whether a leaf still accepts connections. A lost connection alone is no evidence
+/// of a crash: running leafs reset connections and cut off answers too.
+async fn check_leaf(
     shared: &Shared,
-    looks: &Looks,
+    cache: &CheckCache,
     leaf: &LeafId,
     address: std::net::SocketAddr,
 ) -> Listening {
     let now = shared.now();
-    let recent = lock(looks).get(leaf).copied();
-    if let Some((_, found)) = recent.filter(|(at, _)| now.since(*at) < LOOK_SPAN) {
+    let recent = lock(cache).get(leaf).copied();
+    if let Some((_, found)) = recent.filter(|(at, _)| now.since(*at) < CHECK_TTL) {
         return found;
     }
-    let looked = timeout(LOOK_WAIT, shared.forward.listening(leaf, address)).await;
-    let found = looked.unwrap_or(Listening::Unknown);
-    let mut looks = lock(looks);
-    looks.retain(|_, (at, _)| now.since(*at) < LOOK_SPAN);
-    looks.insert(leaf.clone(), (now, found));
+    let result = timeout(CONNECT_TIMEOUT, shared.forward.listening(leaf, address)).await;
+    let found = result.unwrap_or(Listening::Unknown);
+    let mut cache = lock(cache);
+    cache.retain(|_, (at, _)| now.since(*at) < CHECK_TTL);
+    cache.insert(leaf.clone(), (now, found));
     found
 }
 
-/// Tells other entries what is news, and forgets what is over, for as long as the entry
-/// runs.
-pub(crate) async fn tell(shared: Arc<Shared>, members: Arc<Members>) {
+/// Reports changed records to other entries, and removes expired ones, for as long as the
+/// entry runs.
+pub(crate) async fn gossip(shared: Arc<Shared>, members: Arc<Members>) {
     loop {
         let due = lock(&shared.ledger).tell_at();
-        let wake = due.unwrap_or(shared.now() + FORGET_EVERY);
+        let wake = due.unwrap_or(shared.now() + EXPIRY_INTERVAL);
         tokio::select! {
             () = shared.struck.notified() => continue,
             () = sleep_until(shared.host.clock.instant(wake)) => {}
         }
         if due.is_some() {
             lock(&shared.ledger).telling(shared.now());
-            members::tell_cases(&shared, &members).await;
+            members::send_reports(&shared, &members).await;
         }
         lock(&shared.ledger).forget(shared.now());
     }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of requests that are refused, for when no entry remembers.
+//! Quarantine records in the store, which survive the loss of all entries.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -17,123 +17,128 @@
     shared::Shared,
 };
 
-/// What the store keeps of a request.
+/// The stored record of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// What was known against it.
+    /// The crashes under the request, at the time of writing.
     pub report: Report,
-    /// When.
+    /// The time of writing.
     pub at: Wall,
 }
 
-/// The port to the records.
+/// Access to the quarantine records in the store.
 pub trait Records: Send + Sync {
     /// Reads all records. They may be some seconds old.
     fn list(&self) -> BoxFuture<'_, Result<Vec<Record>, FeedError>>;
 
-    /// Writes a record, whatever stood there before.
+    /// Writes a record, replacing an earlier one of the same request.
     fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>>;
 
     /// Removes the record of a request, if there is one.
-    fn remove(&self, what: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>>;
+    fn remove(&self, fingerprint: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>>;
 }
 
-/// Verdicts that wait to be written. Past it they are dropped: the store is for when no
-/// entry remembers.
-const VERDICTS_MAX: usize = 64;
-/// From the start of an entry to its first reading: by then it knows the seeds, and most
-/// entries don't have to read.
-const FIRST: Duration = Duration::from_millis(200);
-/// Time between two readings of an entry that watches the store, or knows no other.
-const AGAIN: Duration = Duration::from_secs(20);
-/// Time between two looks whether a reading is due. One that has lost the others reads at
-/// each.
-const LOOK: Duration = Duration::from_secs(1);
-/// Rest after the store did not take a record.
-const REST: Duration = Duration::from_secs(1);
+/// Record updates that wait to be written. Further ones are dropped: the stored records
+/// only matter once no entry has them in memory.
+const QUEUE_MAX: usize = 64;
+/// Delay of the first read after the start. By then the seeds have usually answered, and
+/// no read is needed.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(200);
+/// Interval between reads of an entry that watches the store or knows no other entry.
+const READ_INTERVAL: Duration = Duration::from_secs(20);
+/// Interval between checks whether a read is due. An isolated entry reads at every check.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Backoff after a failed write.
+const WRITE_BACKOFF: Duration = Duration::from_secs(1);
 
-pub(crate) fn verdicts() -> (mpsc::Sender<Fingerprint>, mpsc::Receiver<Fingerprint>) {
-    mpsc::channel(VERDICTS_MAX)
+/// The bounded queue of requests whose stored record is to be updated.
+pub(crate) fn update_channel() -> (mpsc::Sender<Fingerprint>, mpsc::Receiver<Fingerprint>) {
+    mpsc::channel(QUEUE_MAX)
 }
 
-/// Keeps the store's records for as long as the entry runs: writes what this entry found
-/// out, and reads what others did.
+/// Writes this entry's records to the store and reads those of others, for as long as the
+/// entry runs.
 ///
-/// Entries tell each other, but power may take all of them, and an entry may reach the
-/// store and no other one. Each would find out by itself, at the price of more leafs.
+/// Gossip alone is not enough: all entries may restart together, or an entry may reach the
+/// store but no other entry. Without the stored records, more leafs would crash before the
+/// request is quarantined again.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     members: Arc<Members>,
     records: Arc<dyn Records>,
-    mut verdicts: mpsc::Receiver<Fingerprint>,
+    mut updates: mpsc::Receiver<Fingerprint>,
 ) {
     if !serves(&shared).await {
         return;
     }
-    let mut due = shared.now() + FIRST;
-    let mut waiting: BTreeSet<Fingerprint> = BTreeSet::new();
-    let mut retry = Time::MAX;
-    let mut read_at = None;
+    let mut next_check = shared.now() + FIRST_READ_DELAY;
+    let mut pending: BTreeSet<Fingerprint> = BTreeSet::new();
+    let mut next_write = Time::MAX;
+    let mut last_read = None;
     loop {
-        let wake = shared.host.clock.instant(due.min(retry));
+        let wake = shared.host.clock.instant(next_check.min(next_write));
         tokio::select! {
-            verdict = verdicts.recv() => match verdict {
-                Some(what) => {
-                    waiting.insert(what);
-                    retry = shared.now();
+            update = updates.recv() => match update {
+                Some(fingerprint) => {
+                    pending.insert(fingerprint);
+                    next_write = shared.now();
                 }
                 None => return,
             },
             () = sleep_until(wake) => {}
         }
-        if shared.now() >= retry {
-            retry = match write(&shared, &*records, &mut waiting).await {
+        if shared.now() >= next_write {
+            next_write = match write_pending(&shared, &*records, &mut pending).await {
                 true => Time::MAX,
-                false => shared.now() + REST,
+                false => shared.now() + WRITE_BACKOFF,
             };
         }
-        if shared.now() >= due {
-            let watches = *shared.upstream.borrow() == Some(Upstream::Store);
-            let reads = watches || members.count() <= 1;
-            let rested = read_at.is_none_or(|at: Time| shared.now().since(at) >= AGAIN);
-            if members.is_lonely() || reads && rested {
-                read_at = Some(shared.now());
-                read(&shared, &members, &*records).await;
+        if shared.now() >= next_check {
+            let watches_store = *shared.upstream.borrow() == Some(Upstream::Store);
+            let may_read = watches_store || members.count() <= 1;
+            let interval_over =
+                last_read.is_none_or(|at: Time| shared.now().since(at) >= READ_INTERVAL);
+            if members.is_isolated() || may_read && interval_over {
+                last_read = Some(shared.now());
+                read_all(&shared, &members, &*records).await;
             }
-            due = shared.now() + LOOK;
+            next_check = shared.now() + CHECK_INTERVAL;
         }
     }
 }
 
-/// Writes what is waiting, as it stands now. Tells whether the store took all of it.
-async fn write(
+/// Writes the pending records in their current state. Returns whether none has to be
+/// retried.
+async fn write_pending(
     shared: &Shared,
     records: &dyn Records,
-    waiting: &mut BTreeSet<Fingerprint>,
+    pending: &mut BTreeSet<Fingerprint>,
 ) -> bool {
-    while let Some(what) = waiting.first().copied() {
-        let verdict = lock(&shared.ledger).verdict(what, shared.now());
+    while let Some(fingerprint) = pending.first().copied() {
+        let report = lock(&shared.ledger).verdict(fingerprint, shared.now());
         shared.metrics.count_store("records");
-        let taken = match verdict {
+        let written = match report {
             Some(report) => {
                 let at = shared.host.clock.wall();
                 records.write(Record { report, at }).await
             }
-            None => records.remove(what).await,
+            None => records.remove(fingerprint).await,
         };
-        if let Err(error) = taken {
-            warn!(shared.host.log, "quarantine: the store did not take the record of {what}"; "why" => %error);
+        if let Err(error) = written {
+            warn!(shared.host.log, "quarantine: the store did not take the record of {fingerprint}"; "why" => %error);
             if !matches!(error, FeedError::Refused(_)) {
                 return false;
             }
-            // It would be refused again.
+            // A refused write would be refused again.
         }
-        waiting.remove(&what);
+        pending.remove(&fingerprint);
     }
     true
 }
 
-async fn read(shared: &Shared, members: &Members, records: &dyn Records) {
+/// Reads all records and merges them into the ledger. The member with the lowest id removes
+/// those that have expired or whose request was answered since.
+async fn read_all(shared: &Shared, members: &Members, records: &dyn Records) {
     shared.metrics.count_store("records");
     let list = match records.list().await {
         Ok(list) => list,
@@ -147,21 +152,23 @@
         .into_iter()
         .map(|record| record.report.aged(wall.since(record.at)))
         .collect();
-    quarantine::hear(shared, &reports);
-    if !members.is_first(shared) {
+    quarantine::merge_reports(shared, &reports);
+    if !members.has_lowest_id(shared) {
         return;
     }
-    let over: Vec<Fingerprint> = {
+    let obsolete: Vec<Fingerprint> = {
         let ledger = lock(&shared.ledger);
-        let whats = reports.iter().map(|report| report.what);
-        whats.filter(|what| !ledger.blames(*what)).collect()
+        let fingerprints = reports.iter().map(|report| report.what);
+        fingerprints
+            .filter(|fingerprint| !ledger.blames(*fingerprint))
+            .collect()
     };
-    for what in over {
+    for fingerprint in obsolete {
         info!(
             shared.host.log,
-            "quarantine: removing the record of {what}, which is over"
+            "quarantine: removing the record of {fingerprint}, which no longer applies"
         );
-        if let Err(error) = records.remove(what).await {
+        if let Err(error) = records.remove(fingerprint).await {
             warn!(shared.host.log, "quarantine: can't remove a record"; "why" => %error);
             return;
         }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The handle of a running entry.
+//! The handle of a running entry, through which the daemon uses it.
 
 use std::{
     io,
@@ -21,7 +21,7 @@
     forward::{self, Ask, Reply},
     leafs::LeafEntry,
     members::{self, Members},
-    pass::Passing,
+    pass::FeedServer,
     pull, quarantine,
     records::{self, Records},
     report,
@@ -32,33 +32,32 @@
     watch as feeds,
 };
 
-/// Makes the port to the feeds of other entries, once the service that passes
-/// on this one's exists.
+/// Serves this entry's feeds to other entries and returns the client of theirs.
 pub type FeedBinder = Box<
     dyn FnOnce(Arc<dyn FeedService>) -> BoxFuture<'static, io::Result<Arc<dyn FeedPeers>>> + Send,
 >;
 
-/// The ports that a relay runs over.
+/// The external interfaces of an entry: store, network and other entries.
 pub struct RelayPorts {
-    /// The book, in the store.
+    /// The route book, read from the store.
     pub book: Arc<dyn Feed<RouteBook>>,
-    /// The leafs, in the store.
+    /// The list of leafs, read from the store.
     pub leafs: Arc<dyn Feed<(LeafId, LeafEntry)>>,
-    /// The failure domains that are evacuated, in the store.
+    /// The failure domains that are being evacuated, read from the store.
     pub evacuations: Arc<dyn Feed<DomainName>>,
-    /// The feeds of other entries.
+    /// The feeds of other entries: book, leafs and evacuations.
     pub peers: FeedBinder,
-    /// The adverts of the entries.
+    /// The adverts in the store, by which entries find each other.
     pub adverts: Arc<dyn Adverts>,
-    /// What the store keeps of requests that end leafs.
+    /// The quarantine records in the store.
     pub records: Arc<dyn Records>,
-    /// The leases of cold leafs.
+    /// The leases that bound calls to cold (recently started) leafs.
     pub leases: Arc<dyn LeaseStore>,
     /// Calls to leafs.
     pub forward: Arc<dyn Forward>,
-    /// Probes between entries.
+    /// Probe messages of the membership protocol.
     pub probes: Arc<dyn Probes>,
-    /// Bytes of all ports.
+    /// Byte counters of all interfaces.
     pub traffic: Arc<Traffic>,
 }
 
@@ -71,21 +70,21 @@
 }
 
 impl Relay {
-    /// Starts an entry over `ports`.
+    /// Starts the tasks of an entry over `ports`.
     ///
     /// # Errors
     ///
-    /// The port to other entries can't be bound.
+    /// The address for peers can't be bound.
     pub async fn spawn(settings: RelaySettings, host: Host, ports: RelayPorts) -> io::Result<Self> {
-        let (doubter, doubts) = quarantine::doubts();
-        let (judged, verdicts) = records::verdicts();
+        let (suspect_sender, suspects) = quarantine::suspect_channel();
+        let (update_sender, updates) = records::update_channel();
         let shared = Shared::new(
             settings,
             host,
             ports.forward,
             ports.traffic,
-            doubter,
-            judged,
+            suspect_sender,
+            update_sender,
         );
         let shared = Arc::new(shared);
         let members = Arc::new(Members::new(&shared, ports.probes));
@@ -93,60 +92,60 @@
             book: ports.book,
             leafs: ports.leafs,
             evacuations: ports.evacuations,
-            peers: (ports.peers)(Arc::new(Passing(shared.clone()))).await?,
+            peers: (ports.peers)(Arc::new(FeedServer(shared.clone()))).await?,
         });
-        let mut set = JoinSet::new();
-        set.spawn(source::run(
+        let mut tasks = JoinSet::new();
+        tasks.spawn(source::run(
             shared.clone(),
             members.clone(),
             sources.clone(),
         ));
-        set.spawn(feeds::book(shared.clone(), sources.clone()));
-        set.spawn(feeds::leafs(shared.clone(), sources.clone()));
-        set.spawn(feeds::evacuations(shared.clone(), sources.clone()));
-        set.spawn(pull::run(shared.clone(), sources));
-        set.spawn(adverts::find(
+        tasks.spawn(feeds::book(shared.clone(), sources.clone()));
+        tasks.spawn(feeds::leafs(shared.clone(), sources.clone()));
+        tasks.spawn(feeds::evacuations(shared.clone(), sources.clone()));
+        tasks.spawn(pull::run(shared.clone(), sources));
+        tasks.spawn(adverts::find(
             shared.clone(),
             members.clone(),
             ports.adverts,
         ));
-        set.spawn(members::probe(shared.clone(), members.clone()));
-        set.spawn(report::run(shared.clone()));
-        set.spawn(quarantine::judge(shared.clone(), doubts));
-        set.spawn(records::run(
+        tasks.spawn(members::probe(shared.clone(), members.clone()));
+        tasks.spawn(report::run(shared.clone()));
+        tasks.spawn(quarantine::check_suspects(shared.clone(), suspects));
+        tasks.spawn(records::run(
             shared.clone(),
             members.clone(),
             ports.records,
-            verdicts,
+            updates,
         ));
-        set.spawn(cold::run(shared.clone(), members.clone(), ports.leases));
-        set.spawn(quarantine::tell(shared.clone(), members.clone()));
+        tasks.spawn(cold::run(shared.clone(), members.clone(), ports.leases));
+        tasks.spawn(quarantine::gossip(shared.clone(), members.clone()));
         Ok(Self {
             shared,
             members,
-            _tasks: Arc::new(set),
+            _tasks: Arc::new(tasks),
         })
     }
 
-    /// Takes a request through the request path. Dropping the future cancels
-    /// its calls.
+    /// Forwards a request to leafs and returns the reply. Dropping the future cancels its
+    /// calls.
     pub async fn forward(&self, ask: Ask) -> Reply {
         forward::forward(&self.shared, ask).await
     }
 
-    /// Where the entry is in its life.
+    /// The current phase: starting, serving or leaving.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.shared.phase()
     }
 
-    /// Changes of [`Relay::phase`].
+    /// A receiver that observes changes of [`Relay::phase`].
     #[must_use]
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.shared.phase.subscribe()
     }
 
-    /// Bounds on callers, from the book in force.
+    /// Limits on callers, from the route book in force.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         let state = lock(&self.shared.cell.state);
@@ -154,55 +153,55 @@
         book.map_or_else(CallerLimits::default, |book| book.limits)
     }
 
-    /// Addresses that callers should use, at most `most`.
+    /// Addresses of entries that callers should connect to, at most `most`.
     #[must_use]
     pub fn addresses(&self, most: usize) -> Vec<SocketAddr> {
         self.members.addresses(&self.shared, most)
     }
 
-    /// How long callers keep the list of addresses.
+    /// How long callers may cache [`Relay::addresses`].
     #[must_use]
     pub fn ttl(&self) -> Duration {
         lock(&self.shared.cell.state).extra.times.ttl
     }
 
-    /// The entry's metrics, as text.
+    /// The entry's metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let in_flight = self.shared.in_flight.load(Ordering::Relaxed);
         self.shared.metrics.in_flight.set(i64::from(in_flight));
         let classes = lock(&self.shared.cell.state).table.classes();
         self.shared.metrics.classes.set(classes as i64);
-        report::measure(&self.shared);
+        report::update_metrics(&self.shared);
         self.shared.metrics.text()
     }
 
-    /// Longest time from the signal to stop to the end of the process.
+    /// Longest time from the stop signal to the end of the process.
     #[must_use]
     pub fn grace(&self) -> Duration {
         lock(&self.shared.cell.state).extra.times.grace
     }
 
-    /// Puts changed settings in force: the bound on extra calls and the times.
-    /// Where an entry listens, and who it is, can't change while it runs.
+    /// Applies changed settings: the budget for extra calls and the times. Addresses and
+    /// the identity of the entry can't change while it runs.
     pub fn reload(&self, settings: &RelaySettings) {
         self.shared.reload(settings.extra, settings.times);
     }
 
-    /// Connections of callers that may be open.
+    /// Maximum number of open connections from callers.
     #[must_use]
     pub fn callers(&self) -> usize {
         self.shared.settings.entry.callers()
     }
 
-    /// Requests that run.
+    /// Number of requests being handled.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.shared.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Starts a planned stop: callers are sent elsewhere, and those that still
-    /// come are served.
+    /// Starts a planned stop: callers are directed to other entries, and requests that
+    /// still arrive are served.
     pub async fn leave(&self) {
         let shared = &self.shared;
         shared.phase.send_replace(Phase::Leaving);
@@ -211,16 +210,16 @@
         members::leave(shared, &self.members).await;
     }
 
-    /// Waits until no request runs, for at most `wait`, and tells the members
-    /// that the entry ends.
+    /// Waits until no request is in flight, for at most `wait`, and announces to the other
+    /// members that the entry stops.
     pub async fn finish(&self, wait: Duration) {
-        /// Time between two looks at what still runs.
-        const LOOK: Duration = Duration::from_millis(10);
-        let until = self.shared.now() + wait;
-        while self.in_flight() > 0 && self.shared.now() < until {
-            sleep(LOOK).await;
+        /// Interval between checks for requests in flight.
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
+        let deadline = self.shared.now() + wait;
+        while self.in_flight() > 0 && self.shared.now() < deadline {
+            sleep(POLL_INTERVAL).await;
         }
-        members::farewell(&self.shared, &self.members).await;
+        members::announce_stop(&self.shared, &self.members).await;
         info!(self.shared.host.log, "fleet: {} has stopped", self.shared.settings.entry.member;
             "in_flight" => self.in_flight());
     }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -1,4 +1,4 @@
-//! What an entry spends, as counters and a line of the log now and then.
+//! Periodic log lines and metrics of the bytes, store calls and extra calls of an entry.
 
 use std::{fmt::Write, sync::Arc, time::Duration};
 
@@ -10,38 +10,38 @@
 
 use crate::shared::Shared;
 
-/// Time between two lines. Three lines in it are a thousandth of what an entry logs
-/// that serves ten requests a second.
-const EVERY: Duration = Duration::from_secs(10);
+/// Interval between log lines, long enough that they are few beside those of requests.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Bytes by purpose, distance and flow.
+/// Total bytes by purpose, distance and flow.
 #[derive(Clone, Copy, Default)]
-struct Bytes([[[u64; 2]; 2]; Purpose::ALL.len()]);
+struct ByteTotals([[[u64; 2]; 2]; Purpose::ALL.len()]);
 
-impl Bytes {
-    fn take(traffic: &Traffic) -> Self {
+impl ByteTotals {
+    /// Reads the counters of `traffic`.
+    fn read(traffic: &Traffic) -> Self {
         let mut bytes = Self::default();
-        for (purpose, distance, flow) in kinds() {
+        for (purpose, distance, flow) in byte_kinds() {
             bytes.0[purpose as usize][distance as usize][flow as usize] =
                 traffic.get(purpose, distance, flow);
         }
         bytes
     }
 
-    /// What was counted since `before`, as `purpose=near in/near out/far in/far out`.
+    /// The bytes counted since `before`, as `purpose=local in/local out/remote in/remote out`.
     fn since(&self, before: &Self) -> String {
         let mut text = String::new();
         for purpose in Purpose::ALL {
-            let gap = if text.is_empty() { "" } else { " " };
+            let separator = if text.is_empty() { "" } else { " " };
             let count = |distance: usize, flow: usize| {
                 let at = purpose as usize;
                 self.0[at][distance][flow] - before.0[at][distance][flow]
             };
-            let word = purpose.as_str();
-            // Writing to a string does not fail.
+            let name = purpose.as_str();
+            // Writing to a string can't fail.
             let _ = write!(
                 text,
-                "{gap}{word}={}/{}/{}/{}",
+                "{separator}{name}={}/{}/{}/{}",
                 count(0, 0),
                 count(0, 1),
                 count(1, 0),
@@ -52,7 +52,8 @@
     }
 }
 
-fn kinds() -> impl Iterator<Item = (Purpose, Distance, Flow)> {
+/// All combinations of purpose, distance and flow.
+fn byte_kinds() -> impl Iterator<Item = (Purpose, Distance, Flow)> {
     let pairs = |purpose| {
         Distance::ALL
             .into_iter()
@@ -61,32 +62,32 @@
     Purpose::ALL.into_iter().flat_map(pairs)
 }
 
-/// What is told of extra calls.
+/// Totals of extra calls: their budget, and the calls made.
 #[derive(Clone, Copy, Default)]
-struct Extra {
+struct ExtraTotals {
     tally: Tally,
     gauge: Gauge,
 }
 
-/// Logs what was spent since the line before, for as long as the entry runs.
+/// Logs the use of bytes and calls since the last line, for as long as the entry runs.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let (mut bytes, mut extra) = (Bytes::default(), Extra::default());
+    let (mut bytes, mut extra) = (ByteTotals::default(), ExtraTotals::default());
     loop {
-        sleep(EVERY).await;
-        let now = Bytes::take(&shared.traffic);
-        let asked = shared.metrics.take_asked();
-        let asked: Vec<String> = asked
+        sleep(LOG_INTERVAL).await;
+        let now = ByteTotals::read(&shared.traffic);
+        let store_calls = shared.metrics.take_store_calls();
+        let store_calls: Vec<String> = store_calls
             .iter()
             .map(|(kind, n)| format!("{kind}={n}"))
             .collect();
-        info!(shared.host.log, "spend: bytes"; "bytes" => now.since(&bytes), "store" => asked.join(", "));
+        info!(shared.host.log, "spend: bytes"; "bytes" => now.since(&bytes), "store" => store_calls.join(", "));
         bytes = now;
-        let (next, way, samples, overrun) = {
+        let (next, delay, samples, overrun) = {
             let state = lock(&shared.cell.state);
             let (tally, gauge) = (state.table.tally(), state.table.gauge());
             let callers = &state.extra.callers;
             (
-                Extra { tally, gauge },
+                ExtraTotals { tally, gauge },
                 callers.way(Duration::ZERO),
                 callers.samples(),
                 callers.overrun(),
@@ -102,19 +103,19 @@
                 "retries" => next.gauge.retries - extra.gauge.retries,
                 "unpaid" => next.gauge.unpaid - extra.gauge.unpaid,
                 "spared" => next.gauge.spared - extra.gauge.spared,
-                "way_ms" => way.as_secs_f64() * 1e3, "way_samples" => samples, "overrun_ms" => overrun.as_secs_f64() * 1e3);
+                "way_ms" => delay.as_secs_f64() * 1e3, "way_samples" => samples, "overrun_ms" => overrun.as_secs_f64() * 1e3);
         }
         extra = next;
     }
 }
 
-/// Brings the metrics up to what was counted.
-pub(crate) fn measure(shared: &Shared) {
-    for (purpose, distance, flow) in kinds() {
+/// Updates the metrics that are read from counters elsewhere.
+pub(crate) fn update_metrics(shared: &Shared) {
+    for (purpose, distance, flow) in byte_kinds() {
         let bytes = shared.traffic.get(purpose, distance, flow);
         shared.metrics.set_bytes(purpose, distance, flow, bytes);
     }
-    let (tally, gauge, barred) = {
+    let (tally, gauge, evacuated_calls) = {
         let state = lock(&shared.cell.state);
         (
             state.table.tally(),
@@ -122,10 +123,17 @@
             state.table.outstanding_barred(),
         )
     };
-    shared.metrics.evacuated_calls.set(i64::from(barred));
-    shared.metrics.set_extra("earned", tally.earned);
-    shared.metrics.set_extra("lost", tally.lost);
-    shared.metrics.set_extra("spent", tally.spent);
-    shared.metrics.set_extra("unpaid", gauge.unpaid as f64);
-    shared.metrics.set_extra("spared", gauge.spared as f64);
+    shared
+        .metrics
+        .evacuated_calls
+        .set(i64::from(evacuated_calls));
+    shared.metrics.set_extra_calls("earned", tally.earned);
+    shared.metrics.set_extra_calls("lost", tally.lost);
+    shared.metrics.set_extra_calls("spent", tally.spent);
+    shared
+        .metrics
+        .set_extra_calls("unpaid", gauge.unpaid as f64);
+    shared
+        .metrics
+        .set_extra_calls("spared", gauge.spared as f64);
 }
