--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,72 +1,75 @@
-//! One member and the order of its states.
+//! The state of one member, and how two versions of it are merged.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use chestnut_unit::{DomainName, Incarnation, MemberId};
 
-/// Whether a member is thought to run.
+/// Health of a member as the failure detector sees it, in ascending precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer a probe, nor others on our behalf.
+    /// It answered neither a direct nor an indirect probe.
     Suspect,
-    /// It was suspect too long, or it has left.
+    /// It did not refute a suspicion in time, or it has left.
     Gone,
 }
 
-/// Where a member listens.
+/// Addresses that a member listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Peers.
+    /// Address for other members.
     pub peers: SocketAddr,
 }
 
-/// What is said of a member.
+/// The gossiped state of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub id: MemberId,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: DomainName,
-    /// Where it listens.
+    /// Addresses that it listens on.
     pub addresses: Addresses,
-    /// The life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Raised by the member itself to refute a suspicion.
+    /// Version within the incarnation, raised only by the member itself, to
+    /// refute a suspicion or to publish a new load.
     pub beat: u32,
-    /// Whether it is thought to run.
+    /// Health as the failure detector sees it.
     pub liveness: Liveness,
-    /// Whether it has said that it is leaving.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// Calls a second that it can carry; 0 if it did not say.
+    /// Capacity in calls to leafs per second; 0 if unknown.
     pub weight: u32,
-    /// Calls a second that it makes, as told when that changes much.
+    /// Calls to leafs per second that it makes, published on larger changes
+    /// only.
     pub load: u32,
-    /// Who took over the tickets of its present and earlier lives.
+    /// Successors that took over the tickets of its present and earlier
+    /// incarnations. A ticket is a permit for one submission, kept by the entry
+    /// that issued it.
     pub heirs: BTreeMap<Incarnation, Heir>,
 }
 
-/// One life of a member that took over the tickets of another.
+/// The incarnation of a member that took over the tickets of another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Heir {
-    /// The member.
+    /// Name of the member.
     pub member: MemberId,
-    /// The life of its process.
+    /// Incarnation of its process.
     pub life: Incarnation,
 }
 
-/// Lives whose heirs a statement carries. A rolling restart gives every name a
-/// new life while the tickets of the old one are still good; three lives cover
-/// restarts that follow each other within the life of a ticket.
-const HEIRS_KEPT: usize = 3;
+/// Incarnations whose successors are kept, enough for several restarts within
+/// the validity of a ticket.
+const MAX_SUCCESSORS: usize = 3;
 
 impl Member {
-    /// A member that has just started.
+    /// Creates the state of a member that has just started.
     #[must_use]
     pub fn starting(
         id: MemberId,
@@ -88,26 +91,25 @@
         }
     }
 
-    /// Whether new work may go to it.
+    /// Whether it accepts new work.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         self.liveness != Liveness::Gone && !self.leaving
     }
 
-    /// Takes what `other` says of the same member and returns whether that
-    /// changed anything.
+    /// Merges another version of the same member's state and returns whether
+    /// that changed anything.
     ///
-    /// A later life overrides an earlier one. Within a life the higher beat
-    /// wins and, at the same beat, the worse liveness; leaving and heirs are
-    /// never unsaid, since only the member itself says them. So every member
-    /// that has heard the same statements, in any order and any number of
-    /// times, holds the same state.
+    /// A later incarnation replaces an earlier one. Within an incarnation the
+    /// higher beat wins, then the worse liveness; leaving and successors are
+    /// never revoked. The merge is commutative, associative and idempotent, so
+    /// members that received the same updates in any order hold the same state.
     pub fn merge(&mut self, other: &Member) -> bool {
         let before = self.clone();
         if other.incarnation > self.incarnation {
-            let heirs = std::mem::take(&mut self.heirs);
+            let successors = std::mem::take(&mut self.heirs);
             *self = other.clone();
-            self.inherit(&heirs);
+            self.inherit(&successors);
             return true;
         }
         self.inherit(&other.heirs);
@@ -122,12 +124,15 @@
         *self != before
     }
 
-    /// Adds heirs of this and earlier lives.
-    pub fn inherit(&mut self, heirs: &BTreeMap<Incarnation, Heir>) {
-        for (life, heir) in heirs {
-            self.heirs.entry(*life).or_insert_with(|| heir.clone());
+    /// Adds successors of this and earlier incarnations, dropping those of the
+    /// oldest.
+    pub fn inherit(&mut self, successors: &BTreeMap<Incarnation, Heir>) {
+        for (incarnation, successor) in successors {
+            self.heirs
+                .entry(*incarnation)
+                .or_insert_with(|| successor.clone());
         }
-        while self.heirs.len() > HEIRS_KEPT {
+        while self.heirs.len() > MAX_SUCCESSORS {
             self.heirs.pop_first();
         }
     }
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -1,4 +1,4 @@
-//! The failure detector.
+//! SWIM failure detector and gossip of member updates.
 
 mod probing;
 
@@ -13,28 +13,28 @@
 
 use crate::{Change, Heir, Liveness, Member, News, View};
 
-/// Parameters of the detector.
+/// Parameters of the failure detector.
 #[derive(Clone, Copy, Debug)]
 pub struct SwimConfig {
     /// Time between two probes.
     pub interval: Duration,
-    /// Members asked to probe on our behalf.
+    /// Number of members asked for an indirect probe.
     pub helpers: usize,
-    /// Statements in one message. Eight keep a message under 1,200 bytes, so
-    /// that it is never fragmented.
+    /// Maximum number of member updates in a message. Limited so that a
+    /// datagram is never fragmented.
     pub news: usize,
-    /// What a member does that hears of a later life of its own name.
+    /// How a member reacts to a later incarnation of its own name.
     pub lives: Lives,
 }
 
-/// What a member does that hears of a later life of its own name. That life was
-/// an earlier one whose clock was ahead: a machine's time of day may jump, and
-/// the number of a life is the time of its start.
+/// How a member reacts to a later incarnation of its own name. Incarnations are
+/// start times, so one that ran while the clock was ahead has a later number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lives {
-    /// It keeps its number: something else is bound to it, such as tickets.
+    /// Keeps its incarnation, because other state such as tickets is bound to
+    /// it.
     Kept,
-    /// It takes a number above the one that it heard of.
+    /// Takes an incarnation above the later one.
     Raised,
 }
 
@@ -49,133 +49,135 @@
     }
 }
 
-/// Part of the interval after which a probe is repeated, directly and through
-/// helpers; it is repeated again after another such part. One lost datagram in
-/// ten would otherwise make one probe in a hundred fail, and the suspicions of
-/// a large fleet would fill all messages.
-const TRY_PART: u32 = 3;
-/// Times that a probe is repeated.
-const REPEATS: u32 = 2;
-/// Intervals that a member stays suspect. It hears of the suspicion at once
-/// from the member that raises it, and its refutation travels as fast as the
-/// suspicion did, a round trip behind it.
+/// Divisor of the probe interval that gives the delay before each retry of an
+/// unanswered probe, sent directly and indirectly. Without retries, lost
+/// datagrams would cause enough false suspicions to fill all messages.
+const RETRY_DIVISOR: u32 = 3;
+/// Maximum number of retries of a probe.
+const MAX_RETRIES: u32 = 2;
+/// Probe intervals until a suspect member is declared gone. Leaves time for its
+/// refutation, which spreads as fast as the suspicion.
 const SUSPECT_INTERVALS: u32 = 4;
-/// Highest self-doubt: timeouts grow up to this many times plus one.
-const DOUBT_MAX: u32 = 8;
+/// Maximum local health multiplier (Lifeguard); timeouts are scaled by one plus
+/// the multiplier.
+const MAX_HEALTH_MULTIPLIER: u32 = 8;
 
-/// What a message asks or answers.
+/// Purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeKind {
-    /// Answer with an ack.
+    /// Requests an ack.
     Ping,
-    /// The answer to a ping.
+    /// Answers a ping.
     Ack,
-    /// Ping `target` and pass its ack on.
+    /// Requests an indirect probe: the receiver pings `target` and forwards the
+    /// ack.
     Relay {
-        /// The member to ping.
+        /// Member to ping.
         target: MemberId,
     },
 }
 
-/// One message of the detector.
+/// A message of the failure detector.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Probe {
-    /// Ask or answer.
+    /// Purpose of the message.
     pub kind: ProbeKind,
-    /// Number of the probe at the member that started it.
+    /// Sequence number of the probe at the member that started it.
     pub seq: u64,
-    /// The sender's statement about itself.
+    /// The sender's own state.
     pub from: Member,
     /// Digest of the sender's configuration.
     pub digest: BookDigest,
     /// How long ago the sender's configuration was confirmed; `None` if never.
     pub confirmed: Option<Duration>,
-    /// Requests that the sender runs, for the order of entries.
+    /// Number of requests that the sender is running, used to order entries.
     pub load: u32,
-    /// Version of the route book that the sender has in force; 0 if none.
+    /// Version of the sender's active route book (its set of routing rules); 0
+    /// if none.
     pub book: BookVersion,
-    /// Statements about others.
+    /// Updates about other members.
     pub news: Vec<Member>,
-    /// What is known against requests.
+    /// Quarantine reports on requests that crashed leafs.
     pub cases: Vec<Report>,
 }
 
-/// Cases in one message, and in one that carries more than [`NEWS_FEW`] statements. A case
-/// takes some 60 bytes, a statement twice as many, and 1,400 bytes are never fragmented.
-const CASES: usize = 4;
-const CASES_BESIDE_NEWS: usize = 1;
-const NEWS_FEW: usize = 6;
+/// Maximum number of quarantine reports in a message, and in one with more than
+/// [`CROWDED_UPDATES`] member updates. Limited so that a datagram is never
+/// fragmented.
+const MAX_REPORTS: usize = 4;
+const MAX_REPORTS_CROWDED: usize = 1;
+const CROWDED_UPDATES: usize = 6;
 
 impl Probe {
-    /// Adds as many of the cases as the message has room for.
+    /// Attaches as many of the quarantine reports as fit in the message.
     pub fn carry(&mut self, cases: &[Report]) {
-        let most = match self.news.len() > NEWS_FEW {
-            true => CASES_BESIDE_NEWS,
-            false => CASES,
+        let max_reports = match self.news.len() > CROWDED_UPDATES {
+            true => MAX_REPORTS_CROWDED,
+            false => MAX_REPORTS,
         };
-        self.cases = cases.iter().take(most).cloned().collect();
+        self.cases = cases.iter().take(max_reports).cloned().collect();
     }
 }
 
-/// A message to send.
+/// An outgoing message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
-    /// Where to.
+    /// Destination.
     pub to: SocketAddr,
     /// The message.
     pub probe: Probe,
 }
 
-/// What a sender says of itself beside its membership.
+/// State of the sender that each message carries beside its membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// Digest of the configuration.
     pub digest: BookDigest,
-    /// How long ago it was confirmed.
+    /// Time since the configuration was confirmed; `None` if never.
     pub confirmed: Option<Duration>,
-    /// Requests that run.
+    /// Number of running requests.
     pub load: u32,
-    /// Version of the route book in force; 0 if none.
+    /// Version of the active route book; 0 if none.
     pub book: BookVersion,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingProbe {
     target: MemberId,
     started: Time,
-    repeats: u32,
+    retries: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Relayed {
-    asker: SocketAddr,
+struct RelayedProbe {
+    requester: SocketAddr,
     seq: u64,
     at: Time,
 }
 
-/// A change of the load is told from this part of what the member can carry on.
-const LOAD_PARTS: u32 = 32;
+/// Load changes below the member's capacity divided by this are not published.
+const LOAD_DIVISOR: u32 = 32;
 
 /// The failure detector of one entry.
 #[derive(Clone, Debug)]
 pub struct Swim {
     config: SwimConfig,
-    /// The members.
+    /// The membership list.
     pub view: View,
     news: News,
-    orders: BTreeMap<Round, Vec<MemberId>>,
-    pending: BTreeMap<u64, Pending>,
-    relayed: BTreeMap<u64, Relayed>,
+    probe_orders: BTreeMap<Round, Vec<MemberId>>,
+    pending: BTreeMap<u64, PendingProbe>,
+    relayed: BTreeMap<u64, RelayedProbe>,
     suspects: BTreeMap<MemberId, Time>,
     loads: BTreeMap<MemberId, u32>,
     seq: u64,
-    due: Time,
-    doubt: u32,
+    next_probe_at: Time,
+    health_multiplier: u32,
     changes: Vec<(MemberId, Change)>,
 }
 
 impl Swim {
-    /// A detector that knows only its own member.
+    /// Creates a detector that knows only its own member.
     #[must_use]
     pub fn new(config: SwimConfig, own: Member, now: Time) -> Self {
         let mut news = News::default();
@@ -184,47 +186,49 @@
             config,
             view: View::new(own, now),
             news,
-            orders: BTreeMap::new(),
+            probe_orders: BTreeMap::new(),
             pending: BTreeMap::new(),
             relayed: BTreeMap::new(),
             suspects: BTreeMap::new(),
             loads: BTreeMap::new(),
             seq: 0,
-            due: now,
-            doubt: 0,
+            next_probe_at: now,
+            health_multiplier: 0,
             changes: Vec::new(),
         }
     }
 
-    /// Changes since the last call of this function.
+    /// Returns and clears the membership changes since the last call.
     pub fn take_changes(&mut self) -> Vec<(MemberId, Change)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Load that a member last told.
+    /// Returns the number of running requests that a member last reported, or 0
+    /// if unknown.
     #[must_use]
     pub fn load(&self, id: &MemberId) -> u32 {
         self.loads.get(id).copied().unwrap_or(0)
     }
 
-    /// Statements that still have to be passed on.
+    /// Returns the number of queued updates.
     #[must_use]
     pub fn news_waiting(&self) -> usize {
         self.news.len()
     }
 
-    /// Takes members from another source: the platform's list or a peer's
-    /// whole view. They are not passed on as news: others have the same
-    /// sources, and a new entry would otherwise repeat the whole fleet.
+    /// Merges members from another source, such as the platform's list or a
+    /// peer's full view. They are not gossiped: others have the same sources,
+    /// and a new entry would otherwise resend the whole membership.
     pub fn introduce(&mut self, members: &[Member], now: Time) {
-        let news = self.news.clone();
+        let queued = self.news.clone();
         for member in members {
-            self.hear(member, now);
+            self.apply_update(member, now);
         }
-        self.news = news;
+        self.news = queued;
     }
 
-    /// Says that this entry is leaving, and to whom it gave its tickets.
+    /// Announces that this entry is leaving and which successor took over its
+    /// tickets.
     pub fn leave(&mut self, heir: Option<Heir>) {
         self.view.change_own(|own| {
             own.leaving = true;
@@ -235,17 +239,16 @@
         self.news.add(self.view.own().clone());
     }
 
-    /// Takes the calls a second that this entry makes, and tells all members if they have
-    /// changed by a quarter since it told, and by more than a little of what it can carry.
+    /// Records the calls to leafs per second that this entry makes, and gossips
+    /// them after a change of more than a quarter plus a margin.
     ///
-    /// A member is probed by each of the others once in a minute or two where they are
-    /// hundreds. By what probes alone told, callers were sent to 4 of 15 entries, then to
-    /// all, as those of the four that were heard first seemed to make all calls.
+    /// Probes alone reach each member too rarely: members would choose serving
+    /// entries from stale loads and switch between too few and all of them.
     pub fn tell_load(&mut self, load: u32) {
         let own = self.view.own();
-        let (told, little) = (own.load, own.weight / LOAD_PARTS);
-        let grown = load > told + told / 4 + little;
-        let fallen = load + little < told - told / 4;
+        let (reported, margin) = (own.load, own.weight / LOAD_DIVISOR);
+        let grown = load > reported + reported / 4 + margin;
+        let fallen = load + margin < reported - reported / 4;
         if own.liveness == Liveness::Gone || !(grown || fallen) {
             return;
         }
@@ -256,68 +259,71 @@
         self.news.add(self.view.own().clone());
     }
 
-    /// Says that this entry stops now. Returns the farewell messages.
-    pub fn stop(&mut self, status: Status, most: usize) -> Vec<Send> {
+    /// Marks this entry as gone. Returns the leave messages to send.
+    pub fn stop(&mut self, status: Status, max_members: usize) -> Vec<Send> {
         self.view.change_own(|own| own.liveness = Liveness::Gone);
-        self.announce(status, most)
+        self.announce(status, max_members)
     }
 
-    /// Messages that tell up to `most` members what this entry says of itself,
-    /// without waiting for the probes.
+    /// Returns messages that report this entry's state to up to `max_members`
+    /// members at once, without waiting for probes.
     #[must_use]
-    pub fn announce(&self, status: Status, most: usize) -> Vec<Send> {
-        let targets = self.view.others().take(most);
+    pub fn announce(&self, status: Status, max_members: usize) -> Vec<Send> {
+        let targets = self.view.others().take(max_members);
         self.tell(status, targets.map(|member| member.addresses.peers))
     }
 
-    /// Messages that tell the members at `targets` what this entry says of itself.
+    /// Returns messages that report this entry's state to the members at
+    /// `targets`.
     #[must_use]
     pub fn tell(&self, status: Status, targets: impl IntoIterator<Item = SocketAddr>) -> Vec<Send> {
         let message = |to| Send {
             to,
-            probe: self.plain(ProbeKind::Ack, 0, status),
+            probe: self.bare_message(ProbeKind::Ack, 0, status),
         };
         targets.into_iter().map(message).collect()
     }
 
-    /// A message to an address whose member is not known: its answer tells.
+    /// Returns a join request to an address whose member is not known yet; the
+    /// answer identifies it.
     #[must_use]
     pub fn knock(&self, to: SocketAddr, status: Status) -> Send {
-        let probe = self.plain(ProbeKind::Ping, 0, status);
+        let probe = self.bare_message(ProbeKind::Ping, 0, status);
         Send { to, probe }
     }
 
-    /// When [`Swim::tick`] has something to do next.
+    /// Returns when [`Swim::tick`] next has work to do.
     #[must_use]
     pub fn wake(&self) -> Time {
-        let relay = self
+        let retry = self
             .pending
             .values()
-            .filter(|pending| pending.repeats < REPEATS)
-            .map(|pending| self.repeat_at(pending))
+            .filter(|pending| pending.retries < MAX_RETRIES)
+            .map(|pending| self.retry_at(pending))
             .min();
         let suspect = self.suspects.values().min().copied();
-        [Some(self.due), relay, suspect]
+        [Some(self.next_probe_at), retry, suspect]
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(self.due)
+            .unwrap_or(self.next_probe_at)
     }
 
-    /// When a probe that has no answer yet is repeated.
-    fn repeat_at(&self, pending: &Pending) -> Time {
-        let part = self.config.interval / TRY_PART * (1 + self.doubt);
-        pending.started + part * (pending.repeats + 1)
+    /// Returns when an unanswered probe is retried.
+    fn retry_at(&self, pending: &PendingProbe) -> Time {
+        let retry_delay = self.config.interval / RETRY_DIVISOR * (1 + self.health_multiplier);
+        pending.started + retry_delay * (pending.retries + 1)
     }
 
-    /// Does what is due: probes, asks helpers, suspects, gives up.
+    /// Runs due work: sends probes and retries, suspects members that did not
+    /// answer, and declares expired suspects gone.
     pub fn tick(&mut self, status: Status, now: Time, rng: &mut dyn Rng, out: &mut Vec<Send>) {
-        self.notice_own_pause(now);
-        self.repeat_late(status, now, rng, out);
-        self.suspect_silent(status, now, out);
-        self.give_up_suspects(now);
-        if now >= self.due {
-            self.due = now + self.config.interval;
+        self.detect_own_pause(now);
+        self.retry_overdue(status, now, rng, out);
+        self.suspect_unanswered(status, now, out);
+        self.expire_suspects(now);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + self.config.interval;
             self.probe_next(status, now, rng, out);
             self.view.forget(now);
             let oldest = now - self.config.interval * 8;
@@ -325,7 +331,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles an incoming message.
     pub fn receive(
         &mut self,
         probe: &Probe,
@@ -334,45 +340,45 @@
         now: Time,
         out: &mut Vec<Send>,
     ) {
-        self.hear(&probe.from, now);
+        self.apply_update(&probe.from, now);
         for member in &probe.news {
-            self.hear(member, now);
+            self.apply_update(member, now);
         }
         self.loads.insert(probe.from.id.clone(), probe.load);
         match &probe.kind {
             ProbeKind::Ping => {
-                let mut ack = self.message(ProbeKind::Ack, probe.seq, status);
-                self.tell_it(&probe.from.id, &mut ack);
-                self.tell_later_life(&probe.from, &mut ack);
+                let mut ack = self.message_with_updates(ProbeKind::Ack, probe.seq, status);
+                self.attach_suspicion(&probe.from.id, &mut ack);
+                self.attach_later_incarnation(&probe.from, &mut ack);
                 out.push(Send {
                     to: from,
                     probe: ack,
                 });
             }
-            ProbeKind::Ack => self.acked(probe, status, out),
+            ProbeKind::Ack => self.handle_ack(probe, status, out),
             ProbeKind::Relay { target } => {
-                self.relay(target, probe.seq, from, status, now, out);
+                self.relay_ping(target, probe.seq, from, status, now, out);
             }
         }
     }
 
-    /// Takes a statement, from a message or from our own detector.
-    fn hear(&mut self, said: &Member, now: Time) {
-        if said.id == self.view.own().id {
-            self.learn_heirs(said);
-            self.refute(said);
+    /// Applies an update, from a message or from this entry's own detector.
+    fn apply_update(&mut self, update: &Member, now: Time) {
+        if update.id == self.view.own().id {
+            self.adopt_successors(update);
+            self.refute(update);
             return;
         }
-        let (change, news) = self.view.merge(said, now);
-        if !news {
+        let (change, updated) = self.view.merge(update, now);
+        if !updated {
             return;
         }
-        let Some(member) = self.view.get(&said.id).cloned() else {
+        let Some(member) = self.view.get(&update.id).cloned() else {
             return;
         };
         match member.liveness {
             Liveness::Suspect => {
-                let until = now + self.suspect_span();
+                let until = now + self.suspicion_timeout();
                 self.suspects.entry(member.id.clone()).or_insert(until);
             }
             Liveness::Alive | Liveness::Gone => {
@@ -385,50 +391,54 @@
         self.news.add(member);
     }
 
-    /// Takes over the heirs of this name's earlier lives, and passes them on.
-    fn learn_heirs(&mut self, said: &Member) {
+    /// Adopts successors of this member's earlier incarnations, and gossips
+    /// them.
+    fn adopt_successors(&mut self, update: &Member) {
         let before = self.view.own().heirs.clone();
-        self.view.change_own(|own| own.inherit(&said.heirs));
+        self.view.change_own(|own| own.inherit(&update.heirs));
         if self.view.own().heirs != before {
             self.news.add(self.view.own().clone());
         }
     }
 
-    /// Answers a statement that calls this entry suspect or gone by a higher
-    /// beat. A statement about an earlier life of the same name is answered
-    /// too, as the present life overrides it.
-    fn refute(&mut self, said: &Member) {
+    /// Refutes an update that declares this entry suspect or gone by raising
+    /// the beat. Updates about earlier incarnations need no refutation, since
+    /// the present one overrides them. A later incarnation is answered by
+    /// taking a higher one, if so configured.
+    fn refute(&mut self, update: &Member) {
         let own = self.view.own();
-        if said.incarnation > own.incarnation && self.config.lives == Lives::Raised {
-            let life = Incarnation(said.incarnation.0 + 1);
-            self.view.change_own(|own| own.incarnation = life);
+        if update.incarnation > own.incarnation && self.config.lives == Lives::Raised {
+            let incarnation = Incarnation(update.incarnation.0 + 1);
+            self.view.change_own(|own| own.incarnation = incarnation);
             self.news.add(self.view.own().clone());
             return;
         }
-        if said.incarnation != own.incarnation || said.liveness == Liveness::Alive {
+        if update.incarnation != own.incarnation || update.liveness == Liveness::Alive {
             return;
         }
-        if said.beat < own.beat || own.liveness == Liveness::Gone {
+        if update.beat < own.beat || own.liveness == Liveness::Gone {
             return;
         }
-        let beat = said.beat + 1;
+        let beat = update.beat + 1;
         self.view.change_own(|own| own.beat = beat);
         self.news.add(self.view.own().clone());
-        self.doubt = (self.doubt + 1).min(DOUBT_MAX);
+        self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
     }
 
-    fn suspect_span(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         self.config.interval * SUSPECT_INTERVALS
     }
 
-    fn message(&mut self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
+    /// Builds a message that carries queued updates.
+    fn message_with_updates(&mut self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
         let members = self.view.present().count();
-        let mut probe = self.plain(kind, seq, status);
+        let mut probe = self.bare_message(kind, seq, status);
         probe.news = self.news.take(self.config.news, members);
         probe
     }
 
-    fn plain(&self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
+    /// Builds a message without updates about others.
+    fn bare_message(&self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
         Probe {
             kind,
             seq,
--- a/crates/fleet/src/swim/probing.rs
+++ b/crates/fleet/src/swim/probing.rs
@@ -1,53 +1,57 @@
-//! Probes: who is probed, what repeats a probe, and what its silence means.
+//! Choice of probe targets, retries of probes, and handling of missing answers.
 
 use std::net::SocketAddr;
 
 use chestnut_unit::{MemberId, Time};
 use rand::Rng;
 
-use super::{DOUBT_MAX, Pending, Probe, ProbeKind, REPEATS, Relayed, Send, Status, Swim};
+use super::{
+    MAX_HEALTH_MULTIPLIER, MAX_RETRIES, PendingProbe, Probe, ProbeKind, RelayedProbe, Send, Status,
+    Swim,
+};
 use crate::{Liveness, Member};
 
-/// One probe in this many goes to a member that is gone, so that two halves of
-/// a split find each other again without the platform.
-const REVIVE_EVERY: u64 = 10;
+/// One in this many probes goes to a member that is gone, so that the sides of
+/// a healed partition find each other without the platform.
+const GONE_PROBE_EVERY: u64 = 10;
 
-/// One probe in this many goes to a member of any failure domain, where the own one has
-/// [`NEAR_LEAST`] others. Each member is then still probed from elsewhere every two to
-/// three seconds, as all members do the same. With all of them going anywhere 295 members
-/// in 5 domains sent 49 of 60 MB between domains in 48 s of a calm day.
-const FAR_EVERY: u64 = 4;
-/// Other members of a failure domain from which on they mostly watch each other. Their
-/// probes notice a death as soon as everybody's do: a member is probed as often.
-const NEAR_LEAST: usize = 16;
+/// One in this many probes goes to a member of any failure domain when the own
+/// one has at least [`MIN_LOCAL_PEERS`] others. Limits traffic between domains,
+/// while every member is still probed from other domains.
+const ANY_DOMAIN_EVERY: u64 = 4;
+/// Number of other members of a failure domain from which on they mostly probe
+/// each other. Crashes are detected as fast, since each member is probed as
+/// often.
+const MIN_LOCAL_PEERS: usize = 16;
 
-/// Which members a round of probes goes to.
+/// The members that a round of probes covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Round {
-    /// All.
+    /// Members of all failure domains.
     All,
-    /// Those of the own failure domain.
-    Near,
+    /// Members of the own failure domain.
+    Local,
 }
 
 impl Swim {
-    /// A pause of this process makes everybody else look silent. Probes that
-    /// were under way then prove nothing: they are dropped, and doubt grows.
-    /// Without this a VM that is frozen for some seconds suspects its peers
-    /// when it wakes, and they spend their news on refuting it.
-    pub(super) fn notice_own_pause(&mut self, now: Time) {
-        let late = now.since(self.due);
-        if late <= self.config.interval * 2 {
+    /// Detects a pause of this process, during which acks could not be read.
+    /// Drops the probes in flight, extends running suspicions and raises the
+    /// health multiplier; otherwise a VM that was frozen for some seconds would
+    /// suspect all its peers on resuming.
+    pub(super) fn detect_own_pause(&mut self, now: Time) {
+        let delay = now.since(self.next_probe_at);
+        if delay <= self.config.interval * 2 {
             return;
         }
         self.pending.clear();
-        self.doubt = (self.doubt + 2).min(DOUBT_MAX);
-        let grace = self.suspect_span();
+        self.health_multiplier = (self.health_multiplier + 2).min(MAX_HEALTH_MULTIPLIER);
+        let grace = self.suspicion_timeout();
         for until in self.suspects.values_mut() {
             *until = (*until).max(now + grace);
         }
     }
 
+    /// Starts the next probe.
     pub(super) fn probe_next(
         &mut self,
         status: Status,
@@ -56,9 +60,9 @@
         out: &mut Vec<Send>,
     ) {
         self.seq += 1;
-        let revive = self.seq.is_multiple_of(REVIVE_EVERY);
-        let target = if revive {
-            self.some_gone(rng).or_else(|| self.next_target(rng))
+        let probe_gone = self.seq.is_multiple_of(GONE_PROBE_EVERY);
+        let target = if probe_gone {
+            self.random_gone(rng).or_else(|| self.next_target(rng))
         } else {
             self.next_target(rng)
         };
@@ -66,51 +70,51 @@
             return;
         };
         self.ping(self.seq, &id, status, out);
-        let pending = Pending {
+        let pending = PendingProbe {
             target: id,
             started: now,
-            repeats: 0,
+            retries: 0,
         };
         self.pending.insert(self.seq, pending);
     }
 
-    /// Adds to a message what is held against the member that it goes to. Only
-    /// that member can refute it, and news of it has long stopped travelling
-    /// when two halves of a split meet again.
-    pub(super) fn tell_it(&self, to: &MemberId, probe: &mut Probe) {
-        let held = self.view.get(to).filter(|m| m.liveness != Liveness::Alive);
-        if let Some(member) = held
-            && !probe.news.iter().any(|said| said.id == *to)
+    /// Attaches the suspicion about the receiver to a message. Only the
+    /// receiver can refute it, and its gossip may have ended before a partition
+    /// healed.
+    pub(super) fn attach_suspicion(&self, to: &MemberId, probe: &mut Probe) {
+        let known = self.view.get(to).filter(|m| m.liveness != Liveness::Alive);
+        if let Some(member) = known
+            && !probe.news.iter().any(|update| update.id == *to)
         {
             probe.news.push(member.clone());
         }
     }
 
-    /// Tells a member of a later life of its name. Until it takes a greater
-    /// number nobody believes what it says of itself: one that left and came
-    /// back with its clock behind would count as leaving for good.
-    pub(super) fn tell_later_life(&self, to: &Member, probe: &mut Probe) {
-        let held = self
+    /// Attaches the later incarnation of the receiver's name to a message, so
+    /// that it takes a higher one. Otherwise a member that left and restarted
+    /// with its clock behind would count as leaving forever.
+    pub(super) fn attach_later_incarnation(&self, to: &Member, probe: &mut Probe) {
+        let known = self
             .view
             .get(&to.id)
             .filter(|m| m.incarnation > to.incarnation);
-        if let Some(member) = held
-            && !probe.news.iter().any(|said| said.id == to.id)
+        if let Some(member) = known
+            && !probe.news.iter().any(|update| update.id == to.id)
         {
             probe.news.push(member.clone());
         }
     }
 
-    /// The next member of a shuffled round, so that each is probed once in
-    /// every round and the time to notice a death is bounded. Where the own failure
-    /// domain has members enough to watch each other, three probes of four go to them.
+    /// Returns the next member of a shuffled round, so that each is probed once
+    /// per round and the detection time is bounded. If the own failure domain
+    /// has enough members, most probes go to them.
     pub(super) fn next_target(&mut self, rng: &mut dyn Rng) -> Option<MemberId> {
-        let round = match self.seq.is_multiple_of(FAR_EVERY) || !self.watch_near() {
+        let round = match self.seq.is_multiple_of(ANY_DOMAIN_EVERY) || !self.probes_locally() {
             true => Round::All,
-            false => Round::Near,
+            false => Round::Local,
         };
         for _ in 0..2 {
-            while let Some(id) = self.orders.entry(round).or_default().pop() {
+            while let Some(id) = self.probe_orders.entry(round).or_default().pop() {
                 let present = self.view.get(&id).filter(|m| m.liveness != Liveness::Gone);
                 if present.is_some() {
                     return Some(id);
@@ -121,18 +125,19 @@
             let members = members.filter(|m| round == Round::All || m.domain == *own);
             let mut order: Vec<MemberId> = members.map(|m| m.id.clone()).collect();
             shuffle(&mut order, rng);
-            self.orders.insert(round, order);
+            self.probe_orders.insert(round, order);
         }
         None
     }
 
-    fn watch_near(&self) -> bool {
+    fn probes_locally(&self) -> bool {
         let own = &self.view.own().domain;
-        let near = self.view.others().filter(|m| m.domain == *own);
-        near.take(NEAR_LEAST).count() == NEAR_LEAST
+        let local = self.view.others().filter(|m| m.domain == *own);
+        local.take(MIN_LOCAL_PEERS).count() == MIN_LOCAL_PEERS
     }
 
-    pub(super) fn some_gone(&self, rng: &mut dyn Rng) -> Option<MemberId> {
+    /// Returns a random member that is gone without having announced it.
+    pub(super) fn random_gone(&self, rng: &mut dyn Rng) -> Option<MemberId> {
         let gone: Vec<&Member> = self
             .view
             .all()
@@ -141,42 +146,45 @@
         if gone.is_empty() {
             return None;
         }
-        Some(gone[below(rng, gone.len())].id.clone())
+        Some(gone[random_below(rng, gone.len())].id.clone())
     }
 
-    pub(super) fn repeat_late(
+    /// Retries probes that had no answer in time, directly and through other
+    /// members.
+    pub(super) fn retry_overdue(
         &mut self,
         status: Status,
         now: Time,
         rng: &mut dyn Rng,
         out: &mut Vec<Send>,
     ) {
-        let late: Vec<(u64, MemberId)> = self
+        let overdue: Vec<(u64, MemberId)> = self
             .pending
             .iter()
-            .filter(|(_, p)| p.repeats < REPEATS && self.repeat_at(p) <= now)
+            .filter(|(_, p)| p.retries < MAX_RETRIES && self.retry_at(p) <= now)
             .map(|(seq, p)| (*seq, p.target.clone()))
             .collect();
-        for (seq, target) in late {
+        for (seq, target) in overdue {
             if let Some(pending) = self.pending.get_mut(&seq) {
-                pending.repeats += 1;
+                pending.retries += 1;
             }
             self.ping(seq, &target, status, out);
-            self.ask_helpers(seq, &target, status, rng, out);
+            self.request_indirect_pings(seq, &target, status, rng, out);
         }
     }
 
-    /// Pings a member, telling it what is held against it.
+    /// Pings a member, attaching any suspicion about it.
     pub(super) fn ping(&mut self, seq: u64, id: &MemberId, status: Status, out: &mut Vec<Send>) {
         let Some(to) = self.view.get(id).map(|m| m.addresses.peers) else {
             return;
         };
-        let mut probe = self.message(ProbeKind::Ping, seq, status);
-        self.tell_it(id, &mut probe);
+        let mut probe = self.message_with_updates(ProbeKind::Ping, seq, status);
+        self.attach_suspicion(id, &mut probe);
         out.push(Send { to, probe });
     }
 
-    pub(super) fn ask_helpers(
+    /// Asks random members to ping `target` on behalf of this entry.
+    pub(super) fn request_indirect_pings(
         &mut self,
         seq: u64,
         target: &MemberId,
@@ -184,57 +192,59 @@
         rng: &mut dyn Rng,
         out: &mut Vec<Send>,
     ) {
-        let mut helpers: Vec<SocketAddr> = self
+        let mut relays: Vec<SocketAddr> = self
             .view
             .others()
             .filter(|m| m.id != *target && m.liveness == Liveness::Alive)
             .map(|m| m.addresses.peers)
             .collect();
-        shuffle(&mut helpers, rng);
-        helpers.truncate(self.config.helpers);
-        for to in helpers {
+        shuffle(&mut relays, rng);
+        relays.truncate(self.config.helpers);
+        for to in relays {
             let kind = ProbeKind::Relay {
                 target: target.clone(),
             };
-            let probe = self.message(kind, seq, status);
+            let probe = self.message_with_updates(kind, seq, status);
             out.push(Send { to, probe });
         }
     }
 
-    pub(super) fn suspect_silent(&mut self, status: Status, now: Time, out: &mut Vec<Send>) {
-        let patience = self.config.interval * (1 + self.doubt);
-        let silent: Vec<u64> = self
+    /// Suspects the targets of probes that timed out.
+    pub(super) fn suspect_unanswered(&mut self, status: Status, now: Time, out: &mut Vec<Send>) {
+        let timeout = self.config.interval * (1 + self.health_multiplier);
+        let unanswered: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, p)| p.started + patience <= now)
+            .filter(|(_, p)| p.started + timeout <= now)
             .map(|(seq, _)| *seq)
             .collect();
-        for seq in silent {
+        for seq in unanswered {
             let Some(pending) = self.pending.remove(&seq) else {
                 continue;
             };
-            self.doubt = (self.doubt + 1).min(DOUBT_MAX);
+            self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
             let Some(member) = self.view.get(&pending.target) else {
                 continue;
             };
             if member.liveness != Liveness::Alive {
                 continue;
             }
-            let mut said = member.clone();
-            said.liveness = Liveness::Suspect;
-            self.hear(&said, now);
+            let mut update = member.clone();
+            update.liveness = Liveness::Suspect;
+            self.apply_update(&update, now);
             self.ping(seq, &pending.target, status, out);
         }
     }
 
-    pub(super) fn give_up_suspects(&mut self, now: Time) {
-        let over: Vec<MemberId> = self
+    /// Declares members gone whose suspicion timed out.
+    pub(super) fn expire_suspects(&mut self, now: Time) {
+        let expired: Vec<MemberId> = self
             .suspects
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in over {
+        for id in expired {
             self.suspects.remove(&id);
             let Some(member) = self.view.get(&id) else {
                 continue;
@@ -242,32 +252,35 @@
             if member.liveness != Liveness::Suspect {
                 continue;
             }
-            let mut said = member.clone();
-            said.liveness = Liveness::Gone;
-            self.hear(&said, now);
+            let mut update = member.clone();
+            update.liveness = Liveness::Gone;
+            self.apply_update(&update, now);
         }
     }
 
-    pub(super) fn acked(&mut self, probe: &Probe, status: Status, out: &mut Vec<Send>) {
+    /// Completes the probe that an ack answers, or forwards the ack of a relayed
+    /// ping to its requester.
+    pub(super) fn handle_ack(&mut self, probe: &Probe, status: Status, out: &mut Vec<Send>) {
         if let Some(relayed) = self.relayed.remove(&probe.seq) {
-            let mut passed = self.plain(ProbeKind::Ack, relayed.seq, status);
-            passed.news.push(probe.from.clone());
+            let mut forwarded = self.bare_message(ProbeKind::Ack, relayed.seq, status);
+            forwarded.news.push(probe.from.clone());
             out.push(Send {
-                to: relayed.asker,
-                probe: passed,
+                to: relayed.requester,
+                probe: forwarded,
             });
             return;
         }
         if self.pending.remove(&probe.seq).is_some() {
-            self.doubt = self.doubt.saturating_sub(1);
+            self.health_multiplier = self.health_multiplier.saturating_sub(1);
         }
     }
 
-    pub(super) fn relay(
+    /// Pings `target` on behalf of `requester`, which receives the ack.
+    pub(super) fn relay_ping(
         &mut self,
         target: &MemberId,
         seq: u64,
-        asker: SocketAddr,
+        requester: SocketAddr,
         status: Status,
         now: Time,
         out: &mut Vec<Send>,
@@ -276,24 +289,25 @@
             return;
         };
         self.seq += 1;
-        let relayed = Relayed {
-            asker,
+        let relayed = RelayedProbe {
+            requester,
             seq,
             at: now,
         };
         self.relayed.insert(self.seq, relayed);
-        let probe = self.message(ProbeKind::Ping, self.seq, status);
+        let probe = self.message_with_updates(ProbeKind::Ping, self.seq, status);
         out.push(Send { to, probe });
     }
 }
 
 fn shuffle<T>(items: &mut [T], rng: &mut dyn Rng) {
     for last in (1..items.len()).rev() {
-        items.swap(last, below(rng, last + 1));
+        items.swap(last, random_below(rng, last + 1));
     }
 }
 
-fn below(rng: &mut dyn Rng, bound: usize) -> usize {
-    let wide = u128::from(rng.next_u64()) * bound as u128;
-    usize::try_from(wide >> 64).expect("below the bound")
+/// Draws a random number below `bound`.
+fn random_below(rng: &mut dyn Rng, bound: usize) -> usize {
+    let scaled = u128::from(rng.next_u64()) * bound as u128;
+    usize::try_from(scaled >> 64).expect("below the bound")
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! All members that an entry knows of.
+//! The membership list of an entry.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,180 +9,182 @@
 
 use crate::{Liveness, Member};
 
-/// How long a member that is known to be gone is remembered: as long as its
-/// tickets live, so that they find its successor, and far longer than news of
-/// it travels, so that an old "alive" can't bring it back.
-const GONE_KEPT: Duration = Duration::from_secs(900);
+/// How long a member that is confirmed gone is kept. Covers the validity of its
+/// tickets, so that they find its successor, and outlasts gossip, so that a
+/// delayed "alive" update can't revive it.
+const GONE_RETENTION: Duration = Duration::from_secs(900);
 
-/// A change of the view that others act upon.
+/// A membership change that other components react to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member came, or came back.
+    /// A member joined or came back.
     Joined,
-    /// A member is suspected.
+    /// A member became suspect.
     Suspected,
-    /// A member says that it is leaving.
+    /// A member announced that it is leaving.
     Leaving,
     /// A member is gone.
     Gone,
-    /// Nothing that others act upon.
+    /// No change that needs a reaction.
     None,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberRecord {
     member: Member,
-    changed: Time,
-    dismissed: bool,
+    changed_at: Time,
+    /// Whether it was gone and missing from the platform's list of live VMs.
+    unlisted: bool,
 }
 
-impl Known {
+impl MemberRecord {
     fn new(member: Member, now: Time) -> Self {
         Self {
             member,
-            changed: now,
-            dismissed: false,
+            changed_at: now,
+            unlisted: false,
         }
     }
 
-    /// Whether the member itself or the platform said that it is gone. A
+    /// Whether the member itself or the platform reported that it is gone. A
     /// member that merely stopped answering may be on the other side of a
-    /// split, where it goes on accepting edits.
-    fn known_gone(&self) -> bool {
-        self.member.liveness == Liveness::Gone && (self.member.leaving || self.dismissed)
+    /// partition, where it goes on accepting edits.
+    fn confirmed_gone(&self) -> bool {
+        self.member.liveness == Liveness::Gone && (self.member.leaving || self.unlisted)
     }
 }
 
-/// The members that one entry knows, itself included.
+/// The members that an entry knows, itself included.
 #[derive(Clone, Debug)]
 pub struct View {
     own: MemberId,
-    known: BTreeMap<MemberId, Known>,
+    members: BTreeMap<MemberId, MemberRecord>,
 }
 
 impl View {
-    /// A view that knows only `own`.
+    /// Creates a view that contains only `own`.
     #[must_use]
     pub fn new(own: Member, now: Time) -> Self {
         let id = own.id.clone();
         Self {
-            known: BTreeMap::from([(id.clone(), Known::new(own, now))]),
+            members: BTreeMap::from([(id.clone(), MemberRecord::new(own, now))]),
             own: id,
         }
     }
 
-    /// This entry.
+    /// Returns this entry's own state.
     ///
     /// # Panics
     ///
-    /// Never: a view always knows its own member.
+    /// Never: a view always contains its own member.
     #[must_use]
     pub fn own(&self) -> &Member {
-        &self.known[&self.own].member
+        &self.members[&self.own].member
     }
 
-    /// Changes this entry's own statement.
+    /// Changes this entry's own state.
     pub fn change_own(&mut self, change: impl FnOnce(&mut Member)) {
-        if let Some(known) = self.known.get_mut(&self.own) {
-            change(&mut known.member);
+        if let Some(record) = self.members.get_mut(&self.own) {
+            change(&mut record.member);
         }
     }
 
-    /// A member.
+    /// Returns a member, or `None` if it is unknown.
     #[must_use]
     pub fn get(&self, id: &MemberId) -> Option<&Member> {
-        self.known.get(id).map(|known| &known.member)
+        self.members.get(id).map(|record| &record.member)
     }
 
-    /// Takes a statement about another member. Returns what changed, and
-    /// whether the statement is news that should travel on.
-    pub fn merge(&mut self, said: &Member, now: Time) -> (Change, bool) {
-        let Some(known) = self.known.get_mut(&said.id) else {
-            if said.liveness == Liveness::Gone {
+    /// Merges an update about another member. Returns what changed, and whether
+    /// the update should be gossiped further.
+    pub fn merge(&mut self, update: &Member, now: Time) -> (Change, bool) {
+        let Some(record) = self.members.get_mut(&update.id) else {
+            if update.liveness == Liveness::Gone {
                 return (Change::None, false);
             }
-            let known = Known::new(said.clone(), now);
-            self.known.insert(said.id.clone(), known);
+            let record = MemberRecord::new(update.clone(), now);
+            self.members.insert(update.id.clone(), record);
             return (Change::Joined, true);
         };
-        let before = known.member.clone();
-        if !known.member.merge(said) {
+        let before = record.member.clone();
+        if !record.member.merge(update) {
             return (Change::None, false);
         }
-        known.changed = now;
-        known.dismissed = false;
-        (change_between(&before, &known.member), true)
+        record.changed_at = now;
+        record.unlisted = false;
+        (change_between(&before, &record.member), true)
     }
 
-    /// Drops members that have been known to be gone for long.
+    /// Removes members that have been confirmed gone for a while.
     pub fn forget(&mut self, now: Time) {
-        self.known
-            .retain(|_, known| !known.known_gone() || now.since(known.changed) < GONE_KEPT);
+        self.members.retain(|_, record| {
+            !record.confirmed_gone() || now.since(record.changed_at) < GONE_RETENTION
+        });
     }
 
-    /// Takes the platform's list of live VMs: members that are gone and not on
-    /// it are gone for good.
+    /// Marks members that are gone and not in the platform's list of live VMs
+    /// as confirmed gone.
     pub fn dismiss_absent(&mut self, live: &BTreeSet<MemberId>) {
-        for (id, known) in &mut self.known {
-            if known.member.liveness == Liveness::Gone && !live.contains(id) {
-                known.dismissed = true;
+        for (id, record) in &mut self.members {
+            if record.member.liveness == Liveness::Gone && !live.contains(id) {
+                record.unlisted = true;
             }
         }
     }
 
-    /// Other members of which neither they nor the platform said that they
-    /// are gone, whether they answer or not.
+    /// Returns the other members that neither they themselves nor the platform
+    /// reported as gone, whether they answer or not.
     pub fn not_known_gone(&self) -> impl Iterator<Item = &Member> {
-        self.known
+        self.members
             .values()
-            .filter(|known| known.member.id != self.own && !known.known_gone())
-            .map(|known| &known.member)
+            .filter(|record| record.member.id != self.own && !record.confirmed_gone())
+            .map(|record| &record.member)
     }
 
-    /// All members that are not gone, this entry included.
+    /// Returns all members that are not gone, this entry included.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
-        self.known
+        self.members
             .values()
-            .map(|known| &known.member)
+            .map(|record| &record.member)
             .filter(|member| member.liveness != Liveness::Gone)
     }
 
-    /// All members that take new work, this entry included.
+    /// Returns all members that accept new work, this entry included.
     pub fn working(&self) -> impl Iterator<Item = &Member> {
         self.present().filter(|member| member.takes_work())
     }
 
-    /// All members that are not gone, but for this entry.
+    /// Returns all members that are not gone, except this entry.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.present().filter(|member| member.id != self.own)
     }
 
-    /// Every member that is remembered, the gone included.
+    /// Returns all known members, including those that are gone.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member)
+        self.members.values().map(|record| &record.member)
     }
 
-    /// Members of one failure domain that take new work.
+    /// Returns the members of a failure domain that accept new work.
     pub fn working_in<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a Member> {
         self.working()
             .filter(move |member| member.domain == *domain)
     }
 
-    /// Who keeps the tickets that `keeper` minted in its life `life`: itself
-    /// in that life, or whoever took them over. A life that this view has not
-    /// heard of yet is taken to be the present one: only the member itself
-    /// knows, and it decides when it is asked.
+    /// Returns the member that keeps the tickets issued by `keeper` in its
+    /// incarnation `life`: that member itself, or the successor that took them
+    /// over. An incarnation newer than the known one counts as the present one;
+    /// the member decides when asked.
     #[must_use]
     pub fn keeper_of(&self, keeper: &MemberId, life: Incarnation) -> Option<&Member> {
         let (mut id, mut life) = (keeper, life);
-        for _ in 0..self.known.len() {
+        for _ in 0..self.members.len() {
             let member = self.get(id)?;
             if let Some(heir) = member.heirs.get(&life) {
                 (id, life) = (&heir.member, heir.life);
                 continue;
             }
-            let here = member.incarnation <= life && member.liveness != Liveness::Gone;
-            return here.then_some(member);
+            let keeps_tickets = member.incarnation <= life && member.liveness != Liveness::Gone;
+            return keeps_tickets.then_some(member);
         }
         None
     }
