--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -1,4 +1,4 @@
-//! Since when the settings of an entry are known to be current.
+//! Tracks when an entry's settings were last known to be current.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,76 +7,77 @@
 
 use crate::Probe;
 
-/// By whom settings were last confirmed.
+/// When settings were last confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmed {
-    /// Never yet.
+    /// Not confirmed since the process started.
     Never,
     /// At this time.
     At(Time),
 }
 
-/// How long a word of a peer counts for the rule that nobody has the platform.
-const HEARD_KEPT: Duration = Duration::from_secs(30);
+/// How long a peer's report counts for confirmation during an outage of the
+/// platform.
+const REPORT_EXPIRY: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerReport {
     at: Time,
     digest: BookDigest,
     confirmed: Option<Duration>,
 }
 
-/// Keeps the time at which this entry's settings were last known to be
-/// current.
+/// Tracks when this entry's settings were last known to be current.
 ///
-/// Three things confirm them: the platform itself; a peer with the very same
-/// settings that were confirmed later than ours; and, in an outage, having
-/// heard every member that is present, all with the same settings and none
-/// with the platform, since then nothing can have been accepted. An entry that
-/// is cut off has none of the three, so its time stands still and requests
-/// are refused once it is too old, instead of served on settings that others
-/// have replaced.
+/// Three events confirm them: the platform sends its state; a peer with the
+/// same settings reports a later confirmation; or, during an outage of the
+/// platform, every present member reports the same settings, so that no edit
+/// can have been accepted since. An entry that is cut off sees none of these,
+/// and refuses requests once its confirmation is too old instead of serving
+/// outdated settings.
 #[derive(Clone, Debug)]
 pub struct Confirm {
     at: Confirmed,
-    heard: BTreeMap<MemberId, Heard>,
+    reports: BTreeMap<MemberId, PeerReport>,
 }
 
 impl Default for Confirm {
     fn default() -> Self {
         Self {
             at: Confirmed::Never,
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
         }
     }
 }
 
 impl Confirm {
-    /// The platform gave its current state at `now`.
+    /// Records that the platform sent its current state at `now`.
     pub fn platform(&mut self, now: Time) {
-        self.raise(now);
+        self.advance(now);
     }
 
-    /// A peer sent a probe while this entry's digest was `own`.
+    /// Records a peer's probe, received while this entry's digest was `own`.
     pub fn peer(&mut self, probe: &Probe, own: BookDigest, now: Time) {
-        let heard = Heard {
+        let report = PeerReport {
             at: now,
             digest: probe.digest,
             confirmed: probe.confirmed,
         };
-        self.heard.insert(probe.from.id.clone(), heard);
+        self.reports.insert(probe.from.id.clone(), report);
         if probe.digest != own {
             return;
         }
         if let Some(age) = probe.confirmed {
-            self.raise(now - age);
+            self.advance(now - age);
         }
     }
 
-    /// Applies the rule for outages: `present` are all other members that are
-    /// not known to be gone ([`View::not_known_gone`](crate::View)). One that
-    /// only stopped answering counts as present, so an entry on the small side
-    /// of a split does not confirm itself.
+    /// Confirms the settings during an outage of the platform if all members in
+    /// `present` recently reported the digest `own` and had it confirmed before.
+    /// `present` lists all other members not known to be gone
+    /// ([`View::not_known_gone`](crate::View)). A member that only stopped
+    /// answering counts as present, so that the minority side of a partition
+    /// does not confirm itself.
     pub fn outage<'a>(
         &mut self,
         present: impl Iterator<Item = &'a MemberId>,
@@ -87,29 +88,30 @@
             return;
         }
         let mut oldest = now;
-        let mut others = 0;
+        let mut confirming = 0;
         for member in present {
-            let Some(heard) = self.heard.get(member) else {
+            let Some(report) = self.reports.get(member) else {
                 return;
             };
-            let fresh = now.since(heard.at) < HEARD_KEPT;
-            if !fresh || heard.digest != own || heard.confirmed.is_none() {
+            let fresh = now.since(report.at) < REPORT_EXPIRY;
+            if !fresh || report.digest != own || report.confirmed.is_none() {
                 return;
             }
-            oldest = oldest.min(heard.at);
-            others += 1;
+            oldest = oldest.min(report.at);
+            confirming += 1;
         }
-        if others > 0 {
-            self.raise(oldest);
+        if confirming > 0 {
+            self.advance(oldest);
         }
     }
 
-    /// Drops what was heard of members that are gone.
+    /// Removes the report of a member that is gone.
     pub fn forget(&mut self, member: &MemberId) {
-        self.heard.remove(member);
+        self.reports.remove(member);
     }
 
-    /// The age of the confirmation.
+    /// Returns the time since the last confirmation, or `None` if there was
+    /// none.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         match self.at {
@@ -118,7 +120,7 @@
         }
     }
 
-    fn raise(&mut self, at: Time) {
+    fn advance(&mut self, at: Time) {
         let later = match self.at {
             Confirmed::Never => true,
             Confirmed::At(earlier) => at > earlier,
--- a/crates/fleet/src/entries.rs
+++ b/crates/fleet/src/entries.rs
@@ -1,4 +1,4 @@
-//! Which entries callers should use.
+//! The list of entries that callers receive.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,25 @@
 
 use crate::Swim;
 
-/// One entry in the list that callers get.
+/// An entry that callers can connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the entry.
     pub member: MemberId,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub domain: DomainName,
 }
 
-/// Load differences below this many running requests don't matter.
+/// Entries whose numbers of running requests differ by less than about this are
+/// ordered at random.
 const LOAD_STEP: u32 = 8;
 
-/// The entries that take new work, in the order in which a caller should try
-/// them: its own failure domain first, then lightly loaded ones; entries that
-/// are alike come in a random order, so that callers who ask together don't
-/// all go to the same one.
+/// Returns the entries that accept new work in the order in which a caller
+/// should try them: those in its own failure domain first, then by load. Ties
+/// are broken at random, so that callers that ask at the same time don't all
+/// choose the same entry.
 #[must_use]
 pub fn order_entries(
     swim: &Swim,
@@ -47,10 +48,10 @@
                 address: member.addresses.callers,
                 domain: member.domain.clone(),
             };
-            let far = domain.is_some_and(|domain| member.domain != *domain);
-            (far, load / LOAD_STEP, rng.next_u64(), entry)
+            let remote = domain.is_some_and(|domain| member.domain != *domain);
+            (remote, load / LOAD_STEP, rng.next_u64(), entry)
         })
         .collect();
-    keyed.sort_by_key(|(far, load, draw, _)| (*far, *load, *draw));
+    keyed.sort_by_key(|(remote, load, tiebreak, _)| (*remote, *load, *tiebreak));
     keyed.into_iter().map(|(.., entry)| entry).collect()
 }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -1,4 +1,5 @@
-//! Which members hold which leafs, and which watch the platform.
+//! Placement of holders, the members that keep connections to a group of leafs,
+//! and of the members that watch the platform.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,30 +8,30 @@
 
 use crate::Member;
 
-/// Shares of a leaf's connections that stay unused. While views differ after
-/// a change, one member more than planned may hold a leaf; the spare share
-/// takes its connections, so the sum over members stays within the limit.
+/// Shares of a leaf's connections that stay unused. While views differ after a
+/// change, one member too many may hold a leaf; the spare share keeps the total
+/// within the limit.
 const SPARE_SHARES: u32 = 1;
 
-/// How many members hold a leaf that accepts `connections`, when each opens at
-/// most `share` of them. At least one, or nobody could reach it.
+/// Returns the number of members that hold a leaf accepting `connections`
+/// connections when each opens at most `share` of them. At least one, so that
+/// the leaf stays reachable.
 #[must_use]
 pub fn holders_wanted(connections: u32, share: u32) -> usize {
     let shares = connections / share.max(1);
     shares.saturating_sub(SPARE_SHARES).max(1) as usize
 }
 
-/// The holders of every group of a service.
+/// The holders of each group of leafs of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HolderPlan {
-    /// Group to holders, the preferred first.
+    /// Holders by group, the preferred first.
     pub groups: BTreeMap<u32, Vec<MemberId>>,
 }
 
 impl HolderPlan {
-    /// Plans the holders of `service`. A change of one member moves only the
-    /// groups of that member, because each group ranks the members by a hash
-    /// of its own (rendezvous hashing).
+    /// Assigns holders to each group of `service` by rendezvous hashing, so
+    /// that a change of one member moves only the groups that it holds.
     #[must_use]
     pub fn new(name: &ServiceName, service: &Service, members: &[Member], share: u32) -> Self {
         let mut groups: BTreeMap<u32, (usize, BTreeSet<&DomainName>)> = BTreeMap::new();
@@ -52,21 +53,21 @@
         }
     }
 
-    /// The holders of a group.
+    /// Returns the holders of a group, or none if it is unknown.
     #[must_use]
     pub fn of(&self, group: u32) -> &[MemberId] {
         self.groups.get(&group).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Members with what their rank for a key is worked out from, so that each
-/// name is hashed once and not once for every group.
+/// Members with the hash of their names, computed once instead of once per
+/// group.
 pub struct Ranked<'a> {
     members: Vec<(u64, &'a Member)>,
 }
 
 impl<'a> Ranked<'a> {
-    /// Prepares `members`.
+    /// Hashes the names of `members`.
     #[must_use]
     pub fn new(members: &'a [Member]) -> Self {
         let hashed = members.iter().map(|m| (hash(m.id.as_str()), m));
@@ -75,8 +76,9 @@
         }
     }
 
-    /// The `wanted` members that hold the group `key`: the best of each
-    /// failure domain that has leafs of the group, then the best of the rest.
+    /// Returns the `wanted` members that hold the group `key`: the
+    /// highest-scoring one of each failure domain in `domains`, then the
+    /// highest-scoring others.
     #[must_use]
     pub fn holders_of(
         &self,
@@ -88,7 +90,7 @@
         let mut scored: Vec<(u64, &Member)> = self
             .members
             .iter()
-            .map(|(member, m)| (mix(key, *member), *m))
+            .map(|(member, m)| (score(key, *member), *m))
             .collect();
         let best = |a: &(u64, &Member), b: &(u64, &Member)| {
             b.0.cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id))
@@ -100,12 +102,11 @@
         }
         chosen.sort_by(best);
         chosen.truncate(wanted);
-        // Only the best few are needed: sorting all would cost more than all
-        // the rest of a placement.
-        let few = (wanted + chosen.len()).min(scored.len());
-        if few < scored.len() {
-            scored.select_nth_unstable_by(few, best);
-            scored.truncate(few);
+        // Avoids sorting all members when only the first few are needed.
+        let kept = (wanted + chosen.len()).min(scored.len());
+        if kept < scored.len() {
+            scored.select_nth_unstable_by(kept, best);
+            scored.truncate(kept);
         }
         scored.sort_by(best);
         for candidate in scored {
@@ -118,35 +119,37 @@
     }
 }
 
-/// The members of a failure domain that watch the platform for the others.
+/// Returns the members of a failure domain that watch the platform for the
+/// others.
 #[must_use]
 pub fn watchers_of<'a>(members: impl Iterator<Item = &'a Member>, wanted: usize) -> Vec<MemberId> {
-    rank("watchers", members)
+    sort_by_score("watchers", members)
         .into_iter()
         .take(wanted)
         .map(|member| member.id.clone())
         .collect()
 }
 
-/// Members by their score for `key`, the highest first.
-fn rank<'a>(key: &str, members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
+/// Sorts members by their score for `key`, the highest first.
+fn sort_by_score<'a>(key: &str, members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
     let key = hash(key);
     let mut scored: Vec<(u64, &Member)> = members
-        .map(|member| (mix(key, hash(member.id.as_str())), member))
+        .map(|member| (score(key, hash(member.id.as_str())), member))
         .collect();
     scored.sort_by(|(a, m), (b, n)| b.cmp(a).then_with(|| m.id.cmp(&n.id)));
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The same at every entry and in every release.
+/// Hashes a text to a value that is the same on all entries and in all
+/// releases.
 fn hash(text: &str) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..8]);
     u64::from_le_bytes(first)
 }
 
-/// Score of a member for a key: the finalizer of `SplitMix64` over both.
-fn mix(key: u64, member: u64) -> u64 {
+/// Scores a member for a key with the finalizer of `SplitMix64`.
+fn score(key: u64, member: u64) -> u64 {
     let mut z = key ^ member.rotate_left(32);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,15 +1,15 @@
-//! Which part of a bound over all entries an entry holds.
+//! Leases on shares of a rate limit that applies to all entries together.
 //!
-//! What all entries together may do has to be kept by something that all share. Divided
-//! among those that an entry knows of, a bound breaks while views differ; divided among
-//! all, it thins out to nothing. So it is cut into a few fixed parts, each under a lease
-//! in the store: whoever holds the lease may use the part.
+//! Dividing the limit among the entries that each one knows would exceed it while views
+//! differ, and dividing it among all entries would leave each too little. So the limit is
+//! split into a fixed number of shares, each under a lease in the store. Only the holder of
+//! a lease may use its share.
 
 use std::{collections::BTreeMap, fmt, str::FromStr, time::Duration};
 
 use chestnut_unit::Time;
 
-/// Number of a lease, from 0.
+/// Number of a lease, starting at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseId(pub u8);
 
@@ -27,7 +27,8 @@
     }
 }
 
-/// One life of an entry. Another life holds nothing of what the one before held.
+/// Identity of one incarnation of an entry. A restarted entry holds none of the leases of
+/// the earlier incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Owner(pub String);
 
@@ -37,73 +38,73 @@
     }
 }
 
-/// A lease as it stands in the store.
+/// The stored state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
-    /// Which.
+    /// The lease.
     pub id: LeaseId,
-    /// Who holds it; none if it was given back.
+    /// Its holder; `None` if it was released.
     pub owner: Option<Owner>,
-    /// The store's revision of it.
+    /// The store's revision of the record.
     pub revision: u64,
 }
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseCall {
-    /// Read all leases, as they are now.
+    /// Reads the current state of all leases.
     List,
-    /// Write one, if it is at this revision, or not there. The write has to raise the
-    /// revision also where it renews what is there.
+    /// Writes a lease if its revision matches (compare-and-swap). The store has to raise
+    /// the revision even if the owner stays the same.
     Write {
-        /// Which.
+        /// The lease.
         id: LeaseId,
-        /// The revision; none if it must not be there.
+        /// The expected revision; `None` if the record must not exist.
         expected: Option<u64>,
-        /// Who shall hold it; none gives it back.
+        /// The new holder; `None` releases the lease.
         owner: Option<Owner>,
     },
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseReply {
-    /// It took effect, at this revision.
+    /// The write took effect at this revision.
     Taken(u64),
-    /// The lease is at another revision.
+    /// The lease has another revision.
     Conflict(LeaseRecord),
-    /// It may take effect, now or later, or never.
+    /// No answer: the write may have taken effect, may do so later, or never.
     Unknown,
 }
 
-/// How leases last.
+/// Durations that govern leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
-    /// How long a lease holds after the call that took or renewed it was sent.
+    /// Validity of a lease, counted from when the write that took or renewed it was sent.
     pub term: Duration,
-    /// How long what was done under a lease counts: between two holders nobody may use
-    /// the part for so long.
+    /// Time between two holders during which nobody may use the share, because calls made
+    /// under the old lease still count.
     pub settle: Duration,
 }
 
-/// Leases of one bound. Four leave each part of a small bound at least one call a second,
-/// and lose a quarter of it while a holder has died.
+/// Number of leases that a limit is split into. Few, so that each share of a small limit
+/// stays usable; more than one, so that a crashed holder blocks only a part.
 pub const LEASES: u8 = 4;
 
-/// Renewals in a term: two may be lost.
+/// Divisor of the term after which a lease is renewed; leaves time to repeat lost renewals.
 const RENEWALS: u32 = 3;
-/// Time between two readings while no lease is free.
-const AGAIN: Duration = Duration::from_millis(500);
-/// Rest after a call whose fate is unknown.
-const REST: Duration = Duration::from_millis(200);
+/// Interval for listing the leases again while none is available.
+const RELIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Backoff after a call without a known outcome.
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observed {
     owner: Option<Owner>,
-    /// None if it was not there.
+    /// `None` if the record did not exist.
     revision: Option<u64>,
-    /// When this revision was seen first.
-    since: Time,
+    /// When this revision was first observed.
+    first_seen: Time,
 }
 
 #[derive(Clone, Debug)]
@@ -112,70 +113,72 @@
     revision: u64,
     until: Time,
     renew: Time,
-    /// When it may be given back; nothing is done under it any more.
-    closing: Option<Time>,
+    /// When the lease may be released; its share is no longer used.
+    release_at: Option<Time>,
 }
 
-/// The leases of one bound, as one entry sees them.
+/// One entry's view of the leases of a limit, and the lease that it holds.
 ///
-/// A holder goes by the time at which it sent the call that the store took; the others
-/// by the time at which they saw the lease first as it is. So a lease is over for its
-/// holder before anybody else takes it, whatever the store and the links do meanwhile.
+/// A holder counts the term from when it sent the write; others count from when they first
+/// observed the revision. So a lease expires for its holder before anyone else takes it,
+/// whatever the delays of the store and the network.
 #[derive(Clone, Debug)]
 pub struct Leases {
     times: LeaseTimes,
     own: Owner,
-    /// Where the entry begins to look, so that entries which look together don't all
-    /// write the same lease.
-    start: u8,
-    seen: BTreeMap<LeaseId, Seen>,
-    listed: Option<Time>,
+    /// First lease that the entry tries, so that entries that look at the same time don't
+    /// all write the same lease.
+    first_tried: u8,
+    observed: BTreeMap<LeaseId, Observed>,
+    listed_at: Option<Time>,
     holding: Option<Holding>,
-    rest: Time,
+    backoff_until: Time,
 }
 
 impl Leases {
-    /// Nothing is known and nothing held.
+    /// Creates a state in which nothing is known and no lease is held. `start` selects the
+    /// lease that is tried first.
     #[must_use]
     pub fn new(times: LeaseTimes, own: Owner, start: u64) -> Self {
         Self {
             times,
             own,
-            start: (start % u64::from(LEASES)) as u8,
-            seen: BTreeMap::new(),
-            listed: None,
+            first_tried: (start % u64::from(LEASES)) as u8,
+            observed: BTreeMap::new(),
+            listed_at: None,
             holding: None,
-            rest: Time::ZERO,
+            backoff_until: Time::ZERO,
         }
     }
 
-    /// The lease that is held, and until when.
+    /// Returns the lease whose share may be used at `now`, and when it expires.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<(LeaseId, Time)> {
         let holding = self.holding.as_ref()?;
-        let valid = holding.closing.is_none() && now < holding.until;
+        let valid = holding.release_at.is_none() && now < holding.until;
         valid.then_some((holding.id, holding.until))
     }
 
-    /// Whether a lease is held, or kept until it may be given back.
+    /// Whether a lease is held, or kept until it may be released.
     #[must_use]
     pub fn is_holding(&self) -> bool {
         self.holding.is_some()
     }
 
-    /// The call to make now, if any. One is made at a time.
+    /// Returns the call to make now, if any. The caller must have at most one call in
+    /// flight.
     pub fn next(&mut self, wanted: bool, now: Time) -> Option<LeaseCall> {
-        if now < self.rest {
+        if now < self.backoff_until {
             return None;
         }
         if self.holding.as_ref().is_some_and(|held| now >= held.until) {
-            // It could not be renewed, and others may take it.
+            // Not renewed in time: others may take it.
             self.holding = None;
-            self.listed = None;
+            self.listed_at = None;
         }
         match (&mut self.holding, wanted) {
             (Some(holding), true) => {
-                holding.closing = None;
+                holding.release_at = None;
                 let due = now >= holding.renew;
                 due.then(|| LeaseCall::Write {
                     id: holding.id,
@@ -184,50 +187,54 @@
                 })
             }
             (Some(holding), false) => {
-                let closing = *holding.closing.get_or_insert(now + self.times.settle);
-                (now >= closing).then_some(LeaseCall::Write {
+                let release_at = *holding.release_at.get_or_insert(now + self.times.settle);
+                (now >= release_at).then_some(LeaseCall::Write {
                     id: holding.id,
                     expected: Some(holding.revision),
                     owner: None,
                 })
             }
-            (None, true) => self.look(now),
+            (None, true) => self.find_available(now),
             (None, false) => None,
         }
     }
 
-    fn look(&self, now: Time) -> Option<LeaseCall> {
-        let fresh = self.listed.is_some_and(|at| now.since(at) < AGAIN);
-        if !fresh {
+    fn find_available(&self, now: Time) -> Option<LeaseCall> {
+        let recent = self
+            .listed_at
+            .is_some_and(|at| now.since(at) < RELIST_INTERVAL);
+        if !recent {
             return Some(LeaseCall::List);
         }
-        let order = (0..LEASES).map(|n| LeaseId((self.start + n) % LEASES));
-        let mut open = order.filter_map(|id| Some((id, self.seen.get(&id)?)));
-        open.find(|(_, seen)| self.is_open(seen, now))
-            .map(|(id, seen)| LeaseCall::Write {
+        let order = (0..LEASES).map(|n| LeaseId((self.first_tried + n) % LEASES));
+        let mut available = order.filter_map(|id| Some((id, self.observed.get(&id)?)));
+        available
+            .find(|(_, observed)| self.is_available(observed, now))
+            .map(|(id, observed)| LeaseCall::Write {
                 id,
-                expected: seen.revision,
+                expected: observed.revision,
                 owner: Some(self.own.clone()),
             })
     }
 
-    fn is_open(&self, seen: &Seen, now: Time) -> bool {
-        match &seen.owner {
+    fn is_available(&self, observed: &Observed, now: Time) -> bool {
+        match &observed.owner {
             None => true,
-            // A write of this entry that it heard no answer to.
+            // Written by this entry, but the answer was lost.
             Some(owner) if *owner == self.own => true,
-            Some(_) => now >= self.lapse(seen),
+            Some(_) => now >= self.available_at(observed),
         }
     }
 
-    /// From when on a lease is over for its holder, and what was done under it.
-    fn lapse(&self, seen: &Seen) -> Time {
-        seen.since + self.times.term + self.times.settle
+    /// Returns when the lease has expired for its holder and calls made under it no longer
+    /// count.
+    fn available_at(&self, observed: &Observed) -> Time {
+        observed.first_seen + self.times.term + self.times.settle
     }
 
-    /// Takes what the store lists.
+    /// Records the leases that the store listed.
     pub fn listed(&mut self, records: Vec<LeaseRecord>, now: Time) {
-        self.listed = Some(now);
+        self.listed_at = Some(now);
         let mut records: BTreeMap<LeaseId, LeaseRecord> = records
             .into_iter()
             .map(|record| (record.id, record))
@@ -235,27 +242,27 @@
         for id in (0..LEASES).map(LeaseId) {
             let record = records.remove(&id);
             let revision = record.as_ref().map(|record| record.revision);
-            self.see(id, record.and_then(|record| record.owner), revision, now);
+            self.observe(id, record.and_then(|record| record.owner), revision, now);
         }
     }
 
-    fn see(&mut self, id: LeaseId, owner: Option<Owner>, revision: Option<u64>, now: Time) {
-        let known = self.seen.get(&id);
-        if known.is_some_and(|seen| seen.revision == revision) {
+    fn observe(&mut self, id: LeaseId, owner: Option<Owner>, revision: Option<u64>, now: Time) {
+        let known = self.observed.get(&id);
+        if known.is_some_and(|observed| observed.revision == revision) {
             return;
         }
-        let since = now;
-        self.seen.insert(
+        let first_seen = now;
+        self.observed.insert(
             id,
-            Seen {
+            Observed {
                 owner,
                 revision,
-                since,
+                first_seen,
             },
         );
     }
 
-    /// Takes the answer to a write that was sent at `sent`.
+    /// Records the outcome of a write that was sent at `sent`.
     pub fn answered(
         &mut self,
         id: LeaseId,
@@ -266,21 +273,22 @@
     ) {
         match reply {
             LeaseReply::Taken(revision) => {
-                self.see(id, owner.clone(), Some(revision), now);
+                self.observe(id, owner.clone(), Some(revision), now);
                 self.holding = owner.map(|_| Holding {
                     id,
                     revision,
                     until: sent + self.times.term,
                     renew: sent + self.times.term / RENEWALS,
-                    closing: None,
+                    release_at: None,
                 });
             }
             LeaseReply::Conflict(record) => {
                 let own = record.owner.as_ref() == Some(&self.own);
                 let revision = record.revision;
-                self.see(id, record.owner, Some(revision), now);
+                self.observe(id, record.owner, Some(revision), now);
                 if let Some(holding) = self.holding.as_mut().filter(|held| held.id == id) {
-                    // A renewal without an answer took effect: it prolongs nothing.
+                    // An unanswered renewal took effect: the revision changed, the expiry
+                    // does not.
                     holding.revision = revision;
                     if !own {
                         self.holding = None;
@@ -291,33 +299,37 @@
         }
     }
 
-    /// Takes it that a call has failed.
+    /// Records that a call failed and starts the backoff.
     pub fn failed(&mut self, now: Time) {
-        self.rest = now + REST;
+        self.backoff_until = now + RETRY_BACKOFF;
     }
 
-    /// When [`Leases::next`] may have something to do.
+    /// Returns when [`Leases::next`] may next return a call.
     #[must_use]
     pub fn wake(&self, wanted: bool, now: Time) -> Time {
         let due = match (&self.holding, wanted) {
             (Some(holding), true) => holding.renew,
-            (Some(holding), false) => holding.closing.unwrap_or(now),
+            (Some(holding), false) => holding.release_at.unwrap_or(now),
             (None, true) => {
-                let listed = self.listed.map_or(now, |at| at + AGAIN);
-                let open = self.seen.values().map(|seen| match &seen.owner {
-                    Some(owner) if *owner != self.own => self.lapse(seen),
-                    _ => now,
-                });
-                open.min().unwrap_or(now).min(listed)
+                let relist = self.listed_at.map_or(now, |at| at + RELIST_INTERVAL);
+                let available = self
+                    .observed
+                    .values()
+                    .map(|observed| match &observed.owner {
+                        Some(owner) if *owner != self.own => self.available_at(observed),
+                        _ => now,
+                    });
+                available.min().unwrap_or(now).min(relist)
             }
             (None, false) => Time::MAX,
         };
-        due.max(self.rest)
+        due.max(self.backoff_until)
     }
 }
 
 impl LeaseId {
-    /// The part of `bound` that belongs to the lease. All parts together are the bound.
+    /// Returns the share of `bound` that belongs to the lease. The shares of all leases add
+    /// up to `bound`.
     #[must_use]
     pub fn part(self, bound: u32) -> u32 {
         let leases = u32::from(LEASES);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,16 @@
-//! What entries decide about each other: who is a member, who holds which
-//! leafs, which addresses callers use, who watches the platform, and whether
-//! settings are confirmed.
+//! Coordination between entries, the processes that callers connect to:
+//! membership, holders of leafs, serving entries, watchers of the platform,
+//! leases, and confirmation of settings.
 //!
-//! All of it is state plus event plus `now` in, typed messages out. The
-//! failure detector follows SWIM (Das, Gupta, Motivala, 2002) with the
-//! self-doubt of Lifeguard (Dadgar, Phillips, Currey, 2017), so that the cost
-//! for one member does not grow with their number.
+//! A leaf is a back-end process that entries send calls to; a holder is an
+//! entry that keeps connections to it. All types are state machines without
+//! I/O: an event and the current time go in, messages come out. The failure
+//! detector follows SWIM (Das, Gupta, Motivala, 2002) with the local health
+//! multiplier of Lifeguard (Dadgar, Phillips, Currey, 2017), so that the cost
+//! per member does not grow with the number of members.
 //!
 //! ```
-//! // Forty connections, four for each holder, one share spared.
+//! // 40 connections in shares of 4, with one share kept spare.
 //! assert_eq!(chestnut_fleet::holders_wanted(40, 4), 9);
 //! ```
 
