--- a/crates/fleet/benches/holders.rs
+++ b/crates/fleet/benches/holders.rs
@@ -1,5 +1,5 @@
-//! Processor time to place the holders of 18,000 leafs, by the number of
-//! members: `cargo bench -p chestnut-fleet`.
+//! Measures the CPU time of placing the holders of a large service, by number
+//! of members. Run with `cargo bench -p chestnut-fleet`.
 
 use std::{collections::BTreeMap, hint::black_box, time::Duration};
 
@@ -9,7 +9,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 const LEAFS: u32 = 18_000;
-const GROUP: u32 = 30;
+const LEAFS_PER_GROUP: u32 = 30;
 
 fn service() -> Service {
     let mut leafs = BTreeMap::new();
@@ -19,7 +19,7 @@
             domain: DomainName::new(format!("d{}", n % 8)).expect("a legal name"),
             slots: 5,
             connections: 40,
-            group: n / GROUP,
+            group: n / LEAFS_PER_GROUP,
         };
         leafs.insert(LeafId::new(format!("l{n:05}")).expect("a legal name"), leaf);
     }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,4 +1,5 @@
-//! A bound over all entries, kept by leases in a store, under drawn faults.
+//! Model test of a rate limit over all entries that is enforced by leases in a store, with
+//! random faults.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,22 +15,22 @@
 use rstest::rstest;
 
 const STEP: Duration = Duration::from_millis(10);
-/// The window in which the bound holds.
+/// Window of the rate limit.
 const WINDOW: Duration = Duration::from_secs(1);
 const TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_millis(1500),
     settle: Duration::from_millis(1250),
 };
 
-/// A write under way to the store, and the answer that comes of it.
-struct Flight {
+/// A call in flight to the store, and its answer.
+struct Request {
     entry: usize,
-    life: u32,
+    incarnation: u32,
     call: LeaseCall,
     sent: Time,
-    /// When the store carries it out.
+    /// When the store applies it.
     applies: Time,
-    /// When its answer arrives; none if it is lost.
+    /// When its answer arrives; `None` if it is lost.
     answers: Option<Time>,
     answer: Option<Answer>,
 }
@@ -40,74 +41,76 @@
 }
 
 struct Entry {
-    life: u32,
+    incarnation: u32,
     leases: Leases,
     wanted: bool,
     busy: bool,
-    /// Until when it stands still.
-    frozen: Time,
-    /// Until when the store does not hear it, nor it the store.
-    cut: Time,
-    /// Calls to the one leaf within the settling time.
+    /// Until when its process is paused.
+    paused_until: Time,
+    /// Until when it is partitioned from the store.
+    partitioned_until: Time,
+    /// Calls to the leaf within the settling time.
     calls: VecDeque<Time>,
 }
 
 struct World {
     rng: ChaCha8Rng,
-    bound: u32,
+    limit: u32,
     now: Time,
     entries: Vec<Entry>,
     store: BTreeMap<LeaseId, (u64, Option<Owner>)>,
     revision: u64,
-    flights: Vec<Flight>,
-    /// Time from a call to its answer.
-    slow: Duration,
-    /// All calls to the leaf.
+    requests: Vec<Request>,
+    /// Round-trip time to the store.
+    store_latency: Duration,
+    /// Calls of all entries to the leaf within the window.
     calls: VecDeque<Time>,
-    most: usize,
+    /// Highest number of calls in a window so far.
+    max_calls: usize,
+    /// Calls to the leaf since the start.
     total: usize,
 }
 
 impl World {
-    fn new(seed: u64, entries: usize, bound: u32) -> Self {
+    fn new(seed: u64, entries: usize, limit: u32) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            bound,
+            limit,
             now: Time::from_millis(1000),
             entries: Vec::new(),
             store: BTreeMap::new(),
             revision: 0,
-            flights: Vec::new(),
-            slow: Duration::from_millis(8),
+            requests: Vec::new(),
+            store_latency: Duration::from_millis(8),
             calls: VecDeque::new(),
-            most: 0,
+            max_calls: 0,
             total: 0,
         };
         for n in 0..entries {
-            let entry = world.born(n, 0);
+            let entry = world.start_entry(n, 0);
             world.entries.push(entry);
         }
         world
     }
 
-    fn born(&mut self, n: usize, life: u32) -> Entry {
-        let own = Owner(format!("entry-{n}/{life}"));
+    fn start_entry(&mut self, n: usize, incarnation: u32) -> Entry {
+        let own = Owner(format!("entry-{n}/{incarnation}"));
         Entry {
-            life,
+            incarnation,
             leases: Leases::new(TIMES, own, self.rng.random()),
             wanted: true,
             busy: false,
-            frozen: Time::ZERO,
-            cut: Time::ZERO,
+            paused_until: Time::ZERO,
+            partitioned_until: Time::ZERO,
             calls: VecDeque::new(),
         }
     }
 
-    fn span(&mut self, most: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(0..most))
+    fn random_duration(&mut self, max_millis: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(0..max_millis))
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let fault = self.rng.random_range(0..60);
         if fault > 6 {
             return;
@@ -116,14 +119,14 @@
         let holder = self.holder().unwrap_or(n);
         let n = if self.rng.random_bool(0.7) { holder } else { n };
         match fault {
-            0 => self.entries[n].frozen = self.now + self.span(6000),
-            1 => self.entries[n].cut = self.now + self.span(6000),
+            0 => self.entries[n].paused_until = self.now + self.random_duration(6000),
+            1 => self.entries[n].partitioned_until = self.now + self.random_duration(6000),
             2 => {
-                let life = self.entries[n].life + 1;
-                self.entries[n] = self.born(n, life);
+                let incarnation = self.entries[n].incarnation + 1;
+                self.entries[n] = self.start_entry(n, incarnation);
             }
-            3 => self.slow = self.span(800),
-            4 => self.slow = Duration::from_millis(8),
+            3 => self.store_latency = self.random_duration(800),
+            4 => self.store_latency = Duration::from_millis(8),
             5 => {
                 let share = self.rng.random_range(0.0..1.0);
                 for n in 0..self.entries.len() {
@@ -132,8 +135,8 @@
             }
             6 if self.rng.random_bool(0.1) => {
                 for n in 0..self.entries.len() {
-                    let life = self.entries[n].life + 1;
-                    self.entries[n] = self.born(n, life);
+                    let incarnation = self.entries[n].incarnation + 1;
+                    self.entries[n] = self.start_entry(n, incarnation);
                 }
             }
             _ => {}
@@ -148,9 +151,9 @@
     fn step(&mut self, faults: bool) {
         self.now = self.now + STEP;
         if faults {
-            self.fault();
+            self.inject_fault();
         }
-        self.carry_out();
+        self.apply_calls();
         self.deliver();
         for n in 0..self.entries.len() {
             self.act(n, faults);
@@ -162,22 +165,22 @@
         {
             self.calls.pop_front();
         }
-        self.most = self.most.max(self.calls.len());
+        self.max_calls = self.max_calls.max(self.calls.len());
         assert!(
-            self.calls.len() <= self.bound as usize,
+            self.calls.len() <= self.limit as usize,
             "{} calls of {} at {:?}",
             self.calls.len(),
-            self.bound,
+            self.limit,
             self.now
         );
     }
 
-    fn carry_out(&mut self) {
-        for flight in &mut self.flights {
-            if flight.answer.is_some() || flight.applies > self.now {
+    fn apply_calls(&mut self) {
+        for request in &mut self.requests {
+            if request.answer.is_some() || request.applies > self.now {
                 continue;
             }
-            flight.answer = Some(match &flight.call {
+            request.answer = Some(match &request.call {
                 LeaseCall::List => Answer::List(records(&self.store)),
                 LeaseCall::Write {
                     id,
@@ -198,63 +201,63 @@
         }
     }
 
-    /// Brings answers to entries that run; a call is given up after two seconds.
+    /// Delivers answers to running entries; a call times out after two seconds.
     fn deliver(&mut self) {
-        const WAIT: Duration = Duration::from_secs(2);
+        const TIMEOUT: Duration = Duration::from_secs(2);
         let now = self.now;
-        let mut rest = Vec::new();
-        for mut flight in std::mem::take(&mut self.flights) {
-            let entry = &mut self.entries[flight.entry];
-            let gone = entry.life != flight.life;
-            let due = flight.answers.is_some_and(|at| at <= now) && flight.answer.is_some();
-            let over = now.since(flight.sent) >= WAIT;
-            if gone || entry.frozen > now || !(due || over) {
-                // What is on its way to the store takes effect whatever becomes of its sender.
-                if flight.answer.is_none() || !gone {
-                    rest.push(flight);
+        let mut remaining = Vec::new();
+        for mut request in std::mem::take(&mut self.requests) {
+            let entry = &mut self.entries[request.entry];
+            let restarted = entry.incarnation != request.incarnation;
+            let due = request.answers.is_some_and(|at| at <= now) && request.answer.is_some();
+            let timed_out = now.since(request.sent) >= TIMEOUT;
+            if restarted || entry.paused_until > now || !(due || timed_out) {
+                // A call in flight takes effect even if its sender has restarted.
+                if request.answer.is_none() || !restarted {
+                    remaining.push(request);
                 }
                 continue;
             }
             if !entry.busy {
-                if flight.answer.is_none() {
-                    rest.push(flight);
+                if request.answer.is_none() {
+                    remaining.push(request);
                 }
                 continue;
             }
             entry.busy = false;
-            let heard = if due { flight.answer.take() } else { None };
-            match (heard, &flight.call) {
+            let answer = if due { request.answer.take() } else { None };
+            match (answer, &request.call) {
                 (Some(Answer::List(list)), _) => entry.leases.listed(list, now),
                 (Some(Answer::Write(reply)), LeaseCall::Write { id, owner, .. }) => {
                     let (id, owner) = (*id, owner.clone());
-                    entry.leases.answered(id, owner, reply, flight.sent, now);
+                    entry.leases.answered(id, owner, reply, request.sent, now);
                 }
                 _ => {
                     entry.leases.failed(now);
-                    if flight.answer.is_none() {
-                        rest.push(flight);
+                    if request.answer.is_none() {
+                        remaining.push(request);
                     }
                 }
             }
         }
-        self.flights = rest;
+        self.requests = remaining;
     }
 
     fn act(&mut self, n: usize, faults: bool) {
         let now = self.now;
-        let (slow, late, lost) = (
-            self.slow,
+        let (store_latency, delay, lost) = (
+            self.store_latency,
             faults && self.rng.random_bool(0.02),
             faults && self.rng.random_bool(0.05),
         );
-        let late = if late {
-            self.span(4000)
+        let delay = if delay {
+            self.random_duration(4000)
         } else {
             Duration::ZERO
         };
-        let bound = self.bound;
+        let limit = self.limit;
         let entry = &mut self.entries[n];
-        if entry.frozen > now {
+        if entry.paused_until > now {
             return;
         }
         if let Some((id, _)) = entry.leases.held(now) {
@@ -265,8 +268,8 @@
             {
                 entry.calls.pop_front();
             }
-            // As many as it may, which is the worst that can be.
-            while entry.calls.len() < id.part(bound) as usize {
+            // Uses the whole share, the worst case.
+            while entry.calls.len() < id.part(limit) as usize {
                 entry.calls.push_back(now);
                 self.calls.push_back(now);
                 self.total += 1;
@@ -279,22 +282,22 @@
             return;
         };
         entry.busy = true;
-        let cut = entry.cut > now;
-        self.flights.push(Flight {
+        let partitioned = entry.partitioned_until > now;
+        self.requests.push(Request {
             entry: n,
-            life: entry.life,
+            incarnation: entry.incarnation,
             call,
             sent: now,
-            applies: if cut {
+            applies: if partitioned {
                 Time::MAX
             } else {
-                now + slow / 2 + late
+                now + store_latency / 2 + delay
             },
-            answers: (!cut && !lost).then_some(now + slow + late),
+            answers: (!partitioned && !lost).then_some(now + store_latency + delay),
             answer: None,
         });
-        self.flights.retain(|flight| {
-            flight.applies < Time::MAX || now.since(flight.sent) < Duration::from_secs(9)
+        self.requests.retain(|request| {
+            request.applies < Time::MAX || now.since(request.sent) < Duration::from_secs(9)
         });
     }
 }
@@ -308,31 +311,31 @@
     store.iter().map(record).collect()
 }
 
-/// Guards against a bound that breaks while entries are frozen, killed, cut off or
-/// all started anew, and while writes take effect late or without an answer.
+/// Guards against exceeding the limit while entries are paused, restarted or cut off, and
+/// writes are delayed or their answers lost.
 #[rstest]
 #[case(17, 60)]
 #[case(73, 40)]
 #[case(295, 20)]
 #[case(2900, 2)]
-fn all_entries_together_stay_within_the_bound(#[case] entries: usize, #[case] seeds: u64) {
+fn entries_together_stay_within_the_limit(#[case] entries: usize, #[case] seeds: u64) {
     for seed in 0..seeds {
-        let bound = [5, 9, 14, 35][seed as usize % 4];
-        let mut world = World::new(seed, entries, bound);
+        let limit = [5, 9, 14, 35][seed as usize % 4];
+        let mut world = World::new(seed, entries, limit);
         for _ in 0..3000 {
             world.step(true);
         }
-        assert!(world.total > 0, "seed {seed}: nobody did anything");
+        assert!(world.total > 0, "seed {seed}: no entry made a call");
     }
 }
 
-/// Guards against a bound that thins out to nothing with the number of entries.
+/// Guards against a usable rate that shrinks as the number of entries grows.
 #[rstest]
 #[case(17)]
 #[case(73)]
 #[case(295)]
 #[case(2900)]
-fn the_bound_is_used_however_many_entries_there_are(#[case] entries: usize) {
+fn the_limit_is_usable_with_any_number_of_entries(#[case] entries: usize) {
     let mut world = World::new(1, entries, 14);
     for _ in 0..20 {
         world.step(false);
@@ -349,11 +352,11 @@
     );
 }
 
-/// Guards against parts that add up to more than the bound, or leave some of it.
+/// Guards against shares that add up to more or less than the limit.
 #[test]
-fn the_parts_are_the_bound() {
-    for bound in 0..200 {
-        let parts = (0..LEASES).map(|id| LeaseId(id).part(bound));
-        assert_eq!(parts.sum::<u32>(), bound);
+fn shares_add_up_to_the_limit() {
+    for limit in 0..200 {
+        let shares = (0..LEASES).map(|id| LeaseId(id).part(limit));
+        assert_eq!(shares.sum::<u32>(), limit);
     }
 }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -1,10 +1,10 @@
-//! Lives of one name whose numbers are out of order.
+//! Tests for incarnations of one name whose numbers are out of order.
 
 use chestnut_fleet::{Addresses, Lives, Member, Probe, Status, Swim, SwimConfig};
 use chestnut_unit::{Incarnation, MemberId, Time};
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
 
-fn member(name: &str, port: u16, life: u64) -> Member {
+fn member(name: &str, port: u16, incarnation: u64) -> Member {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let addresses = Addresses {
         callers: address,
@@ -12,7 +12,12 @@
         peers: address,
     };
     let id = MemberId::new(name).unwrap();
-    Member::starting(id, "d0".parse().unwrap(), addresses, Incarnation(life))
+    Member::starting(
+        id,
+        "d0".parse().unwrap(),
+        addresses,
+        Incarnation(incarnation),
+    )
 }
 
 fn swim(own: Member) -> Swim {
@@ -40,41 +45,38 @@
     }
 }
 
-/// Callers are never again sent to an entry that has restarted.
-/// Its clock ran ahead, it left in an orderly way, the clock jumped back, and
-/// its process started again: the number of its new life is below that of the
-/// old one, and all others go on believing that it is leaving. It is told of the
-/// later life and takes a number above it.
+/// Guards against ignoring a member that restarted with a lower incarnation
+/// because its clock jumped back: callers would never be sent to it again.
 #[test]
 fn a_member_whose_clock_jumped_back_is_believed_again() {
     let now = Time::from_millis(1000);
     let mut other = swim(member("other", 1, 50));
     let mut old = swim(member("it", 2, 100));
     old.leave(None);
-    let farewell = old.announce(Status::default(), 8);
-    assert!(farewell.is_empty(), "it knows nobody yet");
-    let knock = old
+    let leave_messages = old.announce(Status::default(), 8);
+    assert!(leave_messages.is_empty(), "it knows no other member yet");
+    let join_request = old
         .knock(other.view.own().addresses.peers, Status::default())
         .probe;
-    exchange(&mut old, &mut other, knock, now);
+    exchange(&mut old, &mut other, join_request, now);
     let id = MemberId::new("it").unwrap();
     assert!(!other.view.get(&id).unwrap().takes_work());
-    // The news of it has long been passed on when the new life starts.
-    let asks = old
+    // Exhausts the gossip about the leave before the new incarnation starts.
+    let request = old
         .knock(other.view.own().addresses.peers, Status::default())
         .probe;
     let mut out = Vec::new();
     for _ in 0..20 {
         let from = old.view.own().addresses.peers;
-        other.receive(&asks, from, Status::default(), now, &mut out);
+        other.receive(&request, from, Status::default(), now, &mut out);
     }
     assert_eq!(other.news_waiting(), 0);
 
     let mut new = swim(member("it", 2, 60));
-    let knock = new
+    let join_request = new
         .knock(other.view.own().addresses.peers, Status::default())
         .probe;
-    exchange(&mut new, &mut other, knock, now);
+    exchange(&mut new, &mut other, join_request, now);
     assert!(new.view.own().incarnation > Incarnation(100));
     let mut out = Vec::new();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/crates/fleet/tests/loads.rs
+++ b/crates/fleet/tests/loads.rs
@@ -1,4 +1,4 @@
-//! What members hear of each other's load, and how much of it goes between domains.
+//! Tests for gossip of load, and for the probe traffic between failure domains.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -29,15 +29,16 @@
     member
 }
 
-/// Members that know each other, over a network that loses nothing.
+/// Members that know each other, connected by a network without loss.
 struct World {
     members: Vec<Swim>,
     index: BTreeMap<SocketAddr, usize>,
     rng: ChaCha8Rng,
     now: Time,
-    /// Messages within domains, and between them.
-    near: usize,
-    far: usize,
+    /// Messages within a domain.
+    local: usize,
+    /// Messages between domains.
+    remote: usize,
 }
 
 impl World {
@@ -53,8 +54,8 @@
             index: (0..count).map(|n| (address(n), n)).collect(),
             rng: ChaCha8Rng::seed_from_u64(3),
             now: Time::ZERO,
-            near: 0,
-            far: 0,
+            local: 0,
+            remote: 0,
         }
     }
 
@@ -77,8 +78,8 @@
         for send in out {
             let to = self.index[&send.to];
             match from % DOMAINS == to % DOMAINS {
-                true => self.near += 1,
-                false => self.far += 1,
+                true => self.local += 1,
+                false => self.remote += 1,
             }
             let mut answers = Vec::new();
             let status = Status::default();
@@ -88,40 +89,41 @@
         }
     }
 
-    /// Load of member `n`, as all others know it.
+    /// Returns the load of member `n` that each other member knows.
     fn loads(&self, n: usize) -> Vec<u32> {
         let id = member(n).id;
         let others = self.members.iter().enumerate().filter(|(at, _)| *at != n);
         others
-            .map(|(_, swim)| swim.view.get(&id).map_or(0, |known| known.load))
+            .map(|(_, swim)| swim.view.get(&id).map_or(0, |member| member.load))
             .collect()
     }
 }
 
-/// Callers are sent to a few entries though these are full.
-/// A member is probed by each of 200 others once in a hundred seconds, and only then told
-/// what it carries. A load that changes much is news like a member that comes or goes.
+/// Guards against load reports that travel with probes only, so that callers are still
+/// sent to entries that are full.
 #[test]
 fn all_members_hear_of_a_load_within_seconds() {
     let mut world = World::new(200);
     world.run(Duration::from_secs(2));
     world.members[7].tell_load(400);
     world.run(Duration::from_secs(4));
-    let heard = world.loads(7);
-    assert!(heard.iter().all(|load| *load == 400), "{heard:?}");
-    // A little more is no news.
+    let known = world.loads(7);
+    assert!(known.iter().all(|load| *load == 400), "{known:?}");
+    // A small change is not published.
     world.members[7].tell_load(440);
     assert_eq!(world.members[7].view.own().load, 400);
 }
 
-/// A calm deployment pays for a gigabyte an hour between its failure domains.
-/// Of 200 members in five domains each probed any other, so four messages of five left
-/// their domain. Those of one domain watch each other; a fourth of the probes goes anywhere.
+/// Guards against probing members of all domains alike, which makes most of the
+/// membership traffic cross domains.
 #[test]
 fn members_mostly_probe_within_their_domain() {
     let mut world = World::new(200);
     world.run(Duration::from_secs(20));
-    let part = world.far as f64 / (world.near + world.far) as f64;
-    assert!(part < 0.25, "{part:.2} of the messages go between domains");
-    assert!(world.far > 0);
+    let fraction = world.remote as f64 / (world.local + world.remote) as f64;
+    assert!(
+        fraction < 0.25,
+        "{fraction:.2} of the messages go between domains"
+    );
+    assert!(world.remote > 0);
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,4 +1,4 @@
-//! Statements about members, and the placement of holders.
+//! Tests for merging member updates, and for the placement of holders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
     )
 }
 
-fn statement() -> impl Strategy<Value = Member> {
+fn any_update() -> impl Strategy<Value = Member> {
     (
         1u64..4,
         0u32..3,
@@ -31,20 +31,21 @@
         any::<bool>(),
         prop::option::of(1u64..4),
     )
-        .prop_map(|(life, beat, liveness, leaving, heir)| {
-            let mut said = member(1, 0);
-            said.incarnation = Incarnation(life);
-            said.beat = beat;
-            said.liveness = [Liveness::Alive, Liveness::Suspect, Liveness::Gone][liveness as usize];
-            said.leaving = leaving;
-            if let Some(of) = heir {
-                let heir = Heir {
+        .prop_map(|(incarnation, beat, liveness, leaving, successor)| {
+            let mut update = member(1, 0);
+            update.incarnation = Incarnation(incarnation);
+            update.beat = beat;
+            update.liveness =
+                [Liveness::Alive, Liveness::Suspect, Liveness::Gone][liveness as usize];
+            update.leaving = leaving;
+            if let Some(of) = successor {
+                let successor = Heir {
                     member: MemberId::new(format!("h{of}")).unwrap(),
                     life: Incarnation(of),
                 };
-                said.heirs.insert(Incarnation(of), heir);
+                update.heirs.insert(Incarnation(of), successor);
             }
-            said
+            update
         })
 }
 
@@ -56,27 +57,27 @@
         ..ProptestConfig::default()
     })]
 
-    /// Members that heard the same statements, in any order and any number of
-    /// times, hold the same state.
+    /// Guards against members that received the same updates, in another order
+    /// or several times, and hold different states.
     #[test]
-    fn the_order_of_statements_does_not_matter(
-        said in prop::collection::vec(statement(), 1..8),
-        order in any::<prop::sample::Index>(),
+    fn merging_updates_is_independent_of_their_order(
+        updates in prop::collection::vec(any_update(), 1..8),
+        start_index in any::<prop::sample::Index>(),
     ) {
-        let mut one = said[0].clone();
-        for other in &said {
+        let mut one = updates[0].clone();
+        for other in &updates {
             one.merge(other);
         }
-        let start = order.index(said.len());
-        let mut two = said[start].clone();
-        for other in said.iter().rev().chain(&said) {
+        let first = start_index.index(updates.len());
+        let mut two = updates[first].clone();
+        for other in updates.iter().rev().chain(&updates) {
             two.merge(other);
         }
         prop_assert_eq!(one, two);
     }
 }
 
-fn fleet(count: usize) -> Vec<Member> {
+fn make_members(count: usize) -> Vec<Member> {
     (0..count).map(|n| member(n, n % 3)).collect()
 }
 
@@ -98,16 +99,16 @@
     }
 }
 
-/// A member that goes moves its own groups and no others.
+/// Guards against a lost member moving groups that it did not hold.
 #[test]
-fn a_change_moves_only_the_groups_of_its_member() {
+fn a_lost_member_moves_only_the_groups_it_held() {
     let name = ServiceName::new("ladder").unwrap();
     let service = service(200, 16);
-    let all = fleet(30);
+    let all = make_members(30);
     let before = HolderPlan::new(&name, &service, &all, 4);
     let gone = all[7].id.clone();
-    let rest: Vec<Member> = all.into_iter().filter(|m| m.id != gone).collect();
-    let after = HolderPlan::new(&name, &service, &rest, 4);
+    let remaining: Vec<Member> = all.into_iter().filter(|m| m.id != gone).collect();
+    let after = HolderPlan::new(&name, &service, &remaining, 4);
     for (group, holders) in &before.groups {
         if !holders.contains(&gone) {
             assert_eq!(&after.groups[group], holders);
@@ -115,8 +116,8 @@
     }
 }
 
-/// Holders times share never pass a leaf's connections, one share spared, and
-/// each domain that has leafs of a group has a holder if there is room.
+/// Guards against holders that together open more connections than a leaf
+/// accepts, less one spare share.
 #[rstest]
 #[case(40, 4, 7)]
 #[case(12, 4, 5)]
@@ -128,7 +129,12 @@
     #[case] members: usize,
 ) {
     let name = ServiceName::new("ladder").unwrap();
-    let plan = HolderPlan::new(&name, &service(20, connections), &fleet(members), share);
+    let plan = HolderPlan::new(
+        &name,
+        &service(20, connections),
+        &make_members(members),
+        share,
+    );
     let wanted = holders_wanted(connections, share);
     for holders in plan.groups.values() {
         assert_eq!(holders.len(), wanted.min(members));
@@ -139,20 +145,21 @@
     }
 }
 
+/// Guards against a failure domain whose leafs have no holder within it.
 #[test]
-fn each_domain_of_a_group_has_a_holder() {
+fn every_domain_of_a_group_has_a_holder() {
     let domains: Vec<DomainName> = (0..3)
         .map(|n| DomainName::new(format!("d{n}")).unwrap())
         .collect();
-    let members = fleet(30);
+    let members = make_members(30);
     let ranked = Ranked::new(&members);
     let wanted: BTreeSet<&DomainName> = domains.iter().collect();
     for group in 0..50 {
         let holders = ranked.holders_of(&format!("g{group}"), 3, &wanted);
-        let held: BTreeSet<&DomainName> = holders
+        let covered: BTreeSet<&DomainName> = holders
             .iter()
             .map(|id| &members.iter().find(|m| m.id == *id).unwrap().domain)
             .collect();
-        assert_eq!(held, wanted);
+        assert_eq!(covered, wanted);
     }
 }
