--- a/crates/fleet/src/carriers.rs
+++ b/crates/fleet/src/carriers.rs
@@ -17,7 +17,7 @@
     pub near: bool,
 }
 
-/// Required capacity as a multiple of the load: leaves room for lost members, bursts and
+/// Required capacity as a multiple of the load: leaves capacity for lost members, bursts and
 /// load reports that arrive late.
 const HEADROOM: u64 = 2;
 /// Minimum number of serving entries; losing one loses at most a quarter of them.
@@ -45,7 +45,7 @@
 /// Returns the serving entries, strongest first.
 ///
 /// Takes the strongest members until their capacity is a fixed multiple of the load. Then
-/// adds members of the weakest tier in use up to `held`, or while each still makes enough
+/// adds members of the weakest tier in use up to `min_count`, or while each still makes enough
 /// calls to estimate the latency of `leafs` leafs. Within a tier, members with leafs in
 /// their own failure domain come first, then the order of `candidates` decides.
 ///
@@ -54,7 +54,7 @@
 /// local leafs sends every call of a request to another failure domain, so it serves
 /// callers only when the others lack capacity.
 #[must_use]
-pub fn carriers<T: Copy>(candidates: &[Candidate<T>], leafs: usize, held: usize) -> Vec<T> {
+pub fn carriers<T: Copy>(candidates: &[Candidate<T>], leafs: usize, min_count: usize) -> Vec<T> {
     let load: u64 = candidates.iter().map(|c| u64::from(c.load)).sum();
     let any_local = candidates.iter().any(|candidate| candidate.near);
     let mut capacity = 0;
@@ -65,7 +65,7 @@
         let weight = u64::from(candidate.weight);
         if enough(taken.len(), capacity) {
             let baseline = baseline_entries(load, leafs, weight, candidates.len());
-            let below_baseline = taken.len() < baseline.max(held);
+            let below_baseline = taken.len() < baseline.max(min_count);
             let useful = capacity < load * EXTRA_HEADROOM
                 && has_enough_samples(load, taken.len() + 1, leafs);
             if tier > weakest || !(below_baseline || useful) {
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -328,11 +328,11 @@
 }
 
 impl LeaseId {
-    /// Returns the share of `bound` that belongs to the lease. The shares of all leases add
-    /// up to `bound`.
+    /// Returns the share of `limit` that belongs to the lease. The shares of all leases add
+    /// up to `limit`.
     #[must_use]
-    pub fn part(self, bound: u32) -> u32 {
+    pub fn part(self, limit: u32) -> u32 {
         let leases = u32::from(LEASES);
-        (bound + leases - 1 - u32::from(self.0)) / leases
+        (limit + leases - 1 - u32::from(self.0)) / leases
     }
 }
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -110,12 +110,12 @@
 
 impl Probe {
     /// Attaches as many of the quarantine reports as fit in the message.
-    pub fn carry(&mut self, cases: &[Report]) {
+    pub fn carry(&mut self, reports: &[Report]) {
         let max_reports = match self.news.len() > CROWDED_UPDATES {
             true => MAX_REPORTS_CROWDED,
             false => MAX_REPORTS,
         };
-        self.cases = cases.iter().take(max_reports).cloned().collect();
+        self.cases = reports.iter().take(max_reports).cloned().collect();
     }
 }
 
@@ -128,7 +128,7 @@
     pub probe: Probe,
 }
 
-/// State of the sender that each message carries beside its membership.
+/// State of the sender in each message, beside its membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// Digest of the configuration.
@@ -229,11 +229,11 @@
 
     /// Announces that this entry is leaving and which successor took over its
     /// tickets.
-    pub fn leave(&mut self, heir: Option<Heir>) {
+    pub fn leave(&mut self, successor: Option<Heir>) {
         self.view.change_own(|own| {
             own.leaving = true;
-            if let Some(heir) = heir {
-                own.heirs.insert(own.incarnation, heir);
+            if let Some(successor) = successor {
+                own.heirs.insert(own.incarnation, successor);
             }
         });
         self.news.add(self.view.own().clone());
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -117,9 +117,8 @@
 
     /// Removes members that have been confirmed gone for a while.
     pub fn forget(&mut self, now: Time) {
-        self.members.retain(|_, record| {
-            !record.confirmed_gone() || now.since(record.changed_at) < GONE_RETENTION
-        });
+        self.members
+            .retain(|_, m| !m.confirmed_gone() || now.since(m.changed_at) < GONE_RETENTION);
     }
 
     /// Marks members that are gone and not in the platform's list of live VMs
@@ -170,20 +169,21 @@
             .filter(move |member| member.domain == *domain)
     }
 
-    /// Returns the member that keeps the tickets issued by `keeper` in its
-    /// incarnation `life`: that member itself, or the successor that took them
-    /// over. An incarnation newer than the known one counts as the present one;
-    /// the member decides when asked.
+    /// Returns the member that keeps the tickets that `issuer` issued in
+    /// `incarnation`: that member itself, or the successor that took them over.
+    /// An incarnation newer than the known one counts as the present one; the
+    /// member decides when asked.
     #[must_use]
-    pub fn keeper_of(&self, keeper: &MemberId, life: Incarnation) -> Option<&Member> {
-        let (mut id, mut life) = (keeper, life);
+    pub fn keeper_of(&self, issuer: &MemberId, incarnation: Incarnation) -> Option<&Member> {
+        let (mut id, mut incarnation) = (issuer, incarnation);
         for _ in 0..self.members.len() {
             let member = self.get(id)?;
-            if let Some(heir) = member.heirs.get(&life) {
-                (id, life) = (&heir.member, heir.life);
+            if let Some(successor) = member.heirs.get(&incarnation) {
+                (id, incarnation) = (&successor.member, successor.life);
                 continue;
             }
-            let keeps_tickets = member.incarnation <= life && member.liveness != Liveness::Gone;
+            let keeps_tickets =
+                member.incarnation <= incarnation && member.liveness != Liveness::Gone;
             return keeps_tickets.then_some(member);
         }
         None
