--- a/crates/relay/tests/cold.rs
+++ b/crates/relay/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Leafs that crash when they get more than a rate while cold.
+//! Rate limits on calls to cold leafs: those that have just started and crash under load.
 
 mod world;
 
@@ -15,17 +15,21 @@
 
 const DOMAINS: [&str; 3] = ["dub-a", "dub-b", "kdr-c"];
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
-const SPAN: Duration = Duration::from_secs(3);
+/// How long a leaf stays cold after it started.
+const WARMUP: Duration = Duration::from_secs(3);
+/// Interval over which calls to a leaf are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Calls a second that a cold leaf takes: six by the book, once and a half and five more.
-const BOUND: usize = 14;
-/// How long entries need to hear of a change.
-const HEARD: Duration = Duration::from_millis(1500);
+/// Highest number of calls per second that a cold leaf may get: the rate in the book, times
+/// `over`, plus `slack` of the settings.
+const MAX_RATE: usize = 14;
+/// Time in which a change in the store reaches every entry.
+const PROPAGATION: Duration = Duration::from_millis(1500);
 
-fn bounded(version: u64) -> RouteBook {
+/// A book that limits the call rate of cold leafs.
+fn limited_book(version: u64) -> RouteBook {
     let cold = ColdRule {
         rate: CallRate::per_second(6.0),
-        span: SPAN,
+        span: WARMUP,
     };
     let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
     book_of(version, rules, Some(cold))
@@ -35,7 +39,8 @@
     LeafId::new(format!("{shard}-{domain}")).unwrap()
 }
 
-fn put(stage: &Stage, shard: &str, domain: &str, warmup: Duration) {
+/// Adds or replaces a leaf that has just started and is cold for `warmup`.
+fn register(stage: &Stage, shard: &str, domain: &str, warmup: Duration) {
     let entry = LeafEntry {
         domain: domain.parse().unwrap(),
         warmup,
@@ -47,12 +52,14 @@
     stage.leafs.set(&id, answer);
 }
 
-fn put_all(stage: &Stage, domain: &str, warmup: Duration) {
+/// Does the same for a leaf of each shard in `domain`.
+fn register_all(stage: &Stage, domain: &str, warmup: Duration) {
     for shard in SHARDS {
-        put(stage, shard, domain, warmup);
+        register(stage, shard, domain, warmup);
     }
 }
 
+/// A stage with a warm leaf of each shard in each domain.
 fn stage() -> Stage {
     let stage = Stage {
         domains: 3,
@@ -60,14 +67,14 @@
         ..Stage::default()
     };
     for domain in DOMAINS {
-        put_all(&stage, domain, Duration::ZERO);
+        register_all(&stage, domain, Duration::ZERO);
     }
-    stage.store.put_book(bounded(1));
+    stage.store.put_book(limited_book(1));
     stage
 }
 
-/// Sends requests to all entries in turn, as many a second as `rate`, for `span`.
-async fn load(relays: &[Relay], rate: u32, span: Duration) -> Vec<Reply> {
+/// Sends `rate` requests per second for `span`, to the entries in turn.
+async fn send_load(relays: &[Relay], rate: u32, span: Duration) -> Vec<Reply> {
     let mut sent = Vec::new();
     for n in 0..(span.as_secs_f64() * f64::from(rate)) as usize {
         let relay = relays[n % relays.len()].clone();
@@ -83,64 +90,66 @@
     replies
 }
 
-/// The most calls that a leaf of `domain` got in one second from `from` on for `span`.
-fn busiest(stage: &Stage, domain: &str, from: Instant, span: Duration) -> usize {
+/// The highest number of calls that one leaf of `domain` got within `WINDOW`, between `from`
+/// and `from + span`.
+fn peak_rate(stage: &Stage, domain: &str, from: Instant, span: Duration) -> usize {
     let mut calls: BTreeMap<LeafId, Vec<Instant>> = BTreeMap::new();
     for got in stage.leafs.got() {
-        let cold = got.at >= from && got.at < from + span;
-        if cold && got.leaf.as_str().ends_with(domain) {
+        let in_span = got.at >= from && got.at < from + span;
+        if in_span && got.leaf.as_str().ends_with(domain) {
             calls.entry(got.leaf).or_default().push(got.at);
         }
     }
-    let within = |times: &[Instant], at: Instant| {
-        let there = |time: &&Instant| **time >= at && **time < at + WINDOW;
-        times.iter().filter(there).count()
+    let count_from = |times: &[Instant], at: Instant| {
+        let in_window = |time: &&Instant| **time >= at && **time < at + WINDOW;
+        times.iter().filter(in_window).count()
     };
-    let most = |times: &Vec<Instant>| times.iter().map(|at| within(times, *at)).max();
-    calls.values().filter_map(most).max().unwrap_or(0)
+    let peak = |times: &Vec<Instant>| times.iter().map(|at| count_from(times, *at)).max();
+    calls.values().filter_map(peak).max().unwrap_or(0)
 }
 
+/// Counts the requests that were answered.
 fn served(replies: &[Reply]) -> usize {
     let merged = |reply: &&Reply| matches!(reply, Reply::Merged { .. });
     replies.iter().filter(merged).count()
 }
 
-/// Guards against cold leafs that crash since many entries each send them a little, and
-/// against leafs that are left idle since nobody dares.
+/// Guards against cold leafs that crash because the calls of many entries add up, and against
+/// cold leafs that get too few calls.
 #[rstest]
 #[case(9)]
 #[case(73)]
 #[tokio::test(start_paused = true)]
-async fn leafs_that_come_back_cold_are_used_within_their_bound(#[case] entries: u16) {
+async fn cold_leafs_are_used_up_to_their_rate_limit(#[case] entries: u16) {
     let stage = stage();
     let relays = stage.serving_all(entries).await;
-    // The other domains are gone, so that all calls are for the cold one.
+    // Without the other domains, all calls go to the cold one.
     for domain in &DOMAINS[1..] {
         for shard in SHARDS {
             stage.store.drop_leaf(&leaf_id(shard, domain));
         }
     }
-    put_all(&stage, DOMAINS[0], SPAN);
-    sleep(HEARD).await;
+    register_all(&stage, DOMAINS[0], WARMUP);
+    sleep(PROPAGATION).await;
     let start = Instant::now();
-    put_all(&stage, DOMAINS[0], SPAN);
-    let replies = load(&relays, 200, SPAN).await;
-    let most = busiest(&stage, DOMAINS[0], start, SPAN);
-    assert!(most <= BOUND, "{most} calls in a second");
-    assert!(most * 2 >= BOUND, "{most} calls in a second");
+    register_all(&stage, DOMAINS[0], WARMUP);
+    let replies = send_load(&relays, 200, WARMUP).await;
+    let peak = peak_rate(&stage, DOMAINS[0], start, WARMUP);
+    assert!(peak <= MAX_RATE, "{peak} calls in a second");
+    assert!(peak * 2 >= MAX_RATE, "{peak} calls in a second");
     assert!(served(&replies) >= 12, "{} served", served(&replies));
 }
 
-/// Guards against queries that wait for leafs which may not be called, and against a
-/// refusal that is not true.
+/// Guards against queries that are queued for leafs which may not be called, and against a
+/// refusal as "not run" after a leaf was called.
 #[tokio::test(start_paused = true)]
-async fn what_cold_leafs_can_not_take_is_refused_at_once() {
+async fn requests_beyond_the_cold_rate_limit_are_refused_at_once() {
     let stage = stage();
     let relays = stage.serving_all(1).await;
     for domain in DOMAINS {
-        put_all(&stage, domain, SPAN);
+        register_all(&stage, domain, WARMUP);
     }
-    sleep(HEARD).await;
+    sleep(PROPAGATION).await;
     let calls = stage.leafs.got().len();
     let mut refused = 0;
     for n in 0..200 {
@@ -150,79 +159,80 @@
         );
         if let Reply::Declined(Declined { run, after, .. }) = reply {
             assert_eq!((run, after.is_some()), (Run::NotRun, true));
-            assert_eq!(Instant::now(), start, "it was held");
+            assert_eq!(Instant::now(), start, "the refusal was delayed");
             refused += 1;
         }
     }
-    // One lease of four, at three leafs of each shard.
-    let most = 3 * BOUND.div_ceil(4);
-    assert!(refused >= 200 - most, "{refused}");
+    // A single entry holds one of four leases; each shard has three leafs.
+    let max_queries = 3 * MAX_RATE.div_ceil(4);
+    assert!(refused >= 200 - max_queries, "{refused}");
     let calls = stage.leafs.got().len() - calls;
-    assert!(calls <= most * SHARDS.len(), "{calls}");
+    assert!(calls <= max_queries * SHARDS.len(), "{calls}");
 }
 
-/// Guards against a leaf that is called as before since its entry changed in nothing but
-/// the time for which it is cold.
+/// Guards against a leaf that is called at the full rate because only the warm-up time in its
+/// entry changed.
 #[tokio::test(start_paused = true)]
-async fn a_leaf_that_becomes_cold_again_is_bounded_again() {
+async fn a_leaf_that_becomes_cold_again_is_rate_limited_again() {
     let stage = stage();
     let relays = stage.serving_all(9).await;
     let before = Instant::now();
-    load(&relays, 200, Duration::from_secs(1)).await;
+    send_load(&relays, 200, Duration::from_secs(1)).await;
     let domain = DOMAINS
         .iter()
-        .find(|d| busiest(&stage, d, before, WINDOW) > BOUND);
-    let domain = domain.expect("one is busy");
+        .find(|d| peak_rate(&stage, d, before, WINDOW) > MAX_RATE);
+    let domain = domain.expect("no domain is called above the limit");
     for round in 0..2 {
-        put_all(&stage, domain, SPAN);
-        sleep(HEARD).await;
+        register_all(&stage, domain, WARMUP);
+        sleep(PROPAGATION).await;
         let start = Instant::now();
-        load(&relays, 200, SPAN - HEARD).await;
-        let most = busiest(&stage, domain, start, SPAN);
-        assert!(most <= BOUND, "round {round}: {most} calls in a second");
-        put_all(&stage, domain, Duration::ZERO);
-        sleep(SPAN).await;
+        send_load(&relays, 200, WARMUP - PROPAGATION).await;
+        let peak = peak_rate(&stage, domain, start, WARMUP);
+        assert!(peak <= MAX_RATE, "round {round}: {peak} calls in a second");
+        register_all(&stage, domain, Duration::ZERO);
+        sleep(WARMUP).await;
         let start = Instant::now();
-        load(&relays, 200, Duration::from_secs(1)).await;
-        let most = DOMAINS.map(|d| busiest(&stage, d, start, WINDOW));
+        send_load(&relays, 200, Duration::from_secs(1)).await;
+        let peaks = DOMAINS.map(|d| peak_rate(&stage, d, start, WINDOW));
         assert!(
-            most.iter().any(|most| *most > BOUND),
-            "round {round}: {most:?}"
+            peaks.iter().any(|peak| *peak > MAX_RATE),
+            "round {round}: {peaks:?}"
         );
     }
 }
 
-/// Guards against a domain that is called in full as soon as its evacuation is over: its
-/// leafs may have become cold, which their entries tell only later.
+/// Guards against a domain that is called at the full rate as soon as its evacuation ends: its
+/// leafs may have become cold, which their entries report only later.
 #[tokio::test(start_paused = true)]
-async fn leafs_of_a_domain_that_is_back_count_as_cold() {
+async fn leafs_of_a_refilled_domain_count_as_cold() {
     let stage = stage();
     let relays = stage.serving_all(9).await;
     for domain in DOMAINS {
         stage.store.evacuate(domain);
     }
-    sleep(HEARD).await;
+    sleep(PROPAGATION).await;
     stage.store.refill(DOMAINS[1]);
     let start = Instant::now();
-    let replies = load(&relays, 200, SPAN).await;
-    let most = busiest(&stage, DOMAINS[1], start, SPAN);
-    assert!((1..=BOUND).contains(&most), "{most} calls in a second");
+    let replies = send_load(&relays, 200, WARMUP).await;
+    let peak = peak_rate(&stage, DOMAINS[1], start, WARMUP);
+    assert!((1..=MAX_RATE).contains(&peak), "{peak} calls in a second");
     assert!(served(&replies) > 0);
-    let replies = load(&relays, 100, Duration::from_secs(2)).await;
-    let late = replies.len() - served(&replies);
+    let replies = send_load(&relays, 100, Duration::from_secs(2)).await;
+    let unserved = replies.len() - served(&replies);
     assert!(
-        late * 2 < replies.len(),
-        "{late} of {} not served",
+        unserved * 2 < replies.len(),
+        "{unserved} of {} not served",
         replies.len()
     );
 }
 
-/// Guards against entries that all send as much as one may, when none knows the others.
+/// Guards against entries that each use the whole rate limit because they have just started
+/// and don't know each other.
 #[rstest]
 #[case(false)]
 #[case(true)]
 #[tokio::test(start_paused = true)]
-async fn after_all_lost_power_cold_leafs_are_bounded(#[case] store_lost: bool) {
+async fn cold_leafs_are_rate_limited_after_all_entries_restart(#[case] store_lost: bool) {
     let stage = stage();
     let relays = stage.serving_all(9).await;
     for n in 1..=9 {
@@ -231,7 +241,7 @@
     }
     drop(relays);
     for domain in DOMAINS {
-        put_all(&stage, domain, SPAN);
+        register_all(&stage, domain, WARMUP);
     }
     let start = Instant::now();
     let mut relays = Vec::new();
@@ -242,26 +252,22 @@
         sleep(Duration::from_millis(300)).await;
         stage.store.answers(Answers::Never);
     }
-    load(&relays, 300, SPAN).await;
+    send_load(&relays, 300, WARMUP).await;
     for domain in DOMAINS {
-        let most = busiest(&stage, domain, start, SPAN);
-        assert!(most <= BOUND, "{domain}: {most} calls in a second");
+        let peak = peak_rate(&stage, domain, start, WARMUP);
+        assert!(peak <= MAX_RATE, "{domain}: {peak} calls in a second");
     }
     assert!(relays.iter().any(|relay| relay.phase() == Phase::Serving));
 }
 
-/// Guards against an entry that does not start where the platform tells nothing, or only
-/// a part, of what cold leafs take.
+/// Guards against an entry that fails to start when the `[cold]` settings are missing or
+/// incomplete.
 #[rstest]
 #[case("", 1.0, 0.0)]
 #[case("[cold]\n", 1.0, 0.0)]
 #[case("[cold]\nslack = 5\n", 1.0, 5.0)]
 #[case("[cold]\nover = 1.5\nslack = 5\n", 1.5, 5.0)]
-fn settings_may_say_nothing_of_cold_leafs(
-    #[case] cold: &str,
-    #[case] over: f64,
-    #[case] slack: f64,
-) {
+fn settings_for_cold_leafs_are_optional(#[case] cold: &str, #[case] over: f64, #[case] slack: f64) {
     let text = format!(
         "[entry]\nmember = \"e\"\ndomain = \"d\"\ncores = 1\nlink = 1\nfiles = 1024\n\
          [listen]\ncallers = \"10.0.0.1:1\"\nreadiness = \"10.0.0.1:2\"\n\
@@ -273,19 +279,19 @@
     assert_eq!(settings.cold, ColdCalls { over, slack });
 }
 
-/// Guards against leases that are taken, and calls that are held back, where the book
-/// bounds nothing.
+/// Guards against leases that are taken, and calls that are limited, although the book has no
+/// rule for cold leafs.
 #[tokio::test(start_paused = true)]
-async fn leafs_without_a_bound_are_not_held_back() {
+async fn cold_leafs_without_a_rule_are_not_rate_limited() {
     let stage = stage();
     let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
     stage.store.put_book(book_of(2, rules, None));
     let relays = stage.serving_all(3).await;
     for domain in DOMAINS {
-        put_all(&stage, domain, SPAN);
+        register_all(&stage, domain, WARMUP);
     }
-    sleep(HEARD).await;
-    let replies = load(&relays, 100, Duration::from_secs(1)).await;
+    sleep(PROPAGATION).await;
+    let replies = send_load(&relays, 100, Duration::from_secs(1)).await;
     assert_eq!(served(&replies), replies.len());
     assert_eq!(stage.store.leases(), 0);
 }
