--- a/crates/relay/tests/deadly_model.rs
+++ b/crates/relay/tests/deadly_model.rs
@@ -1,5 +1,5 @@
-//! Drawn worlds in which a request ends the leafs which run it, entries are killed and cut
-//! off, the store is lost, and leafs end for other reasons.
+//! Randomised scenarios in which a request crashes the leafs that run it while entries are
+//! killed or cut off, the store is unavailable, and leafs crash for other reasons.
 
 mod world;
 
@@ -21,29 +21,33 @@
 use world::{Answers, CONTACT, ENDED, Stage, TRIES, ask, book, gather, name, peers_address, rule};
 
 const SHARDS: [&str; 3] = ["s1", "s2", "s3"];
-const DEADLY: &str = "/q/deadly";
+/// Path of the request that crashes every leaf which runs it.
+const CRASHING: &str = "/q/deadly";
+/// Path of a frequent request that crashes no leaf.
 const POPULAR: &str = "/q/popular";
-/// Worlds that are played in CI; by hand with `DEADLY_WORLDS`.
-const WORLDS: u64 = 16;
-/// One in which four tries are too late if the store keeps no records.
-const WITHOUT_RECORDS: u64 = 41;
-/// Longest refusal of what ends no leaf.
-const TRIAL: Duration = Duration::from_secs(1);
-const SPAN: Duration = Duration::from_secs(60);
+/// Number of scenarios to run; the environment variable `DEADLY_WORLDS` overrides it.
+const SCENARIOS: u64 = 16;
+/// A seed under which too many tries get through if the store keeps no records.
+const RECORDS_SEED: u64 = 41;
+/// Longest refusal of a request that crashes no leaf.
+const MAX_TRIAL_REFUSAL: Duration = Duration::from_secs(1);
+/// How long requests are sent and faults injected.
+const RUN_TIME: Duration = Duration::from_secs(60);
 
-/// What the tasks of one world share.
-struct World {
+/// State that the tasks of one scenario share.
+struct Scenario {
     stage: Stage,
     entries: u16,
     relays: RefCell<BTreeMap<u16, Relay>>,
-    /// From when on each entry is in touch.
-    touch: RefCell<BTreeMap<u16, Instant>>,
-    /// Tries that were sent to an entry in touch.
-    in_touch: RefCell<BTreeSet<String>>,
+    /// When each entry counts as connected to the others and to the store.
+    connected_from: RefCell<BTreeMap<u16, Instant>>,
+    /// Requests that were sent to a connected entry.
+    connected_tries: RefCell<BTreeSet<String>>,
     log: RefCell<Vec<String>>,
 }
 
-impl World {
+impl Scenario {
+    /// Starts a random number of entries with a random kind of rule.
     async fn start(rng: &mut ChaCha8Rng) -> Rc<Self> {
         let stage = Stage {
             domains: 3,
@@ -61,47 +65,54 @@
         stage
             .store
             .put_book(book(1, vec![rule("/q/", kind, target)]));
-        stage.leafs.set_deadly(DEADLY);
+        stage.leafs.set_deadly(CRASHING);
         let entries = rng.random_range(2..8);
-        let world = Rc::new(Self {
+        let scenario = Rc::new(Self {
             stage,
             entries,
             relays: RefCell::default(),
-            touch: RefCell::default(),
-            in_touch: RefCell::default(),
+            connected_from: RefCell::default(),
+            connected_tries: RefCell::default(),
             log: RefCell::default(),
         });
         for n in 1..=entries {
-            world.spawn(n).await;
+            scenario.spawn(n).await;
         }
         sleep(Duration::from_secs(6)).await;
-        world
+        scenario
     }
 
+    /// Starts entry number `n`, or starts it again.
     async fn spawn(&self, n: u16) {
         let relay = self.stage.spawn(n).await;
         self.relays.borrow_mut().insert(n, relay);
-        self.out_of_touch(n);
+        self.mark_disconnected(n);
     }
 
-    fn out_of_touch(&self, n: u16) {
-        self.touch.borrow_mut().insert(n, Instant::now() + CONTACT);
+    /// Records that entry `n` needs time to reconnect.
+    fn mark_disconnected(&self, n: u16) {
+        self.connected_from
+            .borrow_mut()
+            .insert(n, Instant::now() + CONTACT);
     }
 
-    fn all_out_of_touch(&self) {
-        (1..=self.entries).for_each(|n| self.out_of_touch(n));
+    /// Records that every entry needs time to reconnect.
+    fn mark_all_disconnected(&self) {
+        (1..=self.entries).for_each(|n| self.mark_disconnected(n));
     }
 
-    fn note(&self, what: String) {
+    /// Adds a line to the log that is printed on failure.
+    fn log_event(&self, event: String) {
         let at = Instant::now();
-        self.log.borrow_mut().push(format!("{at:?} {what}"));
+        self.log.borrow_mut().push(format!("{at:?} {event}"));
     }
 
-    async fn fault(&self, rng: &mut ChaCha8Rng) {
+    /// Injects one random fault and, if it lasts, undoes it after a random time.
+    async fn inject_fault(&self, rng: &mut ChaCha8Rng) {
         let n = rng.random_range(1..=self.entries);
         let span = Duration::from_millis(rng.random_range(200..4000));
         let fault = rng.random_range(0..8);
-        self.note(format!("fault {fault} at {n} for {span:?}"));
+        self.log_event(format!("fault {fault} at {n} for {span:?}"));
         match fault {
             0 => {
                 self.relays.borrow_mut().remove(&n);
@@ -117,24 +128,24 @@
             }
             2 => {
                 self.stage.store.answers(Answers::Never);
-                self.all_out_of_touch();
+                self.mark_all_disconnected();
                 sleep(span).await;
                 self.stage.store.answers(Answers::Yes);
-                self.all_out_of_touch();
+                self.mark_all_disconnected();
             }
             3 => {
                 self.stage.store.bar([n].into());
-                self.out_of_touch(n);
+                self.mark_disconnected(n);
                 sleep(span).await;
                 self.stage.store.bar(BTreeSet::new());
-                self.out_of_touch(n);
+                self.mark_disconnected(n);
             }
             4 => {
                 self.stage.net.part(&[peers_address(n)]);
-                self.out_of_touch(n);
+                self.mark_disconnected(n);
                 sleep(span).await;
                 self.stage.net.part(&[]);
-                self.out_of_touch(n);
+                self.mark_disconnected(n);
             }
             _ => {
                 for service in SHARDS.iter().chain(&["archive"]) {
@@ -147,44 +158,47 @@
         }
     }
 
-    /// Sends a request to some entry that runs.
-    async fn send(&self, id: String, path: &'static str, draw: u64) -> Option<Reply> {
+    /// Sends a request to a running entry, chosen by `random`.
+    async fn send(&self, id: String, path: &'static str, random: u64) -> Option<Reply> {
         let (n, relay) = {
             let relays = self.relays.borrow();
-            let at = draw as usize % relays.len().max(1);
+            let at = random as usize % relays.len().max(1);
             let (n, relay) = relays.iter().nth(at)?;
             (*n, relay.clone())
         };
         if self
-            .touch
+            .connected_from
             .borrow()
             .get(&n)
             .is_some_and(|from| *from <= Instant::now())
         {
-            self.in_touch.borrow_mut().insert(id.clone());
+            self.connected_tries.borrow_mut().insert(id.clone());
         }
         // The entry may be killed meanwhile.
         let reply = relay.forward(ask(&id, path));
         timeout(Duration::from_secs(3), reply).await.ok()
     }
 
-    async fn send_deadly(&self, mut rng: ChaCha8Rng) {
+    /// Sends the crashing request in bursts of retries.
+    async fn send_crashing(&self, mut rng: ChaCha8Rng) {
         let gap = rng.random_range(100..5000);
         let mut count = 0;
-        let end = Instant::now() + SPAN;
+        let end = Instant::now() + RUN_TIME;
         while Instant::now() < end {
-            // A caller that fails tries once more, soon.
+            // A caller retries shortly after a failure.
             for _ in 0..rng.random_range(1..4) {
                 count += 1;
-                self.send(format!("d{count}"), DEADLY, rng.next_u64()).await;
+                self.send(format!("d{count}"), CRASHING, rng.next_u64())
+                    .await;
                 sleep(Duration::from_millis(rng.random_range(0..60))).await;
             }
             sleep(Duration::from_millis(gap)).await;
         }
     }
 
+    /// Sends the popular request and checks that it is never quarantined.
     async fn send_popular(&self, mut rng: ChaCha8Rng) {
-        let end = Instant::now() + SPAN;
+        let end = Instant::now() + RUN_TIME;
         let mut count = 0;
         while Instant::now() < end {
             count += 1;
@@ -195,62 +209,65 @@
                 && declined.why == Why::Declined(Reason::Quarantined)
             {
                 let after = declined.after.unwrap();
-                assert!(after <= TRIAL, "popular refused for {after:?}");
+                assert!(after <= MAX_TRIAL_REFUSAL, "popular refused for {after:?}");
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Tries of the deadly request that entries in touch sent on too late.
-    fn late(&self) -> BTreeSet<String> {
+    /// Crashing requests that connected entries forwarded after the limit took effect.
+    fn late_tries(&self) -> BTreeSet<String> {
         let ended = self.stage.leafs.ended();
-        let third = ended.iter().filter(|ended| ended.deadly).nth(ENDED - 1);
-        let Some(third) = third else {
+        let last_allowed = ended.iter().filter(|ended| ended.deadly).nth(ENDED - 1);
+        let Some(last_allowed) = last_allowed else {
             return BTreeSet::new();
         };
-        let in_touch = self.in_touch.borrow();
+        let connected_tries = self.connected_tries.borrow();
         let got = self.stage.leafs.got();
         let late = got.iter().filter(|got| {
-            got.path == DEADLY && got.at > third.at + CONTACT && in_touch.contains(&got.request)
+            got.path == CRASHING
+                && got.at > last_allowed.at + CONTACT
+                && connected_tries.contains(&got.request)
         });
         late.map(|got| got.request.clone()).collect()
     }
 }
 
-async fn play(seed: u64) {
+/// Runs the scenario of one seed.
+async fn run_scenario(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let world = World::start(&mut rng).await;
+    let scenario = Scenario::start(&mut rng).await;
     let faults = async {
-        let end = Instant::now() + SPAN;
-        // Some worlds have none, some one after the other.
+        let end = Instant::now() + RUN_TIME;
+        // The interval between faults varies widely from scenario to scenario.
         let gap = rng.random_range(1000..12_000);
         while Instant::now() < end {
             sleep(Duration::from_millis(rng.random_range(500..gap))).await;
-            world.fault(&mut rng).await;
+            scenario.inject_fault(&mut rng).await;
         }
     };
-    let deadly = world.send_deadly(ChaCha8Rng::seed_from_u64(seed ^ 1));
-    let popular = world.send_popular(ChaCha8Rng::seed_from_u64(seed ^ 2));
-    join(faults, join(deadly, popular)).await;
-    let late = world.late();
-    let log = world.log.borrow().join("\n");
+    let crashing = scenario.send_crashing(ChaCha8Rng::seed_from_u64(seed ^ 1));
+    let popular = scenario.send_popular(ChaCha8Rng::seed_from_u64(seed ^ 2));
+    join(faults, join(crashing, popular)).await;
+    let late = scenario.late_tries();
+    let log = scenario.log.borrow().join("\n");
     assert!(
         late.len() <= TRIES,
-        "world {seed}: {late:?} sent too late\n{log}"
+        "scenario {seed}: {late:?} forwarded too late\n{log}"
     );
 }
 
-/// A request that ends its leafs is sent on, or a popular one is refused that ends none,
-/// when other things go wrong at the same time. Worlds that ever failed stay in the list.
+/// Guards against a crashing request that is forwarded, or a harmless one that is quarantined,
+/// while other faults occur. Seeds that once failed stay in the list.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn what_ends_its_leafs_stays_within_the_bound_whatever_else_fails(
-    #[values(0, 1, 2, 3)] part: u64,
-) {
-    let worlds = std::env::var("DEADLY_WORLDS");
-    let worlds = worlds.map_or(WORLDS, |count| count.parse().expect("a number of worlds"));
-    let seeds = (0..worlds).chain([WITHOUT_RECORDS]);
+async fn requests_that_crash_leafs_stay_limited_under_any_faults(#[values(0, 1, 2, 3)] part: u64) {
+    let count = std::env::var("DEADLY_WORLDS");
+    let count = count.map_or(SCENARIOS, |count| {
+        count.parse().expect("DEADLY_WORLDS is a number")
+    });
+    let seeds = (0..count).chain([RECORDS_SEED]);
     for seed in seeds.filter(|seed| seed % 4 == part) {
-        play(seed).await;
+        run_scenario(seed).await;
     }
 }
