--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! What callers get of forwarded requests.
+//! Forwarding: the replies that callers get and the calls that leafs get.
 
 mod world;
 
@@ -12,10 +12,12 @@
 use tokio::time::{Instant, sleep, timeout};
 use world::{Manner, Stage, ask, book, entry, gather, missing, name, record, rule};
 
-fn one(kind: Kind) -> chestnut_book::RouteBook {
+/// A book with one rule, for the `archive` service.
+fn archive_book(kind: Kind) -> chestnut_book::RouteBook {
     book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
 }
 
+/// Guards against a merged answer that lacks a shard or has records out of order.
 #[tokio::test(start_paused = true)]
 async fn a_gather_merges_every_shard() {
     let stage = Stage::default();
@@ -40,11 +42,10 @@
     assert_eq!(body, expected);
 }
 
-/// The caller gets the shards that answered, at the time it wants the answer.
-/// Every leaf of one shard takes calls and stays silent; the answer covers the
-/// least share without it. Waiting on would make the whole answer late.
+/// Guards against an answer that misses its latency objective because one shard
+/// never answers, although the others reach the minimum coverage.
 #[tokio::test(start_paused = true)]
-async fn a_silent_shard_is_left_out_when_the_goal_nears() {
+async fn a_silent_shard_is_left_out_near_the_latency_objective() {
     let stage = Stage::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in shards {
@@ -68,15 +69,15 @@
     );
 }
 
-/// The caller is refused at once, and told truly that nothing ran.
-/// Every leaf is full and says so; no other call could have run.
+/// Guards against a late refusal, or one with an unknown outcome, when every leaf
+/// refused the call as full.
 #[tokio::test(start_paused = true)]
-async fn full_leafs_make_a_refusal_that_is_not_run() {
+async fn requests_refused_by_full_leafs_are_reported_as_not_run() {
     let stage = Stage::default();
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, Manner::Full);
     }
-    stage.store.put_book(one(Kind::Once));
+    stage.store.put_book(archive_book(Kind::Once));
     let relay = stage.serving(1).await;
     let start = Instant::now();
     let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
@@ -87,21 +88,19 @@
     assert!(start.elapsed() < Duration::from_millis(50));
 }
 
-/// The caller of a request that must run at most once is told that its fate is
-/// unknown, and one leaf got it.
-/// The leaf ran it and its answer was lost, or it failed it, or it stays
-/// silent; only proof that a call did not run allows another.
+/// Guards against a request that runs twice although it must run at most once:
+/// only proof that a call did not run allows a retry.
 #[rstest]
 #[case::lost(Manner::Loses)]
 #[case::silent(Manner::Silent)]
 #[case::failed(Manner::Fails)]
 #[tokio::test(start_paused = true)]
-async fn what_may_have_run_is_not_sent_again(#[case] manner: Manner) {
+async fn once_requests_that_may_have_run_are_not_retried(#[case] manner: Manner) {
     let stage = Stage::default();
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, manner.clone());
     }
-    stage.store.put_book(one(Kind::Once));
+    stage.store.put_book(archive_book(Kind::Once));
     let relay = stage.serving(1).await;
     let reply = relay.forward(ask("r", "/a/x")).await;
     assert_eq!(stage.leafs.got().len(), 1);
@@ -112,17 +111,17 @@
     }
 }
 
-/// The caller gets its answer though the first leaf refused: a refusal is
-/// proof, so another leaf may be asked even of what must run at most once.
+/// Guards against a request that fails because one leaf refused it: a refusal
+/// proves that it did not run, so even an at-most-once request may be retried.
 #[tokio::test(start_paused = true)]
-async fn a_refused_call_goes_to_another_leaf() {
+async fn a_refused_call_is_retried_on_another_leaf() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 3, 10);
     stage.leafs.set(&leafs[0], Manner::Full);
     stage.leafs.set(&leafs[1], Manner::Full);
-    stage.store.put_book(one(Kind::Once));
+    stage.store.put_book(archive_book(Kind::Once));
     let relay = stage.serving(1).await;
-    // Refusals are paid for as extra calls: first calls earn them.
+    // Retries after refusals count against the budget, which first calls refill.
     let mut answered = 0;
     for _ in 0..60 {
         answered += usize::from(matches!(
@@ -133,13 +132,13 @@
     assert!(answered >= 50, "{answered}");
 }
 
-/// The caller of an idempotent request gets an answer though a leaf is silent.
-/// No more leafs than the rule's attempts may have run it.
+/// Guards against a caller that waits for a silent leaf, and against more calls
+/// than the attempts that the rule allows.
 #[tokio::test(start_paused = true)]
-async fn a_silent_leaf_is_hedged_within_the_attempts() {
+async fn hedges_for_a_silent_leaf_stay_within_the_attempts() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 3, 10);
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     for _ in 0..60 {
         relay.forward(ask("warm", "/a/x")).await;
@@ -155,26 +154,25 @@
     }
 }
 
-/// A caller that hangs up costs the leafs nothing more: its calls are given
-/// up at once.
+/// Guards against calls that go on after their caller has disconnected.
 #[tokio::test(start_paused = true)]
-async fn calls_of_a_caller_that_left_are_given_up() {
+async fn calls_are_cancelled_when_the_caller_disconnects() {
     let stage = Stage::default();
     for leaf in stage.add_leafs("archive", 1, 10) {
         stage.leafs.set(&leaf, Manner::Silent);
     }
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
-    let left = timeout(Duration::from_millis(30), relay.forward(ask("r", "/a/x"))).await;
-    assert!(left.is_err());
+    let reply = timeout(Duration::from_millis(30), relay.forward(ask("r", "/a/x"))).await;
+    assert!(reply.is_err());
     assert_eq!(stage.leafs.cancelled(), 1);
     assert_eq!(relay.in_flight(), 0);
 }
 
-/// The caller is answered at the route's timeout though it would wait longer,
-/// and leafs are never handed more time than is left.
+/// Guards against requests that outlast the timeout of their rule, and against
+/// calls with a deadline later than that of the request.
 #[tokio::test(start_paused = true)]
-async fn nobody_waits_past_the_timeout_of_the_rule() {
+async fn requests_end_at_the_timeout_of_the_rule() {
     let stage = Stage::default();
     for leaf in stage.add_leafs("archive", 1, 10) {
         stage.leafs.set(&leaf, Manner::Silent);
@@ -192,15 +190,15 @@
     assert!(stage.leafs.got()[0].left <= Duration::from_millis(700));
 }
 
-/// Leafs get no more extra calls than the budget allows, however bad things
-/// are: a share of first calls, and this entry's part of the slack.
+/// Guards against a retry storm: extra calls stay within a share of the first
+/// calls plus this entry's quota of the slack.
 #[tokio::test(start_paused = true)]
 async fn extra_calls_stay_within_the_budget() {
     let stage = Stage::default();
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, Manner::Loses);
     }
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     let requests = 500;
     for n in 0..requests {
@@ -210,11 +208,12 @@
     assert!(extra <= requests / 5 + 52, "{extra}");
     assert!(
         extra >= requests / 10,
-        "{extra}: the budget is there to be used"
+        "{extra}: too little of the budget was used"
     );
 }
 
-/// Requests of a split keep to its weights within a few in a hundred.
+/// Guards against a split whose services get requests out of proportion to their
+/// weights.
 #[tokio::test(start_paused = true)]
 async fn a_split_keeps_its_weights() {
     let stage = Stage::default();
@@ -237,8 +236,10 @@
     assert!((87..=93).contains(&new), "{new}");
 }
 
+/// Guards against a starting entry that reports a path as unknown, or a serving
+/// one that reports it as not ready.
 #[tokio::test(start_paused = true)]
-async fn an_unknown_path_is_told_from_an_entry_that_starts() {
+async fn an_unknown_path_is_distinguished_from_a_starting_entry() {
     let stage = Stage::default();
     let starting = stage.spawn(2).await;
     let Reply::Declined(declined) = starting.forward(ask("r", "/a/x")).await else {
@@ -246,7 +247,7 @@
     };
     assert_eq!((declined.why, declined.run), (Why::NotReady, Run::NotRun));
     stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     let Reply::Declined(declined) = relay.forward(ask("r", "/b/x")).await else {
         panic!("answered");
@@ -258,16 +259,14 @@
     );
 }
 
-/// Callers are answered although one leaf refuses most calls at once.
-/// Its refusals are its fastest answers, so by latency alone it would look the
-/// best; the share of calls that it fails tells it from the others, and it gets
-/// few of them.
+/// Guards against a leaf that attracts calls because it refuses them quickly:
+/// load balancing must weigh its failure rate as well as its latency.
 #[tokio::test(start_paused = true)]
 async fn a_leaf_that_refuses_gets_few_calls() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 3, 20);
     stage.leafs.set(&leafs[0], Manner::Full);
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     let ids: Vec<String> = (0..300).map(|n| format!("r{n}")).collect();
     for group in ids.chunks(3) {
@@ -278,12 +277,10 @@
     assert!(refused <= 60, "{refused} of {} calls", got.len());
 }
 
-/// Callers don't wait for a shard of which every leaf has gone dark.
-/// The first queries wait for it until the goal nears. Once no leaf of it has
-/// answered for longer than a pause lasts, the answer goes out as soon as the
-/// other shards are in; and when one leaf is back, so is the shard.
+/// Guards against queries that keep waiting for a shard whose leafs are all
+/// unresponsive, and against a shard that stays excluded once its leafs answer.
 #[tokio::test(start_paused = true)]
-async fn a_dark_shard_holds_up_nobody() {
+async fn an_unresponsive_shard_delays_no_query() {
     let stage = Stage::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in shards {
@@ -296,8 +293,8 @@
     for n in 0..40 {
         relay.forward(ask(&format!("warm{n}"), "/q/x")).await;
     }
-    let dark = stage.add_leafs("s4", 2, 10);
-    for leaf in &dark {
+    let unresponsive = stage.add_leafs("s4", 2, 10);
+    for leaf in &unresponsive {
         stage.leafs.set(leaf, Manner::Silent);
     }
     for n in 0..10 {
@@ -312,19 +309,18 @@
         start.elapsed()
     );
     let answers = Manner::Answers(Duration::from_millis(5), record("s4"));
-    stage.leafs.set(&dark[0], answers.clone());
-    stage.leafs.set(&dark[1], answers);
+    stage.leafs.set(&unresponsive[0], answers.clone());
+    stage.leafs.set(&unresponsive[1], answers);
     for n in 0..10 {
         relay.forward(ask(&format!("back{n}"), "/q/x")).await;
     }
     assert_eq!(missing(&relay.forward(ask("whole", "/q/x")).await), Some(0));
 }
 
-/// The answer of a slow route comes by its goal though the first leaf hangs.
-/// A delay of several usual calls would put the hedge so late that its answer
-/// misses the goal; it is brought forward so that it can make it.
+/// Guards against a hedge on a slow route that is sent too late for its answer
+/// to meet the latency objective.
 #[tokio::test(start_paused = true)]
-async fn hedges_of_slow_calls_are_sent_in_time_for_the_goal() {
+async fn hedges_of_slow_calls_meet_the_latency_objective() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 2, 220);
     let mut slow = rule("/a/", Kind::Idempotent, Target::One(name("archive")));
@@ -333,7 +329,7 @@
     stage.store.put_book(book(1, vec![slow]));
     let relay = stage.serving(1).await;
     for n in 0..60 {
-        // One call in ten takes long, so that lateness is judged with slack.
+        // One call in ten is slow, which raises the hedge delay.
         let span = Duration::from_millis(if n % 10 == 0 { 600 } else { 220 });
         for leaf in &leafs {
             stage
@@ -354,11 +350,10 @@
     }
 }
 
-/// The caller is refused at once, told that nothing ran, and when to return.
-/// Too many shards have no leaf at all for the least share. Asking the others
-/// would cost them work that no answer can use.
+/// Guards against calls for a query that cannot reach its minimum coverage since
+/// too many shards have no leaf: their work would be wasted.
 #[tokio::test(start_paused = true)]
-async fn what_cannot_reach_the_least_share_is_not_started() {
+async fn queries_that_cannot_reach_minimum_coverage_are_not_started() {
     let stage = Stage::default();
     stage.add_leafs("s1", 2, 10);
     let target = gather(&["s1", "s2", "s3"], 900);
@@ -374,13 +369,13 @@
     assert_eq!(stage.leafs.got().len(), 0);
 }
 
-/// Callers are answered while all leafs of a service are leaving: those go on
-/// serving for a while. Afterwards no leaf that left gets a call.
+/// Guards against refusals while all leafs of a service are draining and can
+/// still serve, and against calls to leafs that have left.
 #[tokio::test(start_paused = true)]
-async fn leafs_that_leave_serve_where_no_other_can() {
+async fn draining_leafs_serve_when_no_other_leaf_can() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(one(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     for leaf in &leafs {
         stage
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -1,4 +1,4 @@
-//! Leafs that start again under their ids, and entries that can't be read.
+//! Leafs that restart under the same id, and leaf entries that can't be parsed.
 
 mod world;
 
@@ -11,32 +11,36 @@
 use tokio::time::sleep;
 use world::{Manner, Stage, ask, book, entry, name, record, rule};
 
-fn to_archive(kind: Kind) -> RouteBook {
+/// A book with one rule, for the `archive` service.
+fn archive_book(kind: Kind) -> RouteBook {
     book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
 }
 
-fn of_life(life: u64, state: LeafState) -> LeafEntry {
+/// The entry of an `archive` leaf in the given incarnation.
+fn incarnation_entry(incarnation: u64, state: LeafState) -> LeafEntry {
     LeafEntry {
-        life: Some(Incarnation(life)),
+        life: Some(Incarnation(incarnation)),
         ..entry("archive", state)
     }
 }
 
-/// A stage with leafs in their first life.
+/// A stage with leafs in their first incarnation.
 async fn stage(leafs: usize, kind: Kind) -> (Stage, Vec<LeafId>, Relay) {
     let stage = Stage::default();
     let ids = stage.add_leafs("archive", leafs, 10);
     for id in &ids {
-        stage.store.put_leaf(id, of_life(1, LeafState::Ready));
+        stage
+            .store
+            .put_leaf(id, incarnation_entry(1, LeafState::Ready));
     }
-    stage.store.put_book(to_archive(kind));
+    stage.store.put_book(archive_book(kind));
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     (stage, ids, relay)
 }
 
-/// Sends `count` requests at once, so that no leaf that may be called is left out
-/// for being cold; tells how many of their calls went to `leaf`.
+/// Sends `count` requests at once, enough that every eligible leaf is called, and
+/// counts the calls to `leaf`.
 async fn calls_to(stage: &Stage, relay: &Relay, leaf: &LeafId, count: usize) -> usize {
     let before = stage.leafs.got().len();
     let asks: Vec<_> = (0..count).map(|n| ask(&format!("n{n}"), "/a/x")).collect();
@@ -45,15 +49,15 @@
     got[before..].iter().filter(|got| got.leaf == *leaf).count()
 }
 
-fn good() -> Manner {
+/// A leaf that answers every call.
+fn healthy() -> Manner {
     Manner::Answers(Duration::from_millis(10), record("archive"))
 }
 
-/// A shard has a leaf less for half a minute.
-/// A leaf loses call after call and is evicted, for longer each time. It starts
-/// again under its id; the eviction belongs to the life before.
+/// Guards against a restarted leaf that gets no calls because its previous
+/// incarnation was evicted.
 #[tokio::test(start_paused = true)]
-async fn an_evicted_leaf_that_starts_again_is_called() {
+async fn an_evicted_leaf_is_called_again_after_a_restart() {
     let (stage, leafs, relay) = stage(3, Kind::Idempotent).await;
     stage.leafs.set(&leafs[0], Manner::Loses);
     for _ in 0..8 {
@@ -62,24 +66,23 @@
     }
     calls_to(&stage, &relay, &leafs[0], 40).await;
     assert_eq!(calls_to(&stage, &relay, &leafs[0], 40).await, 0);
-    stage.leafs.set(&leafs[0], good());
+    stage.leafs.set(&leafs[0], healthy());
     stage
         .store
-        .put_leaf(&leafs[0], of_life(2, LeafState::Ready));
+        .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     sleep(Duration::from_millis(500)).await;
     let calls = calls_to(&stage, &relay, &leafs[0], 30).await;
     assert!(calls > 0, "no call in 30 requests");
 }
 
-/// A leaf gets no calls though its entry says that it is ready.
-/// It was leaving, ended, and has started again under its id. The mark of
-/// leaving belongs to the life before.
+/// Guards against a restarted leaf that gets no calls because its previous
+/// incarnation was draining.
 #[tokio::test(start_paused = true)]
-async fn a_leaf_that_was_leaving_takes_work_in_its_next_life() {
+async fn a_draining_leaf_takes_requests_after_a_restart() {
     let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
     stage
         .store
-        .put_leaf(&leafs[0], of_life(1, LeafState::Draining));
+        .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Draining));
     sleep(Duration::from_secs(3)).await;
     assert!(matches!(
         relay.forward(ask("r", "/a/x")).await,
@@ -87,7 +90,7 @@
     ));
     stage
         .store
-        .put_leaf(&leafs[0], of_life(2, LeafState::Ready));
+        .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     sleep(Duration::from_secs(1)).await;
     assert!(matches!(
         relay.forward(ask("s", "/a/x")).await,
@@ -95,46 +98,43 @@
     ));
 }
 
-/// Calls go to an address that the leaf has left.
-/// After it started again elsewhere, the entry hears its former life: from the
-/// store's stale copy, or from a peer that is behind.
+/// Guards against calls to a leaf's old address after a stale update reports its
+/// previous incarnation.
 #[tokio::test(start_paused = true)]
-async fn the_former_life_is_not_called_again() {
+async fn an_earlier_incarnation_is_not_called_again() {
     let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
-    let elsewhere = "10.1.0.2:1".parse().unwrap();
-    let reborn = LeafEntry {
-        address: elsewhere,
-        ..of_life(2, LeafState::Ready)
+    let new_address = "10.1.0.2:1".parse().unwrap();
+    let restarted = LeafEntry {
+        address: new_address,
+        ..incarnation_entry(2, LeafState::Ready)
     };
-    stage.store.put_leaf(&leafs[0], reborn);
+    stage.store.put_leaf(&leafs[0], restarted);
     sleep(Duration::from_secs(1)).await;
     stage
         .store
-        .put_leaf(&leafs[0], of_life(1, LeafState::Ready));
+        .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Ready));
     sleep(Duration::from_secs(1)).await;
     relay.forward(ask("r", "/a/x")).await;
     assert_eq!(
         stage.leafs.got().last().map(|got| got.address),
-        Some(elsewhere)
+        Some(new_address)
     );
 }
 
-/// The caller of a request that may run once is not told what became of it, and
-/// it ran twice.
-/// Its leaf ends while it runs and starts again under its id, so it looks like
-/// the leaf that has the call; the request may have run, and isn't sent again.
+/// Guards against an at-most-once request that runs twice because its leaf
+/// restarted, under the same id, during the call.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_may_run_once_is_not_sent_to_the_next_life() {
+async fn a_once_request_is_not_retried_on_a_restarted_leaf() {
     let (stage, leafs, relay) = stage(1, Kind::Once).await;
     stage
         .leafs
         .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
     let restart = async {
         sleep(Duration::from_millis(100)).await;
-        stage.leafs.set(&leafs[0], good());
+        stage.leafs.set(&leafs[0], healthy());
         stage
             .store
-            .put_leaf(&leafs[0], of_life(2, LeafState::Ready));
+            .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     };
     let (reply, ()) = tokio::join!(relay.forward(ask("once", "/a/x")), restart);
     assert!(matches!(reply, Reply::Declined(_)), "{reply:?}");
@@ -147,39 +147,37 @@
     assert_eq!(runs, 1);
 }
 
-/// A new life is shunned for what the one before did.
-/// Calls to the life before are still under way when the leaf starts again, and
-/// all are lost. They count for that life only.
+/// Guards against a restarted leaf that gets no calls because calls to its
+/// previous incarnation, still in flight at the restart, were lost.
 #[tokio::test(start_paused = true)]
-async fn calls_to_the_former_life_say_nothing_of_the_new_one() {
+async fn lost_calls_to_an_earlier_incarnation_do_not_affect_the_new_one() {
     let (stage, leafs, relay) = stage(2, Kind::Idempotent).await;
     stage
         .leafs
         .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
-    let under_way = (0..40).map(|n| {
+    let in_flight = (0..40).map(|n| {
         let relay = relay.clone();
         async move { relay.forward(ask(&format!("r{n}"), "/a/x")).await }
     });
     let restart = async {
         sleep(Duration::from_millis(100)).await;
-        stage.leafs.set(&leafs[0], good());
+        stage.leafs.set(&leafs[0], healthy());
         stage
             .store
-            .put_leaf(&leafs[0], of_life(2, LeafState::Ready));
+            .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     };
-    tokio::join!(join_all(under_way), restart);
+    tokio::join!(join_all(in_flight), restart);
     let calls = calls_to(&stage, &relay, &leafs[0], 40).await;
     assert!(calls > 0, "no call in 40 requests");
 }
 
-/// All calls go on to a leaf whose entry another writer has overwritten.
-/// What it holds now can't be read and names no leaf, also where no other is
-/// there, and also to entries that hear of it from a peer.
+/// Guards against calls to a leaf whose entry was overwritten with an unreadable
+/// one, also at entries that receive the change from a peer.
 #[tokio::test(start_paused = true)]
-async fn a_leaf_whose_entry_was_spoilt_is_not_called() {
+async fn a_leaf_with_an_unreadable_entry_is_not_called() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(to_archive(Kind::Idempotent));
+    stage.store.put_book(archive_book(Kind::Idempotent));
     let entries = [stage.serving(1).await, stage.serving(2).await];
     sleep(Duration::from_secs(8)).await;
     stage.store.spoil_leaf(&leafs[0]);
