--- a/crates/relay/tests/budget_model.rs
+++ b/crates/relay/tests/budget_model.rs
@@ -1,4 +1,4 @@
-//! Extra calls of all entries together, while entries come and go.
+//! Model of the extra calls that all entries make together while entries start and stop.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,24 +9,29 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
+/// Simulated time of a step.
 const STEP: Duration = Duration::from_millis(100);
+/// Steps of a run.
 const STEPS: usize = 1200;
+/// Time over which extra calls are limited.
 const WINDOW: Duration = Duration::from_secs(10);
-const PART: f64 = 0.2;
+/// Extra calls allowed per first call.
+const EXTRA_RATIO: f64 = 0.2;
+/// Extra calls allowed per window on top of the ratio.
 const SLACK: f64 = 52.0;
-/// Requests a second of one service at all entries together.
-const RATE: f64 = 200.0;
-/// How old the view of the members may be: probes spread a change within it.
-const LAG: usize = 10;
+/// Requests per second to one service, over all entries.
+const REQUEST_RATE: f64 = 200.0;
+/// Steps by which an entry's view of the membership lags behind.
+const VIEW_LAG: usize = 10;
 
-/// One life of an entry. It makes every extra call that its budget allows,
-/// which is the worst that can be.
+/// One incarnation of an entry, which makes every extra call that its budget allows.
 struct Entry {
     budget: Budget,
     /// Steps since its start.
     age: usize,
 }
 
+/// Returns the quota of one of `carriers` entries that all serve callers.
 fn allotment(carriers: usize) -> Allotment {
     Allotment {
         carriers: carriers.max(1),
@@ -35,47 +40,49 @@
     }
 }
 
+/// Calls of all entries in one step.
 #[derive(Default)]
 struct Step {
     requests: f64,
     extra: u32,
 }
 
-struct World {
+/// Entries that start and stop at random and share one budget.
+struct Model {
     rng: ChaCha8Rng,
     extra: ExtraCalls,
     entries: BTreeMap<u32, Entry>,
-    born: u32,
-    /// How many entries there were at each step.
-    counts: Vec<usize>,
+    started: u32,
+    /// Number of entries at each step.
+    entry_counts: Vec<usize>,
     steps: Vec<Step>,
 }
 
-impl World {
+impl Model {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut model = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             extra: ExtraCalls {
-                part: PART,
+                part: EXTRA_RATIO,
                 slack: SLACK,
                 window: WINDOW,
             },
             entries: BTreeMap::new(),
-            born: 0,
-            counts: Vec::new(),
+            started: 0,
+            entry_counts: Vec::new(),
             steps: Vec::new(),
         };
-        (0..6).for_each(|_| world.start());
-        world
+        (0..6).for_each(|_| model.start());
+        model
     }
 
     fn start(&mut self) {
         let budget = Budget::empty(Share::from_permille(200), 1);
-        self.born += 1;
-        self.entries.insert(self.born, Entry { budget, age: 0 });
+        self.started += 1;
+        self.entries.insert(self.started, Entry { budget, age: 0 });
     }
 
-    /// Now and then an entry is killed, one is added, or all start again.
+    /// At random stops an entry, starts one, restarts all, or does nothing.
     fn fault(&mut self) {
         match self.rng.random_range(0..200) {
             0 if self.entries.len() > 1 => {
@@ -95,19 +102,19 @@
 
     fn step(&mut self) {
         self.fault();
-        self.counts.push(self.entries.len());
-        let seen = self.counts[self.counts.len().saturating_sub(LAG + 1)];
-        let requests = RATE * STEP.as_secs_f64() * self.rng.random_range(0.0..2.0);
+        self.entry_counts.push(self.entries.len());
+        let known = self.entry_counts[self.entry_counts.len().saturating_sub(VIEW_LAG + 1)];
+        let requests = REQUEST_RATE * STEP.as_secs_f64() * self.rng.random_range(0.0..2.0);
         let mut step = Step { requests, extra: 0 };
-        let each = (requests / self.entries.len() as f64) as usize;
+        let per_entry = (requests / self.entries.len() as f64) as usize;
         for entry in self.entries.values_mut() {
-            // One that has just started knows nobody.
-            let carriers = if entry.age < LAG { 1 } else { seen };
+            // A new entry knows no other member yet.
+            let carriers = if entry.age < VIEW_LAG { 1 } else { known };
             let slack = allotment(carriers).slack(&self.extra);
             entry.budget.set_slack(slack, WINDOW);
-            // An entry's time begins with its process.
+            // An entry's clock starts at zero with its process.
             entry.budget.pass(Time::ZERO + STEP * entry.age as u32);
-            entry.budget.earn(each);
+            entry.budget.earn(per_entry);
             while entry.budget.spend() {
                 step.extra += 1;
             }
@@ -116,90 +123,94 @@
         self.steps.push(step);
     }
 
-    /// The window that ends with step `end` with the most extra calls beyond
-    /// the bound.
-    fn beyond(&self) -> f64 {
+    /// The largest number of extra calls above the bound in any window; not
+    /// positive if the bound held.
+    fn excess(&self) -> f64 {
         let length = (WINDOW.as_millis() / STEP.as_millis()) as usize;
         let requests = |from: usize| {
             let steps = self.steps.iter().skip(from).take(length);
             steps.map(|step| step.requests).sum::<f64>()
         };
         let ends = length * 2..self.steps.len() - length;
-        let beyond = ends.map(|from| {
+        let excess = ends.map(|from| {
             let steps = self.steps.iter().skip(from).take(length);
             let extra: u32 = steps.map(|step| step.extra).sum();
-            let most = requests(from)
+            let max_requests = requests(from)
                 .max(requests(from - length))
                 .max(requests(from - length / 2));
-            f64::from(extra) - PART * most - SLACK
+            f64::from(extra) - EXTRA_RATIO * max_requests - SLACK
         });
-        beyond.fold(f64::NEG_INFINITY, f64::max)
+        excess.fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// A service gets more extra calls than its users allow.
-/// Entries alike carry callers, with few requests for each shard, and don't see the same
-/// members: each takes from nine tenths of them to all for those that share. Where the part
-/// of each is a call or more, one whole may be saved up; below, what first calls earn.
+/// Guards against too many extra calls to a service when many entries with few requests
+/// each see between nine tenths and all of the members and save up to a whole call.
 #[rstest]
 #[case::few_entries(17, 33.0, 5.0)]
 #[case::a_call_each(300, 630.0, 60.0)]
 #[case::less_than_a_call_each(1_000, 630.0, 200.0)]
 #[case::thousands(2_904, 630.0, 4_000.0)]
-fn alike_entries_keep_to_the_bound(#[case] count: usize, #[case] slack: f64, #[case] rate: f64) {
+fn identical_entries_keep_to_the_bound(
+    #[case] count: usize,
+    #[case] slack: f64,
+    #[case] rate: f64,
+) {
     const SECONDS: usize = 60;
+    /// Seconds of the window of extra calls.
     const SPAN: usize = 10;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let extra = ExtraCalls {
-        part: PART,
+        part: EXTRA_RATIO,
         slack,
         window: WINDOW,
     };
-    let seen = |rng: &mut ChaCha8Rng| rng.random_range(count * 9 / 10..=count);
+    let known = |rng: &mut ChaCha8Rng| rng.random_range(count * 9 / 10..=count);
     let mut budgets: Vec<Budget> = (0..count)
         .map(|_| Budget::empty(Share::from_permille(200), 1))
         .collect();
-    let (mut first, mut made) = (vec![0u32; SECONDS], vec![0u32; SECONDS]);
+    let (mut first_calls, mut extra_calls) = (vec![0u32; SECONDS], vec![0u32; SECONDS]);
     for second in 0..SECONDS {
         for budget in &mut budgets {
-            let slack = allotment(seen(&mut rng)).slack(&extra);
+            let slack = allotment(known(&mut rng)).slack(&extra);
             budget.set_slack(slack, WINDOW);
             budget.pass(Time::ZERO + Duration::from_secs(second as u64));
             let calls = rate / count as f64;
             let calls = calls as usize + usize::from(rng.random_bool(calls.fract()));
             budget.earn(calls);
-            first[second] += calls as u32;
-            // All is spent at once now and then, after it was saved for a while.
+            first_calls[second] += calls as u32;
+            // Saves for ten of every fifteen seconds, then spends whatever it has.
             while second % 15 > 9 && budget.spend() {
-                made[second] += 1;
+                extra_calls[second] += 1;
             }
         }
     }
-    let sum = |of: &[u32], from: usize| f64::from(of[from..from + SPAN].iter().sum::<u32>());
+    let sum = |calls: &[u32], from: usize| f64::from(calls[from..from + SPAN].iter().sum::<u32>());
     for from in SPAN..SECONDS - SPAN {
-        let calls = sum(&first, from).max(sum(&first, from - SPAN));
-        // Nine tenths of the members are seen at the least.
-        let most = PART * calls + slack / 0.9;
-        assert!(sum(&made, from) <= most, "{} of {most}", sum(&made, from));
+        let calls = sum(&first_calls, from).max(sum(&first_calls, from - SPAN));
+        // An entry sees at least nine tenths of the members.
+        let bound = EXTRA_RATIO * calls + slack / 0.9;
+        assert!(
+            sum(&extra_calls, from) <= bound,
+            "{} of {bound}",
+            sum(&extra_calls, from)
+        );
     }
 }
 
-/// A service gets more extra calls than its users allow.
-/// Each entry keeps to its part of a bound that all share, by what it knows of
-/// the others: entries come, go and start again all at once, and each hears of it
-/// a second late; one that starts takes itself for the only one. All spend
-/// whatever they may, all the time.
+/// Guards against too many extra calls to a service when entries start and stop: they share
+/// the budget by views of the members that are out of date or, at the start, empty.
 #[test]
-fn all_entries_together_keep_to_the_bound() {
+fn entries_keep_to_the_shared_bound_while_membership_changes() {
     for seed in 0..300 {
-        let mut world = World::new(seed);
+        let mut model = Model::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            model.step();
         }
-        let beyond = world.beyond();
+        let excess = model.excess();
         assert!(
-            beyond <= 0.0,
-            "{beyond:.1} calls beyond the bound, seed {seed}"
+            excess <= 0.0,
+            "{excess:.1} calls above the bound, seed {seed}"
         );
     }
 }
--- a/crates/relay/tests/goals.rs
+++ b/crates/relay/tests/goals.rs
@@ -1,4 +1,4 @@
-//! When answers go out, by what their callers have spent before they ask.
+//! Time at which answers are sent, given the time that callers spent before the request.
 
 mod world;
 
@@ -9,22 +9,24 @@
 use tokio::time::{Instant, sleep};
 use world::{Stage, ask, book, gather, missing, rule};
 
-/// The goal of the rule, and the time that its callers give.
-const GOAL: Duration = Duration::from_millis(50);
-const TIME: Duration = Duration::from_millis(300);
-/// What a caller spends that asks where to connect and connects: three round trips.
-const CONNECTING: Duration = Duration::from_millis(6);
-/// Answers of three shards, and of the fourth, which is slow.
+/// Latency objective of the rule.
+const OBJECTIVE: Duration = Duration::from_millis(50);
+/// Timeout of its callers.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time to look up an entry and connect to it: three round trips.
+const CONNECT_TIME: Duration = Duration::from_millis(6);
+/// Response time of leafs.
 const FAST_MS: u64 = 5;
+/// Response time of the fourth shard's leafs once they are slow.
 const SLOW_MS: u64 = 32;
 
-/// Four shards, of which three are enough.
+/// Starts an entry whose rule queries four shards with a minimum coverage of three.
 async fn relay() -> (Stage, Relay) {
-    relay_with(Duration::from_secs(2)).await
+    relay_with_timeout(Duration::from_secs(2)).await
 }
 
-/// The same, with a timeout of the rule.
-async fn relay_with(timeout: Duration) -> (Stage, Relay) {
+/// Like [`relay`], with the rule's timeout set.
+async fn relay_with_timeout(timeout: Duration) -> (Stage, Relay) {
     let stage = Stage::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in &shards[..3] {
@@ -32,7 +34,7 @@
     }
     stage.add_leafs(shards[3], 3, FAST_MS);
     let mut rule = rule("/q/", Kind::Idempotent, gather(&shards, 750));
-    rule.goal = GOAL;
+    rule.goal = OBJECTIVE;
     rule.timeout = timeout;
     stage.store.put_book(book(1, vec![rule]));
     let relay = stage.serving(1).await;
@@ -40,11 +42,11 @@
     (stage, relay)
 }
 
-/// Sends a request whose caller has spent `spent` already; tells the reply and
-/// how long it took.
+/// Sends a request `spent` after its caller began; returns the reply and the time
+/// that it took.
 async fn send(relay: &Relay, spent: Duration) -> (Reply, Duration) {
     let ask = Ask {
-        left: Some(TIME - spent),
+        left: Some(CALLER_TIMEOUT - spent),
         ..ask("r", "/q/x")
     };
     let start = Instant::now();
@@ -52,16 +54,16 @@
     (reply, start.elapsed())
 }
 
-/// Has the fourth shard take longer from now on.
-fn slow_down(stage: &Stage) {
+/// Makes the fourth shard slow from now on.
+fn slow_fourth_shard(stage: &Stage) {
     stage.add_leafs("s4", 3, SLOW_MS);
 }
 
-/// Lets the entry see callers that keep their connections, and some that connect.
-async fn see_callers(relay: &Relay) {
+/// Sends requests over kept connections, and every fourth over a new one.
+async fn send_typical_requests(relay: &Relay) {
     for n in 0..60 {
         let spent = if n % 4 == 0 {
-            CONNECTING
+            CONNECT_TIME
         } else {
             Duration::ZERO
         };
@@ -69,67 +71,71 @@
     }
 }
 
-/// Callers get answers that lack a shard which was on its way.
-/// 26 ms of a goal of 50 ms were kept off for connecting, also from callers that
-/// keep their connections, which come with all of their time. What a caller has
-/// spent shows in the time that it gives.
+/// Guards against answers without a slow shard because connection time is reserved
+/// also for callers that reuse a connection.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_has_spent_nothing_gets_the_slow_shard_too() {
+async fn caller_with_an_open_connection_gets_the_slow_shard_too() {
     let (stage, relay) = relay().await;
-    see_callers(&relay).await;
-    slow_down(&stage);
-    let (reply, span) = send(&relay, Duration::ZERO).await;
+    send_typical_requests(&relay).await;
+    slow_fourth_shard(&stage);
+    let (reply, elapsed) = send(&relay, Duration::ZERO).await;
     assert_eq!(missing(&reply), Some(0));
-    assert!(span + CONNECTING / 3 <= GOAL, "{span:?}");
+    assert!(elapsed + CONNECT_TIME / 3 <= OBJECTIVE, "{elapsed:?}");
 }
 
-/// A caller that connects gets its answer late.
-/// It has spent part of the goal before it asks, so its answer has to go out
-/// earlier than that of another.
+/// Guards against late answers to callers that have used part of the objective to
+/// connect.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_has_spent_time_gets_its_answer_by_the_goal() {
+async fn caller_that_has_spent_time_is_answered_within_the_objective() {
     let (stage, relay) = relay().await;
-    see_callers(&relay).await;
-    slow_down(&stage);
+    send_typical_requests(&relay).await;
+    slow_fourth_shard(&stage);
     let spent = Duration::from_millis(20);
-    let (reply, span) = send(&relay, spent).await;
+    let (reply, elapsed) = send(&relay, spent).await;
     assert_eq!(missing(&reply), Some(1));
-    assert!(spent + span + CONNECTING / 3 <= GOAL, "{span:?}");
+    assert!(
+        spent + elapsed + CONNECT_TIME / 3 <= OBJECTIVE,
+        "{elapsed:?}"
+    );
 }
 
-/// An entry that has just started knows nothing of its callers, and leaves them
-/// the time of four round trips of 6 ms.
+/// Guards against late answers from a new entry, which has seen no callers yet and
+/// reserves four round trips of 6 ms for them.
 #[tokio::test(start_paused = true)]
-async fn nothing_is_assumed_of_callers_that_are_not_known() {
+async fn new_entry_reserves_time_for_unknown_callers() {
     let (stage, relay) = relay().await;
-    slow_down(&stage);
-    let (reply, span) = send(&relay, Duration::ZERO).await;
+    slow_fourth_shard(&stage);
+    let (reply, elapsed) = send(&relay, Duration::ZERO).await;
     assert_eq!(missing(&reply), Some(1));
-    assert!(span + Duration::from_millis(24) <= GOAL, "{span:?}");
+    assert!(
+        elapsed + Duration::from_millis(24) <= OBJECTIVE,
+        "{elapsed:?}"
+    );
 }
 
-/// A caller whose goal has passed already gets all that there is: it is late in any
-/// case, and an answer that lacks a shard is worth less.
+/// Guards against partial answers to callers that are past the objective, where
+/// leaving out a shard can't make them on time.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_is_late_gets_a_whole_answer() {
+async fn caller_past_the_objective_gets_a_complete_answer() {
     let (stage, relay) = relay().await;
-    see_callers(&relay).await;
-    slow_down(&stage);
+    send_typical_requests(&relay).await;
+    slow_fourth_shard(&stage);
     let (reply, _) = send(&relay, Duration::from_millis(120)).await;
     assert_eq!(missing(&reply), Some(0));
 }
 
-/// A caller that connects gets its answer late, from an entry that few callers visit.
-/// The entry has seen no call with all of its time, so the longest that it has seen is
-/// less by what everybody spends. The operator's timeout is that little more: callers
-/// begin with it.
+/// Guards against late answers from an entry that has seen no caller with its whole
+/// timeout left: it takes the rule's timeout as the time with which callers begin.
 #[tokio::test(start_paused = true)]
-async fn callers_that_few_of_come_begin_with_the_timeout() {
-    let (stage, relay) = relay_with(TIME).await;
+async fn rule_timeout_is_the_starting_time_of_rare_callers() {
+    let (stage, relay) = relay_with_timeout(CALLER_TIMEOUT).await;
     let spent = Duration::from_millis(22);
     send(&relay, spent).await;
-    slow_down(&stage);
-    let (reply, span) = send(&relay, spent).await;
+    slow_fourth_shard(&stage);
+    let (reply, elapsed) = send(&relay, spent).await;
     assert_eq!(missing(&reply), Some(1));
-    assert!(spent + span + Duration::from_millis(10) <= GOAL, "{span:?}");
+    assert!(
+        spent + elapsed + Duration::from_millis(10) <= OBJECTIVE,
+        "{elapsed:?}"
+    );
 }
--- a/crates/relay/tests/leafs.rs
+++ b/crates/relay/tests/leafs.rs
@@ -1,4 +1,4 @@
-//! Which leafs are called, as their entries come, change, lapse and go.
+//! Leafs that may be called as their entries appear, change, expire and are deleted.
 
 use std::time::Duration;
 
@@ -6,8 +6,10 @@
 use chestnut_unit::{Incarnation, LeafId, ServiceName, Time};
 use rstest::rstest;
 
-const LINGER: Duration = Duration::from_millis(1200);
-const LAPSE: Duration = Duration::from_millis(2200);
+/// Time for which a draining leaf may still be called.
+const DRAIN_WAIT: Duration = Duration::from_millis(1200);
+/// Time for which a leaf without an entry may still be called.
+const EXPIRY_WAIT: Duration = Duration::from_millis(2200);
 
 fn id(name: &str) -> LeafId {
     LeafId::new(name).unwrap()
@@ -36,12 +38,11 @@
         .collect()
 }
 
-/// Callers find no leaf after an outage of the store, though all leafs live.
-/// The store dropped their entries while it was away and lists none at its
-/// return; they come back within two seconds. Until then they stay callable.
+/// Guards against having no leaf to call after an outage in which the store expired the
+/// entries of leafs that are still running.
 #[test]
-fn leafs_that_lapsed_stay_until_they_are_back() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn expired_leafs_stay_callable_until_they_return() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.listed(ready(&["a", "b"]), at(0), &mut out);
     out.clear();
     leafs.listed(Vec::new(), at(10_000), &mut out);
@@ -57,20 +58,20 @@
     assert_eq!(leafs.len(), 1);
 }
 
-/// A leaf that said that it leaves is gone with its entry, at once.
+/// Guards against calls to a draining leaf after it has deleted its entry.
 #[test]
-fn a_draining_leaf_does_not_linger() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn draining_leaf_is_gone_with_its_entry() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), entry(LeafState::Draining), at(0), &mut out);
     leafs.deleted(&id("a"), at(1), &mut out);
     assert_eq!(out, [Moved::Leaves(id("a")), Moved::Gone(id("a"))]);
     assert!(leafs.is_empty());
 }
 
-/// The wait starts anew when the store comes back: until then no entry can.
+/// Guards against dropping leafs before they could renew their entries after an outage.
 #[test]
-fn the_wait_for_lapsed_entries_counts_from_the_return() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn expiry_wait_restarts_when_the_store_returns() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.listed(ready(&["a"]), at(0), &mut out);
     leafs.deleted(&id("a"), at(1_000), &mut out);
     leafs.returned(at(3_000));
@@ -80,11 +81,10 @@
     assert_eq!(leafs.wake(), at(5_200));
 }
 
-/// A leaf warms up: its entry changes with every heartbeat, and nothing that
-/// the request path acts upon does.
+/// Guards against reporting a change on every heartbeat while a leaf warms up.
 #[test]
-fn a_leaf_that_warms_up_is_no_news() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn warmup_progress_is_not_a_change() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     let warming = |ms| LeafEntry {
         warmup: Duration::from_millis(ms),
         ..entry(LeafState::Ready)
@@ -96,13 +96,11 @@
     assert_eq!(out, []);
 }
 
-/// Callers miss a shard though its leafs serve.
-/// All leafs of a shard say that they leave, and the ones that replace them come
-/// seconds later. For a while a leaf that leaves is the last choice, and closed
-/// well before the time in which it must be left alone.
+/// Guards against an unserved shard when all of its leafs drain before their
+/// replacements start: a draining leaf stays a last resort for a while.
 #[test]
-fn a_leaf_that_leaves_is_the_last_choice_for_a_while() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn draining_leaf_is_the_last_choice_then_closed() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), entry(LeafState::Draining), at(500), &mut out);
     assert_eq!(out, [Moved::Leaves(id("a"))]);
     assert_eq!(leafs.wake(), at(1_700));
@@ -114,109 +112,111 @@
     assert_eq!(out, [Moved::Closed(id("a"))]);
 }
 
-fn of_life(life: u64) -> LeafEntry {
+/// Returns the entry of a ready leaf that reports its incarnation.
+fn with_incarnation(incarnation: u64) -> LeafEntry {
     LeafEntry {
-        life: Some(Incarnation(life)),
+        life: Some(Incarnation(incarnation)),
         ..entry(LeafState::Ready)
     }
 }
 
-/// Calls go to a process that has ended.
-/// A leaf starts again under its id; then a stale list, an event out of order or
-/// a peer that is behind shows the life before. Lives are ordered by their
-/// start, so the older entry is passed over, also after the leaf has gone.
+/// Guards against calls to an ended process when a stale list, a reordered event or a
+/// lagging peer shows an earlier incarnation, also after the leaf is gone.
 #[test]
-fn an_earlier_life_is_not_brought_back() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
-    leafs.changed(id("a"), of_life(5), at(0), &mut out);
-    leafs.changed(id("a"), of_life(9), at(10), &mut out);
-    assert_eq!(out[1], Moved::Reborn(id("a"), of_life(9)));
+fn earlier_incarnation_is_ignored() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
+    leafs.changed(id("a"), with_incarnation(5), at(0), &mut out);
+    leafs.changed(id("a"), with_incarnation(9), at(10), &mut out);
+    assert_eq!(out[1], Moved::Reborn(id("a"), with_incarnation(9)));
     out.clear();
-    leafs.listed(vec![(id("a"), of_life(5))], at(20), &mut out);
+    leafs.listed(vec![(id("a"), with_incarnation(5))], at(20), &mut out);
     assert_eq!(out, [Moved::Outdated(id("a"))]);
     leafs.deleted(&id("a"), at(30), &mut out);
-    leafs.tick(at(30) + LAPSE, &mut out);
+    leafs.tick(at(30) + EXPIRY_WAIT, &mut out);
     out.clear();
-    leafs.changed(id("a"), of_life(5), at(3_000), &mut out);
+    leafs.changed(id("a"), with_incarnation(5), at(3_000), &mut out);
     assert_eq!(out, [Moved::Outdated(id("a"))]);
     assert!(leafs.is_empty());
 }
 
-/// A leaf that said that it leaves gets no calls after it started again.
-/// Its mark belongs to the life before.
+/// Guards against a restarted leaf that gets no calls because its previous incarnation
+/// was draining.
 #[test]
-fn a_leaf_that_left_and_starts_again_takes_work() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
-    let leaves = LeafEntry {
+fn restarted_leaf_is_no_longer_draining() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
+    let draining = LeafEntry {
         state: LeafState::Draining,
-        ..of_life(5)
+        ..with_incarnation(5)
     };
-    leafs.changed(id("a"), leaves, at(0), &mut out);
-    leafs.changed(id("a"), of_life(9), at(10), &mut out);
+    leafs.changed(id("a"), draining, at(0), &mut out);
+    leafs.changed(id("a"), with_incarnation(9), at(10), &mut out);
     out.clear();
-    leafs.tick(at(10) + LINGER, &mut out);
+    leafs.tick(at(10) + DRAIN_WAIT, &mut out);
     assert_eq!(out, []);
 }
 
-/// A life that starts by leaving is both: new, and called only as the last one.
+/// Guards against losing one of the two changes when a new incarnation starts draining.
 #[test]
-fn a_new_life_that_leaves_is_told_as_both() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
-    leafs.changed(id("a"), of_life(5), at(0), &mut out);
+fn draining_incarnation_is_reported_as_restarted_and_leaving() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
+    leafs.changed(id("a"), with_incarnation(5), at(0), &mut out);
     out.clear();
-    let leaves = LeafEntry {
+    let draining = LeafEntry {
         state: LeafState::Draining,
-        ..of_life(9)
+        ..with_incarnation(9)
     };
-    leafs.changed(id("a"), leaves.clone(), at(10), &mut out);
+    leafs.changed(id("a"), draining.clone(), at(10), &mut out);
     assert_eq!(
         out,
-        [Moved::Reborn(id("a"), leaves), Moved::Leaves(id("a"))]
+        [Moved::Reborn(id("a"), draining), Moved::Leaves(id("a"))]
     );
 }
 
-/// Not every leaf says which life it is in: without that, one at the address
-/// that is known is the one that is known, and one elsewhere is not.
+/// Guards against missed or false restarts of leafs that report no incarnation, which
+/// the address tells apart.
 #[rstest]
 #[case::unknown_before(None, Some(9))]
 #[case::unknown_after(Some(5), None)]
 #[case::unknown(None, None)]
-fn a_life_that_is_not_told_is_known_by_its_address(
+fn unreported_incarnation_is_identified_by_address(
     #[case] before: Option<u64>,
     #[case] after: Option<u64>,
 ) {
-    let of = |life: Option<u64>, address: &str| LeafEntry {
-        life: life.map(Incarnation),
+    let entry_of = |incarnation: Option<u64>, address: &str| LeafEntry {
+        life: incarnation.map(Incarnation),
         address: address.parse().unwrap(),
         ..entry(LeafState::Ready)
     };
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
-    leafs.changed(id("a"), of(before, "10.1.0.1:1"), at(0), &mut out);
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
+    leafs.changed(id("a"), entry_of(before, "10.1.0.1:1"), at(0), &mut out);
     out.clear();
-    leafs.changed(id("a"), of(after, "10.1.0.1:1"), at(1), &mut out);
-    let reborn = |moved: &Moved| matches!(moved, Moved::Reborn(..));
-    assert!(!out.iter().any(reborn), "{out:?}");
-    leafs.changed(id("a"), of(after, "10.1.0.2:1"), at(2), &mut out);
-    assert!(out.iter().any(reborn), "{out:?}");
+    leafs.changed(id("a"), entry_of(after, "10.1.0.1:1"), at(1), &mut out);
+    let restarted = |moved: &Moved| matches!(moved, Moved::Reborn(..));
+    assert!(!out.iter().any(restarted), "{out:?}");
+    leafs.changed(id("a"), entry_of(after, "10.1.0.2:1"), at(2), &mut out);
+    assert!(out.iter().any(restarted), "{out:?}");
 }
 
-/// A life that did not say which it is hides no later one, and no earlier one.
+/// Guards against forgetting the latest incarnation when an entry reports none.
 #[test]
-fn the_latest_life_is_kept_while_entries_do_not_tell_it() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
-    leafs.changed(id("a"), of_life(5), at(0), &mut out);
+fn latest_incarnation_is_kept_while_entries_omit_it() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
+    leafs.changed(id("a"), with_incarnation(5), at(0), &mut out);
     leafs.changed(id("a"), entry(LeafState::Ready), at(1), &mut out);
     out.clear();
-    leafs.changed(id("a"), of_life(4), at(2), &mut out);
-    leafs.changed(id("a"), of_life(6), at(3), &mut out);
-    let expected = [Moved::Outdated(id("a")), Moved::Reborn(id("a"), of_life(6))];
+    leafs.changed(id("a"), with_incarnation(4), at(2), &mut out);
+    leafs.changed(id("a"), with_incarnation(6), at(3), &mut out);
+    let expected = [
+        Moved::Outdated(id("a")),
+        Moved::Reborn(id("a"), with_incarnation(6)),
+    ];
     assert_eq!(out, expected);
 }
 
-/// An entry that can't be read names no leaf, at once: it is no lapse.
+/// Guards against keeping a leaf with a malformed entry as if the entry had expired.
 #[test]
-fn a_malformed_entry_names_no_leaf() {
-    let (mut leafs, mut out) = (Leafs::new(LAPSE, LINGER), Vec::new());
+fn malformed_entry_removes_its_leaf_at_once() {
+    let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.listed(ready(&["a", "b"]), at(0), &mut out);
     out.clear();
     leafs.malformed(&id("a"), &mut out);
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What callers get when shards have less room than requests need.
+//! Replies to callers when shards have less capacity than requests need.
 
 mod world;
 
@@ -12,31 +12,31 @@
 use world::{Manner, Stage, ask, book, gather, missing, rule};
 
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
-/// The goal of the rules.
-const GOAL: Duration = Duration::from_millis(200);
-/// Four round trips of 6 ms: to ask where to connect, to connect, to be served.
-const CALLER_TRIP: Duration = Duration::from_millis(24);
+/// Latency objective of the rules.
+const OBJECTIVE: Duration = Duration::from_millis(200);
+/// Network delay to the caller: four round trips of 6 ms for lookup, connection and request.
+const CALLER_DELAY: Duration = Duration::from_millis(24);
 
-/// Four shards, each with leafs of five slots. The last shard has one leaf
-/// left, whose calls take `ms`; the others have room for everything.
-fn one_scarce_shard(least: u16, ms: u64) -> Stage {
+/// Four shards, of which the last has a single leaf with five slots that takes `ms`
+/// per call; the others have capacity for every request.
+fn one_limited_shard(coverage: u16, ms: u64) -> Stage {
     let stage = Stage::default();
     for shard in &SHARDS[..3] {
         stage.add_leafs(shard, 3, 10);
     }
-    let scarce = stage.add_leafs("s4", 1, ms);
-    stage.leafs.set_slots(&scarce[0], 5);
-    let target = gather(&SHARDS, least);
+    let limited = stage.add_leafs("s4", 1, ms);
+    stage.leafs.set_slots(&limited[0], 5);
+    let target = gather(&SHARDS, coverage);
     stage
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
     stage
 }
 
-/// A reply and the time that it took.
+/// A reply and its latency.
 type Timed = (Reply, Duration);
 
-/// Sends `count` requests, one each `gap`.
+/// Sends `count` requests, one every `gap`.
 async fn send(relay: &Relay, count: u32, gap: Duration) -> Vec<Timed> {
     let ids: Vec<String> = (0..count).map(|n| format!("r{n}")).collect();
     let requests = (0..count).zip(&ids).map(|(n, id)| async move {
@@ -48,89 +48,85 @@
     join_all(requests).await
 }
 
-fn refused(reply: &Reply) -> Option<Declined> {
+fn as_declined(reply: &Reply) -> Option<Declined> {
     match reply {
         Reply::Declined(declined) => Some(*declined),
         _ => None,
     }
 }
 
-/// Callers get failures that promise nothing, within a millisecond, and the
-/// leafs that have room run calls for nothing.
-/// One shard has a single leaf left, with all connections that this entry may
-/// open there in use. The first call of each further request failed, and with
-/// it the request, after the calls to all other shards had been sent. Now such
-/// a request waits for room before its first call, or is told truly that
-/// nothing ran.
+/// Guards against calls to other shards for a request that one shard has no capacity
+/// for: it is queued before its first call, or declined as not run.
 #[tokio::test(start_paused = true)]
-async fn what_lacks_room_makes_no_call() {
-    let stage = one_scarce_shard(1000, 40);
+async fn request_without_capacity_makes_no_call() {
+    let stage = one_limited_shard(1000, 40);
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    // Twice as much as the scarce leaf can do.
+    // Twice the rate that the limited leaf can serve.
     let replies = send(&relay, 250, Duration::from_millis(4)).await;
     let served = replies.iter().filter(|(reply, _)| missing(reply).is_some());
     let served = served.count();
-    for (reply, span) in &replies {
-        match refused(reply) {
+    for (reply, elapsed) in &replies {
+        match as_declined(reply) {
             Some(declined) => {
                 assert_eq!(declined.run, Run::NotRun);
                 assert!(declined.after.is_some());
-                assert!(*span <= GOAL / 2, "held for {span:?}");
+                assert!(*elapsed <= OBJECTIVE / 2, "queued for {elapsed:?}");
             }
-            None => assert!(*span <= GOAL, "late by {span:?}"),
+            None => assert!(*elapsed <= OBJECTIVE, "late by {elapsed:?}"),
         }
     }
-    assert!(served >= 110, "{served} of the 125 that the leaf can do");
+    assert!(served >= 110, "{served} of the 125 that the leaf can serve");
     let got = stage.leafs.got();
-    let elsewhere = got
+    let to_others = got
         .iter()
         .filter(|got| !got.leaf.as_str().starts_with("s4"));
-    assert_eq!(elsewhere.count(), served * 3);
+    assert_eq!(to_others.count(), served * 3);
 }
 
-/// Callers are refused after a wait that could not end well.
-/// More requests come at once than the scarce leaf can do within the time that
-/// they may wait. Those beyond are refused at once, while there is time to
-/// come back.
+/// Guards against requests that queue in vain and are declined too late for a retry:
+/// those that can't be served within the wait limit are declined at once.
 #[tokio::test(start_paused = true)]
-async fn what_would_wait_too_long_is_refused_at_once() {
-    let stage = one_scarce_shard(1000, 40);
+async fn request_beyond_the_wait_limit_is_declined_at_once() {
+    let stage = one_limited_shard(1000, 40);
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    // Enough to learn what calls take.
+    // Lets the entry learn the latency of calls.
     send(&relay, 40, Duration::from_millis(20)).await;
     let replies = send(&relay, 200, Duration::ZERO).await;
-    let at_once = replies.iter().filter(|(reply, span)| {
-        let unrun = refused(reply).is_some_and(|declined| declined.run == Run::NotRun);
-        unrun && *span < Duration::from_millis(5)
+    let at_once = replies.iter().filter(|(reply, elapsed)| {
+        let not_run = as_declined(reply).is_some_and(|declined| declined.run == Run::NotRun);
+        not_run && *elapsed < Duration::from_millis(5)
     });
     assert!(at_once.count() >= 150);
 }
 
-/// Callers get answers late, or none, though the answer may lack a shard.
-/// The scarce shard is the only one without room, and the least share can be
-/// reached without it: those that find room there get it, the others are
-/// answered without it in time to reach their callers by the goal.
+/// Guards against late or missing answers when a shard without capacity is not needed
+/// for the minimum coverage.
 #[tokio::test(start_paused = true)]
-async fn a_scarce_shard_is_left_out_where_the_answer_may_lack_it() {
-    let stage = one_scarce_shard(750, 40);
+async fn optional_shard_without_capacity_is_left_out() {
+    let stage = one_limited_shard(750, 40);
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     let replies = send(&relay, 250, Duration::from_millis(4)).await;
-    assert!(replies.iter().all(|(_, span)| *span <= GOAL - CALLER_TRIP));
-    let with = |n| replies.iter().filter(move |(r, _)| missing(r) == Some(n));
-    assert_eq!(with(0).count() + with(1).count(), 250);
-    assert!(with(0).count() >= 110, "{} whole", with(0).count());
+    assert!(
+        replies
+            .iter()
+            .all(|(_, elapsed)| *elapsed <= OBJECTIVE - CALLER_DELAY)
+    );
+    let with_missing = |n| replies.iter().filter(move |(r, _)| missing(r) == Some(n));
+    assert_eq!(with_missing(0).count() + with_missing(1).count(), 250);
+    assert!(
+        with_missing(0).count() >= 110,
+        "{} complete",
+        with_missing(0).count()
+    );
 }
 
-/// Every request over a shard fails while its leafs shed, and what the other
-/// shards did is thrown away.
-/// The budget of extra calls is used up, so a shed call could not be made
-/// again and its request was given up at once. It waits for the budget until
-/// the goal instead.
+/// Guards against failing a request at once when a shard sheds its call and the extra
+/// call budget is empty: the retry waits for budget until the objective.
 #[tokio::test(start_paused = true)]
-async fn a_shard_that_was_shed_waits_for_the_budget() {
+async fn shed_call_waits_for_the_budget() {
     let stage = Stage::default();
     for shard in SHARDS {
         stage.add_leafs(shard, 1, 10);
@@ -143,32 +139,29 @@
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     stage.leafs.set(&shedding[0], Manner::Full);
-    // Uses the budget up.
+    // Exhausts the budget.
     send(&relay, 60, Duration::from_millis(2)).await;
     let last = send(&relay, 1, Duration::ZERO);
-    let mend = async {
+    let recovery = async {
         sleep(Duration::from_millis(60)).await;
         stage.add_leafs("s4", 1, 10);
     };
-    let (replies, ()) = tokio::join!(last, mend);
+    let (replies, ()) = tokio::join!(last, recovery);
     assert_eq!(missing(&replies[0].0), Some(0));
-    assert!(replies[0].1 <= GOAL, "{:?}", replies[0].1);
+    assert!(replies[0].1 <= OBJECTIVE, "{:?}", replies[0].1);
 }
 
-/// Callers are refused although all of them could get an answer that lacks one
-/// shard of two.
-/// Each scarce shard has room for three quarters of the requests, and each
-/// request needs one of them. Those that came first waited for both, and took
-/// both; what they could do without is left to those that have none.
+/// Guards against declined requests when two shards are short of capacity, each request
+/// needs only one of them, and earlier requests take both.
 #[tokio::test(start_paused = true)]
-async fn what_others_need_is_left_to_them() {
+async fn optional_capacity_is_left_to_requests_that_need_it() {
     let stage = Stage::default();
     for shard in &SHARDS[..2] {
         stage.add_leafs(shard, 3, 10);
     }
     for shard in &SHARDS[2..] {
-        let scarce = stage.add_leafs(shard, 1, 40);
-        stage.leafs.set_slots(&scarce[0], 5);
+        let limited = stage.add_leafs(shard, 1, 40);
+        stage.leafs.set_slots(&limited[0], 5);
     }
     let target = gather(&SHARDS, 750);
     stage
@@ -176,9 +169,10 @@
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    // 167 a second, where each of the two does 125.
+    // 167 requests per second; each of the two shards serves 125.
     let replies = send(&relay, 500, Duration::from_millis(6)).await;
-    let in_time = |(reply, span): &&Timed| missing(reply).is_some() && *span <= GOAL - CALLER_TRIP;
+    let in_time =
+        |(r, elapsed): &&Timed| missing(r).is_some() && *elapsed <= OBJECTIVE - CALLER_DELAY;
     let served = replies.iter().filter(in_time).count();
     assert!(served >= 490, "{served} of 500");
 }
--- a/crates/relay/tests/world/leafs.rs
+++ b/crates/relay/tests/world/leafs.rs
@@ -1,4 +1,5 @@
-//! Leafs behind the port by which requests are forwarded.
+//! Fake leafs behind the [`Forward`] port, which can be slow, overloaded or
+//! unresponsive, or crash.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,156 +20,168 @@
     time::{Instant, sleep},
 };
 
-/// How a leaf behaves.
+/// How a leaf handles calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// It answers after a span with these bytes.
+    /// Answers with these bytes after a delay.
     Answers(Duration, Bytes),
-    /// It runs calls and never answers.
+    /// Runs calls and never answers.
     Silent,
-    /// It refuses calls before running them.
+    /// Sheds calls before it runs them.
     Full,
-    /// It runs calls and its answers are lost.
+    /// Runs calls, then loses the connection without an answer.
     Loses,
-    /// It ends after a span, and with it the calls that it runs.
+    /// Loses the connection of each call after a delay.
     LosesAfter(Duration),
-    /// It runs calls and answers with a failure of its own.
+    /// Runs calls and answers with status 500.
     Fails,
-    /// It takes calls for wrong ones and says so.
+    /// Answers with status 404.
     Rejects,
 }
 
-/// A call that a leaf got.
+/// A call that a leaf received.
 #[derive(Clone, Debug)]
 pub struct Got {
+    /// The leaf that received it.
     pub leaf: LeafId,
+    /// Address that the call was sent to.
     pub address: SocketAddr,
+    /// Id of the request.
     pub request: String,
+    /// Path and query of the request.
     pub path: String,
+    /// When it arrived.
     pub at: Instant,
+    /// Time left for the answer.
     pub left: Duration,
+    /// Connections that the entry may open to the leaf.
     pub connections: usize,
 }
 
 #[derive(Default)]
-struct World {
-    manners: BTreeMap<LeafId, Manner>,
+struct State {
+    behaviours: BTreeMap<LeafId, Manner>,
     got: Vec<Got>,
     cancelled: usize,
-    /// Calls under way, by leaf.
-    live: BTreeMap<LeafId, usize>,
-    /// Slots of leafs that run calls one after the other beyond them.
+    /// Calls in progress, by leaf.
+    in_flight: BTreeMap<LeafId, usize>,
+    /// Slots of leafs that run a limited number of calls at once.
     slots: BTreeMap<LeafId, Arc<Semaphore>>,
-    /// Paths of requests that end the leafs which run them.
+    /// Paths of requests that crash the leafs which run them.
     deadly: BTreeSet<String>,
-    /// Until when leafs that ended are away.
-    away: BTreeMap<LeafId, Instant>,
-    /// Ends of each leaf so far, told to the calls that it runs.
-    ends: BTreeMap<LeafId, watch::Sender<usize>>,
+    /// When each crashed leaf is up again.
+    down_until: BTreeMap<LeafId, Instant>,
+    /// Number of crashes of each leaf, watched by the calls that it runs.
+    crashes: BTreeMap<LeafId, watch::Sender<usize>>,
     ended: Vec<Ended>,
 }
 
-/// A leaf that ended.
+/// A crash of a leaf.
 #[derive(Clone, Debug)]
 pub struct Ended {
+    /// The leaf that crashed.
     pub leaf: LeafId,
+    /// When it crashed.
     pub at: Instant,
-    /// Whether a deadly request ended it.
+    /// Whether a deadly request crashed it.
     pub deadly: bool,
 }
 
-/// How long a leaf runs a deadly request before it ends, and how long it is away then.
-const DEADLY_AFTER: Duration = Duration::from_millis(10);
-const AWAY: Duration = Duration::from_secs(3);
+/// Time that a leaf runs a deadly request before it crashes.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// Time until a crashed leaf is up again.
+const RESTART_TIME: Duration = Duration::from_secs(3);
 
-/// Leafs behind the port by which requests are forwarded.
+/// Leafs that share one state, as a [`Forward`] port.
 #[derive(Clone, Default)]
-pub struct FakeLeafs(Arc<Mutex<World>>);
+pub struct FakeLeafs(Arc<Mutex<State>>);
 
 impl FakeLeafs {
-    pub fn set(&self, leaf: &LeafId, manner: Manner) {
-        lock(&self.0).manners.insert(leaf.clone(), manner);
+    /// Sets how a leaf handles calls.
+    pub fn set(&self, leaf: &LeafId, behaviour: Manner) {
+        lock(&self.0).behaviours.insert(leaf.clone(), behaviour);
     }
 
-    /// Has a leaf run `slots` calls at once; more wait.
+    /// Limits a leaf to `slots` calls at once; others wait.
     pub fn set_slots(&self, leaf: &LeafId, slots: usize) {
         let slots = Arc::new(Semaphore::new(slots));
         lock(&self.0).slots.insert(leaf.clone(), slots);
     }
 
-    /// Has every leaf that begins to run a request for `path` end.
+    /// Makes requests for `path` deadly: they crash the leafs that run them.
     pub fn set_deadly(&self, path: &str) {
         lock(&self.0).deadly.insert(path.to_owned());
     }
 
-    /// Has requests for `path` be as others again.
+    /// Makes requests for `path` harmless again.
     pub fn mend(&self, path: &str) {
         lock(&self.0).deadly.remove(path);
     }
 
-    /// Ends a leaf, with all calls that it runs; it is back after some seconds.
+    /// Crashes a leaf with all calls that it runs; it is up again after some seconds.
     pub fn end(&self, leaf: &LeafId) {
-        self.end_by(leaf, false);
+        self.crash(leaf, false);
     }
 
-    fn end_by(&self, leaf: &LeafId, deadly: bool) {
-        let mut world = lock(&self.0);
+    fn crash(&self, leaf: &LeafId, deadly: bool) {
+        let mut state = lock(&self.0);
         let at = Instant::now();
-        if world.is_away(leaf) {
+        if state.is_down(leaf) {
             return;
         }
-        world.away.insert(leaf.clone(), at + AWAY);
-        world.ended.push(Ended {
+        state.down_until.insert(leaf.clone(), at + RESTART_TIME);
+        state.ended.push(Ended {
             leaf: leaf.clone(),
             at,
             deadly,
         });
-        if let Some(ends) = world.ends.get(leaf) {
-            ends.send_modify(|ends| *ends += 1);
+        if let Some(crashes) = state.crashes.get(leaf) {
+            crashes.send_modify(|crashes| *crashes += 1);
         }
     }
 
-    /// Leafs that ended so far.
+    /// Returns the crashes so far.
     pub fn ended(&self) -> Vec<Ended> {
         lock(&self.0).ended.clone()
     }
 
+    /// Returns the calls that leafs received so far.
     pub fn got(&self) -> Vec<Got> {
         lock(&self.0).got.clone()
     }
 
-    /// Calls that were given up before they ended.
+    /// Returns the number of calls that were cancelled before they completed.
     pub fn cancelled(&self) -> usize {
         lock(&self.0).cancelled
     }
 }
 
-impl World {
-    fn is_away(&self, leaf: &LeafId) -> bool {
-        let until = self.away.get(leaf);
+impl State {
+    fn is_down(&self, leaf: &LeafId) -> bool {
+        let until = self.down_until.get(leaf);
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// The ends of a leaf, for a call that it runs.
-    fn ends(&mut self, leaf: &LeafId) -> watch::Receiver<usize> {
-        let ends = self.ends.entry(leaf.clone());
-        ends.or_insert_with(|| watch::Sender::new(0)).subscribe()
+    /// Subscribes a call to the crashes of its leaf.
+    fn watch_crashes(&mut self, leaf: &LeafId) -> watch::Receiver<usize> {
+        let crashes = self.crashes.entry(leaf.clone());
+        crashes.or_insert_with(|| watch::Sender::new(0)).subscribe()
     }
 }
 
-/// A call under way.
-struct Under {
+/// Counts a call as in progress until dropped.
+struct InFlight {
     leafs: FakeLeafs,
     leaf: LeafId,
-    ended: bool,
+    completed: bool,
 }
 
-impl Drop for Under {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        let mut world = lock(&self.leafs.0);
-        world.cancelled += usize::from(!self.ended);
-        if let Some(live) = world.live.get_mut(&self.leaf) {
-            *live -= 1;
+        let mut state = lock(&self.leafs.0);
+        state.cancelled += usize::from(!self.completed);
+        if let Some(in_flight) = state.in_flight.get_mut(&self.leaf) {
+            *in_flight -= 1;
         }
     }
 }
@@ -186,17 +199,17 @@
     fn call(&self, call: LeafCall) -> BoxFuture<'static, Result<LeafReply, LeafFailure>> {
         let this = self.clone();
         async move {
-            let (manner, slots, mut ends, deadly) = {
-                let mut world = lock(&this.0);
-                if world.is_away(&call.leaf) {
+            let (behaviour, slots, mut crashes, deadly) = {
+                let mut state = lock(&this.0);
+                if state.is_down(&call.leaf) {
                     return Err(LeafFailure::Unsent);
                 }
-                let live = world.live.entry(call.leaf.clone()).or_default();
-                if *live >= call.connections {
+                let in_flight = state.in_flight.entry(call.leaf.clone()).or_default();
+                if *in_flight >= call.connections {
                     return Err(LeafFailure::Refused(Refusal::Connections));
                 }
-                *live += 1;
-                world.got.push(Got {
+                *in_flight += 1;
+                state.got.push(Got {
                     leaf: call.leaf.clone(),
                     address: call.address,
                     request: call.message.id.clone(),
@@ -205,26 +218,26 @@
                     left: call.left,
                     connections: call.connections,
                 });
-                let manner = world.manners.get(&call.leaf).cloned();
-                let slots = world.slots.get(&call.leaf).cloned();
-                let deadly = world.deadly.contains(call.message.target.as_str());
-                (manner, slots, world.ends(&call.leaf), deadly)
+                let behaviour = state.behaviours.get(&call.leaf).cloned();
+                let slots = state.slots.get(&call.leaf).cloned();
+                let deadly = state.deadly.contains(call.message.target.as_str());
+                (behaviour, slots, state.watch_crashes(&call.leaf), deadly)
             };
             if deadly {
                 let (leafs, leaf) = (this.clone(), call.leaf.clone());
-                // Also if the call is given up.
+                // The leaf crashes even if the call is cancelled.
                 tokio::spawn(async move {
-                    sleep(DEADLY_AFTER).await;
-                    leafs.end_by(&leaf, true);
+                    sleep(CRASH_DELAY).await;
+                    leafs.crash(&leaf, true);
                 });
             }
-            let mut under = Under {
+            let mut in_flight = InFlight {
                 leafs: this,
                 leaf: call.leaf.clone(),
-                ended: false,
+                completed: false,
             };
             let answer = async {
-                match manner {
+                match behaviour {
                     Some(Manner::Answers(span, body)) => {
                         let _slot = match &slots {
                             Some(slots) => slots.acquire().await.ok(),
@@ -257,19 +270,19 @@
             };
             let result = tokio::select! {
                 biased;
-                _ = ends.changed() => Err(LeafFailure::Lost),
+                _ = crashes.changed() => Err(LeafFailure::Lost),
                 answer = answer, if !deadly => answer,
             };
-            under.ended = true;
+            in_flight.completed = true;
             result
         }
         .boxed()
     }
 
     fn listening(&self, leaf: &LeafId, _: SocketAddr) -> BoxFuture<'static, Listening> {
-        let away = lock(&self.0).is_away(leaf);
+        let down = lock(&self.0).is_down(leaf);
         async move {
-            match away {
+            match down {
                 true => Listening::No,
                 false => Listening::Yes,
             }
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins at the ports of a relay: a store that can fall silent, leafs that
-//! can be slow, silent or full, and probes between entries. All in virtual time.
+//! Fakes behind the ports of a relay: a store and leafs with injected faults, and the
+//! gossip and feeds between entries. All of them run in virtual time.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod leafs;
@@ -30,30 +30,35 @@
 use tokio::time::sleep;
 
 const DOMAINS: [&str; 3] = ["dub-a", "dub-b", "kdr-c"];
+/// Host name that the rules match.
 pub const HOST: &str = "league.example";
 
-/// Leafs that a request may end before the bound on its tries holds.
+/// Leafs that a request may crash before the limit on its probe calls holds.
 pub const ENDED: usize = 3;
-/// Time in which entries that are in touch know what they must.
+/// Time in which connected entries exchange what they need to enforce that limit.
 pub const CONTACT: Duration = Duration::from_secs(4);
-/// Tries that may reach leafs after that.
+/// Probe calls that may reach leafs after that.
 pub const TRIES: usize = 3;
 
 /// Everything that the entries of one test share.
 #[derive(Clone, Default)]
 pub struct Stage {
+    /// The store of books, leafs and adverts.
     pub store: FakeStore,
+    /// Leafs that requests are forwarded to.
     pub leafs: FakeLeafs,
+    /// The gossip network.
     pub net: FakeNet,
+    /// The feeds between entries.
     pub feeds: FakeFeeds,
-    /// Failure domains among which entries are spread; one if none is said.
+    /// Number of failure domains that entries are placed in; 0 counts as 1.
     pub domains: u16,
-    /// Entries that the others ask at their start.
+    /// Numbers of the entries that others contact at their start.
     pub seeds: Vec<u16>,
 }
 
 impl Stage {
-    /// Starts entry number `n`. The settings are those of a small deployment.
+    /// Starts entry number `n` with the settings of a small deployment.
     pub async fn spawn(&self, n: u16) -> Relay {
         let domain = DOMAINS[usize::from(n % self.domains.max(1))];
         let seeds: Vec<String> = self
@@ -73,18 +78,18 @@
         let log = Logger::root(Discard, o!());
         let host = Host::new(log, Trace::None, Clock::start(), u64::from(n));
         let own = settings.listen.peers;
-        let feeds = self.feeds.reached_by(own);
+        let feeds = self.feeds.handle_for(own);
         let ports = RelayPorts {
-            book: Arc::new(self.store.reached_by(n, &self.feeds.1)),
-            leafs: Arc::new(self.store.reached_by(n, &self.feeds.1)),
-            evacuations: Arc::new(self.store.reached_by(n, &self.feeds.1)),
+            book: Arc::new(self.store.handle_for(n, &self.feeds.1)),
+            leafs: Arc::new(self.store.handle_for(n, &self.feeds.1)),
+            evacuations: Arc::new(self.store.handle_for(n, &self.feeds.1)),
             peers: Box::new(move |service| {
                 lock(&feeds.0).insert(own, service);
                 async move { Ok(Arc::new(feeds) as Arc<dyn FeedPeers>) }.boxed()
             }),
-            adverts: Arc::new(self.store.reached_by(n, &self.feeds.1)),
-            records: Arc::new(self.store.reached_by(n, &self.feeds.1)),
-            leases: Arc::new(self.store.reached_by(n, &self.feeds.1)),
+            adverts: Arc::new(self.store.handle_for(n, &self.feeds.1)),
+            records: Arc::new(self.store.handle_for(n, &self.feeds.1)),
+            leases: Arc::new(self.store.handle_for(n, &self.feeds.1)),
             forward: Arc::new(self.leafs.clone()),
             probes: Arc::new(probes),
             traffic: Arc::default(),
@@ -92,7 +97,7 @@
         Relay::spawn(settings, host, ports).await.unwrap()
     }
 
-    /// Starts an entry and waits until it serves.
+    /// Starts entry number `n` and waits until it serves.
     pub async fn serving(&self, n: u16) -> Relay {
         let relay = self.spawn(n).await;
         let mut phases = relay.phases();
@@ -103,18 +108,18 @@
         relay
     }
 
-    /// Starts entries up to number `count`, and waits until they know each other.
+    /// Starts entries 1 to `count` and waits until they know each other.
     pub async fn serving_all(&self, count: u16) -> Vec<Relay> {
-        const KNOWN: Duration = Duration::from_secs(8);
+        const MEMBERSHIP_SETTLE: Duration = Duration::from_secs(8);
         let mut relays = Vec::new();
         for n in 1..=count {
             relays.push(self.serving(n).await);
         }
-        sleep(KNOWN).await;
+        sleep(MEMBERSHIP_SETTLE).await;
         relays
     }
 
-    /// Adds `count` leafs of a service that answer after `ms`.
+    /// Adds `count` leafs of a service that answer after `ms` milliseconds.
     pub fn add_leafs(&self, service: &str, count: usize, ms: u64) -> Vec<LeafId> {
         let ids: Vec<LeafId> = (0..count)
             .map(|n| LeafId::new(format!("{service}-{n}")).unwrap())
@@ -128,18 +133,19 @@
     }
 }
 
-/// Where entry number `n` listens for peers.
+/// Returns the address at which entry number `n` listens for peers.
 pub fn peers_address(n: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8], 4))
 }
 
-/// One record that names a service.
+/// Returns an answer of one record, which holds the service's name.
 pub fn record(service: &str) -> Bytes {
     let mut bytes = service.as_bytes().to_vec();
     bytes.resize(chestnut_book::RECORD, b' ');
     bytes.into()
 }
 
+/// Returns the store entry of a leaf of `service`.
 pub fn entry(service: &str, state: LeafState) -> LeafEntry {
     LeafEntry {
         service: name(service),
@@ -152,10 +158,12 @@
     }
 }
 
+/// Parses a service name.
 pub fn name(service: &str) -> ServiceName {
     ServiceName::new(service).unwrap()
 }
 
+/// Returns a rule that sends requests under `prefix` to `target`.
 pub fn rule(prefix: &str, kind: Kind, target: Target) -> Rule {
     Rule {
         name: format!("rule {prefix}"),
@@ -170,6 +178,7 @@
     }
 }
 
+/// Returns a target that queries `shards` and needs `least` permille of them.
 pub fn gather(shards: &[&str], least: u16) -> Target {
     Target::Gather {
         shards: shards.iter().map(|shard| name(shard)).collect(),
@@ -178,11 +187,12 @@
     }
 }
 
+/// Builds a route book without limits for cold leafs.
 pub fn book(version: u64, rules: Vec<Rule>) -> RouteBook {
     book_of(version, rules, None)
 }
 
-/// A book whose services say what their cold leafs take.
+/// Builds a route book whose services limit their cold leafs by `cold`.
 pub fn book_of(version: u64, rules: Vec<Rule>, cold: Option<ColdRule>) -> RouteBook {
     let services: Vec<ServiceName> = rules
         .iter()
@@ -201,6 +211,7 @@
     RouteBook::build(BookVersion(version), rules, services, limits).unwrap()
 }
 
+/// Returns a request for `path` with two seconds left.
 pub fn ask(id: &str, path: &'static str) -> Ask {
     let message = Message {
         id: id.to_owned(),
@@ -216,7 +227,7 @@
     }
 }
 
-/// Shards that are missing from a merged reply; `None` if it is none.
+/// Returns the number of shards missing from a merged reply, `None` for other replies.
 pub fn missing(reply: &Reply) -> Option<usize> {
     match reply {
         Reply::Merged { missing, .. } => Some(*missing),
--- a/crates/relay/tests/world/net.rs
+++ b/crates/relay/tests/world/net.rs
@@ -1,4 +1,4 @@
-//! Probes and feeds between entries.
+//! Fake gossip network and feeds between entries, over links of limited bandwidth.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,35 +25,39 @@
 
 use super::store::LeafItem;
 
-type Mail = (Probe, SocketAddr);
+/// A probe and its sender.
+type Datagram = (Probe, SocketAddr);
 
-/// A network for probes.
+/// A network that carries probes between entries.
 #[derive(Clone, Default)]
 pub struct FakeNet(
-    Arc<Mutex<BTreeMap<SocketAddr, mpsc::UnboundedSender<Mail>>>>,
-    Parted,
+    /// Inboxes of the entries.
+    Arc<Mutex<BTreeMap<SocketAddr, mpsc::UnboundedSender<Datagram>>>>,
+    Isolated,
 );
 
-/// Entries whose probes reach nobody, nor any of them.
-type Parted = Arc<Mutex<BTreeSet<SocketAddr>>>;
+/// Entries that can neither send nor receive probes.
+type Isolated = Arc<Mutex<BTreeSet<SocketAddr>>>;
 
+/// The [`Probes`] port of one entry.
 pub struct FakeProbes {
     net: FakeNet,
     own: SocketAddr,
-    inbox: tokio::sync::Mutex<mpsc::UnboundedReceiver<Mail>>,
+    inbox: tokio::sync::Mutex<mpsc::UnboundedReceiver<Datagram>>,
 }
 
 impl FakeNet {
-    /// Takes an entry off the network.
+    /// Removes an entry from the network.
     pub fn cut(&self, own: SocketAddr) {
         lock(&self.0).remove(&own);
     }
 
-    /// Parts entries from all others.
+    /// Isolates these entries, and no others, from all entries.
     pub fn part(&self, entries: &[SocketAddr]) {
         *lock(&self.1) = entries.iter().copied().collect();
     }
 
+    /// Adds an entry to the network and returns its port.
     pub fn join(&self, own: SocketAddr) -> FakeProbes {
         let (sender, inbox) = mpsc::unbounded_channel();
         lock(&self.0).insert(own, sender);
@@ -67,11 +71,11 @@
 
 impl Probes for FakeProbes {
     fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
-        let parted = {
-            let parted = lock(&self.net.1);
-            parted.contains(&to) || parted.contains(&self.own)
+        let isolated = {
+            let isolated = lock(&self.net.1);
+            isolated.contains(&to) || isolated.contains(&self.own)
         };
-        if let Some(inbox) = lock(&self.net.0).get(&to).filter(|_| !parted) {
+        if let Some(inbox) = lock(&self.net.0).get(&to).filter(|_| !isolated) {
             let _ = inbox.send((probe, self.own));
         }
         async {}.boxed()
@@ -80,7 +84,7 @@
     fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
         async move {
             match self.inbox.lock().await.recv().await {
-                Some(mail) => mail,
+                Some(datagram) => datagram,
                 None => futures::future::pending().await,
             }
         }
@@ -92,64 +96,65 @@
     }
 }
 
-/// Links of limited rate: what goes over one waits for what was sent before it,
-/// whether or not anybody still wants that.
+/// Links of limited bandwidth. Bytes queue behind all that were sent before, including
+/// those of cancelled calls.
 #[derive(Clone, Default)]
 pub struct Links(Arc<Mutex<LinkTable>>);
 
 #[derive(Default)]
 struct LinkTable {
-    /// Bytes a second of each entry's link, either way; none limits nothing.
+    /// Bytes per second of each entry's link in each direction; unlimited if absent.
     rates: BTreeMap<SocketAddr, u32>,
-    free: BTreeMap<(SocketAddr, Way), Instant>,
-    /// When bytes flow, by where from and to.
-    flows: BTreeMap<(SocketAddr, SocketAddr), Vec<Flow>>,
-    /// Bytes carried between entries.
+    /// When the queue of each direction of a link is empty.
+    free_at: BTreeMap<(SocketAddr, Direction), Instant>,
+    /// Transfers, by sender and receiver.
+    transfers: BTreeMap<(SocketAddr, SocketAddr), Vec<Transfer>>,
+    /// Total bytes sent between entries.
     carried: usize,
 }
 
-/// First and last moment at which bytes of one answer flow.
-type Flow = (Instant, Instant);
+/// Start and end of the transfer of one answer.
+type Transfer = (Instant, Instant);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Way {
+enum Direction {
     Out,
     In,
 }
 
-/// What the adapters wait for an answer, and for more of it.
-const WAIT: Duration = Duration::from_millis(400);
+/// Time after which an adapter gives up if no bytes of an answer arrive.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Links {
-    /// Limits the link of an entry, in bytes a second.
+    /// Limits the link of an entry to `rate` bytes per second.
     pub fn limit(&self, entry: SocketAddr, rate: u32) {
         lock(&self.0).rates.insert(entry, rate);
     }
 
-    /// Bytes carried between entries so far.
+    /// Returns the total bytes sent between entries.
     pub fn carried(&self) -> usize {
         lock(&self.0).carried
     }
 
-    /// Carries `bytes` from the store, which is waited for longer than peers.
-    pub async fn carry_from_store(&self, to: SocketAddr, bytes: usize) {
+    /// Transfers `bytes` from the store, without the timeout that applies to peers.
+    pub async fn transfer_from_store(&self, to: SocketAddr, bytes: usize) {
         let arrived = lock(&self.0).send(None, to, bytes);
         sleep_until(arrived).await;
     }
 
-    /// Carries `bytes` between entries. Tells whether they arrive before the adapter
-    /// gives up, which it does once nothing has come from there for a while.
-    pub async fn carry(&self, from: SocketAddr, to: SocketAddr, bytes: usize) -> bool {
+    /// Transfers `bytes` between entries. Returns whether they arrive before the adapter
+    /// gives up because no bytes came from the sender for [`IDLE_TIMEOUT`].
+    pub async fn transfer(&self, from: SocketAddr, to: SocketAddr, bytes: usize) -> bool {
         let asked = Instant::now();
         let arrived = lock(&self.0).send(Some(from), to, bytes);
-        let mut end = asked + WAIT;
+        let mut end = asked + IDLE_TIMEOUT;
         while end < arrived {
             sleep_until(end).await;
-            let heard = lock(&self.0).heard(from, to, end);
-            if heard + WAIT <= end {
+            let last_arrival = lock(&self.0).last_arrival(from, to, end);
+            if last_arrival + IDLE_TIMEOUT <= end {
                 return false;
             }
-            end = heard + WAIT;
+            end = last_arrival + IDLE_TIMEOUT;
         }
         sleep_until(arrived).await;
         true
@@ -157,75 +162,81 @@
 }
 
 impl LinkTable {
-    /// Puts bytes into the queues of both links; a slow receiver keeps the sender from
-    /// nobody else. Returns when they have passed both.
+    /// Queues bytes on both links and returns when they have passed both. A slow receiver
+    /// doesn't delay the sender's other transfers.
     fn send(&mut self, from: Option<SocketAddr>, to: SocketAddr, bytes: usize) -> Instant {
         let now = Instant::now();
-        let ends = [from.map(|from| (from, Way::Out)), Some((to, Way::In))];
+        let ends = [
+            from.map(|from| (from, Direction::Out)),
+            Some((to, Direction::In)),
+        ];
         let (mut begins, mut arrived) = (now, now);
         for end in ends.into_iter().flatten() {
             let Some(rate) = self.rates.get(&end.0) else {
                 continue;
             };
-            let first = self.free.get(&end).copied().unwrap_or(now).max(now);
+            let first = self.free_at.get(&end).copied().unwrap_or(now).max(now);
             let last = first + Duration::from_secs_f64(bytes as f64 / f64::from(*rate));
-            self.free.insert(end, last);
+            self.free_at.insert(end, last);
             begins = begins.max(first);
             arrived = arrived.max(last);
         }
         if let Some(from) = from {
-            let flows = self.flows.entry((from, to)).or_default();
-            flows.retain(|(_, end)| *end + WAIT > now);
-            flows.push((begins, arrived));
+            let transfers = self.transfers.entry((from, to)).or_default();
+            transfers.retain(|(_, end)| *end + IDLE_TIMEOUT > now);
+            transfers.push((begins, arrived));
             self.carried += bytes;
         }
         arrived
     }
 
-    /// When bytes flowed last, up to `now`.
-    fn heard(&self, from: SocketAddr, to: SocketAddr, now: Instant) -> Instant {
-        let flows = self.flows.get(&(from, to)).into_iter().flatten();
-        let begun = flows.filter(|(begins, _)| *begins <= now);
-        let heard = begun.map(|(_, end)| (*end).min(now)).max();
-        heard.unwrap_or(now - WAIT)
+    /// Returns when bytes last arrived, up to `now`.
+    fn last_arrival(&self, from: SocketAddr, to: SocketAddr, now: Instant) -> Instant {
+        let transfers = self.transfers.get(&(from, to)).into_iter().flatten();
+        let started = transfers.filter(|(begins, _)| *begins <= now);
+        let last_arrival = started.map(|(_, end)| (*end).min(now)).max();
+        last_arrival.unwrap_or(now - IDLE_TIMEOUT)
     }
 }
 
-/// Bytes of an answer beside its objects.
-pub const FRAME: usize = 64;
+/// Bytes of an answer in addition to its objects.
+pub const ANSWER_OVERHEAD: usize = 64;
 
-fn weight(raw: &RawBatch) -> usize {
+/// Returns the size of an answer in bytes.
+fn encoded_size(raw: &RawBatch) -> usize {
     let size = |item: &Item<bytes::Bytes>| match &item.content {
         Content::Is(value) => value.len(),
         Content::Deleted | Content::Malformed => 0,
     };
-    FRAME + raw.items.iter().map(size).sum::<usize>()
+    ANSWER_OVERHEAD + raw.items.iter().map(size).sum::<usize>()
 }
 
-/// Feeds between entries: calls go to the other's service, answers over both links.
+/// Feeds between entries. Calls run on the peer's service; answers pass over both links.
 #[derive(Clone, Default)]
 pub struct FakeFeeds(
+    /// The service of each entry.
     pub Arc<Mutex<BTreeMap<SocketAddr, Arc<dyn FeedService>>>>,
+    /// The links that answers pass over.
     pub Links,
     /// The entry that calls through this handle.
     Option<SocketAddr>,
-    /// Entries of an earlier version, which pass on no evacuations.
+    /// Entries of an earlier version, which have no feed of evacuations.
     Arc<Mutex<BTreeSet<SocketAddr>>>,
 );
 
 impl FakeFeeds {
-    /// Has an entry be of an earlier version, which passes on no evacuations.
+    /// Marks an entry as of an earlier version, which has no feed of evacuations.
     pub fn set_earlier(&self, entry: SocketAddr) {
         lock(&self.3).insert(entry);
     }
 
-    /// Has an entry answer nobody any more.
+    /// Makes an entry answer no further calls.
     pub fn cut(&self, entry: SocketAddr) {
         lock(&self.0).remove(&entry);
     }
 
-    /// The feeds as the entry at `own` reaches them.
-    pub fn reached_by(&self, own: SocketAddr) -> Self {
+    /// Returns a handle through which the entry at `own` calls.
+    pub fn handle_for(&self, own: SocketAddr) -> Self {
         Self(self.0.clone(), self.1.clone(), Some(own), self.3.clone())
     }
 }
@@ -235,7 +246,7 @@
         async move {
             let service = self.service(to).await?;
             let (store, book) = (service.pulse(), service.version());
-            self.carry(to, FRAME).await?;
+            self.transfer(to, ANSWER_OVERHEAD).await?;
             Ok(PeerPulse { store, book })
         }
         .boxed()
@@ -244,7 +255,7 @@
     fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>> {
         async move {
             let raw = self.service(to).await?.book(have)?;
-            self.carry(to, FRAME + raw.delta.len()).await?;
+            self.transfer(to, ANSWER_OVERHEAD + raw.delta.len()).await?;
             Ok(raw)
         }
         .boxed()
@@ -267,24 +278,25 @@
         match service {
             Some(service) => Ok(service),
             None => {
-                sleep(WAIT).await;
+                sleep(IDLE_TIMEOUT).await;
                 Err(FeedError::Unavailable("no answer".to_owned()))
             }
         }
     }
 
-    /// Carries the bytes of an answer to the caller.
-    async fn carry(&self, from: SocketAddr, bytes: usize) -> Result<(), FeedError> {
+    /// Transfers the bytes of an answer to the caller.
+    async fn transfer(&self, from: SocketAddr, bytes: usize) -> Result<(), FeedError> {
         let Some(own) = self.2 else {
             return Ok(());
         };
-        match self.1.carry(from, own, bytes).await {
+        match self.1.transfer(from, own, bytes).await {
             true => Ok(()),
             false => Err(FeedError::Unavailable("no answer".to_owned())),
         }
     }
 }
 
+/// One feed of the entry at an address, by its name.
 struct FakePeerFeed(FakeFeeds, SocketAddr, &'static str);
 
 impl FakePeerFeed {
@@ -292,14 +304,14 @@
         self.0.service(self.1).await
     }
 
-    async fn carry(&self, raw: &RawBatch) -> Result<(), FeedError> {
-        self.0.carry(self.1, weight(raw)).await
+    async fn transfer(&self, raw: &RawBatch) -> Result<(), FeedError> {
+        self.0.transfer(self.1, encoded_size(raw)).await
     }
 }
 
 impl FakePeerFeed {
-    /// Waits until another life of the entry answers at its address: that
-    /// resets connections to the life before.
+    /// Waits until a new incarnation of the entry serves at its address, which resets
+    /// connections to the previous one.
     async fn replaced(&self, service: &Arc<dyn FeedService>) {
         loop {
             sleep(Duration::from_millis(100)).await;
@@ -311,8 +323,8 @@
     }
 }
 
-/// What the adapter makes of an error: what has no word of its own is a lost store.
-fn told(error: FeedError) -> FeedError {
+/// Maps errors as the adapter does: those without a code on the wire become `Lost`.
+fn adapter_error(error: FeedError) -> FeedError {
     match error {
         FeedError::HistoryGone | FeedError::Elsewhere(_) => error,
         _ => FeedError::Lost,
@@ -335,8 +347,8 @@
 impl<T: DeserializeOwned + Send + Sync> Feed<T> for FakePeerFeed {
     fn list(&self, _: Freshness) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         async move {
-            let raw = self.service().await?.all(self.2).map_err(told)?;
-            self.carry(&raw).await?;
+            let raw = self.service().await?.all(self.2).map_err(adapter_error)?;
+            self.transfer(&raw).await?;
             Ok(parse(raw))
         }
         .boxed()
@@ -346,7 +358,7 @@
         async move {
             let revision = self.service().await?.pulse()?;
             let items = Vec::new();
-            self.carry(&Batch { items, revision }).await?;
+            self.transfer(&Batch { items, revision }).await?;
             Ok(revision)
         }
         .boxed()
@@ -356,16 +368,16 @@
         async move {
             let service = self.service().await?;
             let raw = tokio::select! {
-                raw = service.follow(self.2.to_owned(), after, wait) => raw.map_err(told)?,
+                raw = service.follow(self.2.to_owned(), after, wait) => raw.map_err(adapter_error)?,
                 () = self.replaced(&service) => {
                     return Err(FeedError::Unavailable("reset".to_owned()));
                 }
             };
             if !lock(&self.0.0).contains_key(&self.1) {
-                // Cut meanwhile: the answer never comes.
+                // The entry was cut off during the call: no answer arrives.
                 return futures::future::pending().await;
             }
-            self.carry(&raw).await?;
+            self.transfer(&raw).await?;
             Ok(parse(raw))
         }
         .boxed()
@@ -374,7 +386,7 @@
     fn check(&self, after: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         async move {
             let watch = self.watch(after, Duration::from_millis(1));
-            let answer = timeout(WAIT, watch).await;
+            let answer = timeout(IDLE_TIMEOUT, watch).await;
             answer.unwrap_or_else(|_| Err(FeedError::Unavailable("no answer".to_owned())))
         }
         .boxed()
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! A store with a book, leafs and adverts, that can fall silent.
+//! Fake store with injected faults: unresponsiveness, lost_watches watches and rejected entries.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,50 +21,52 @@
 };
 
 use super::{
-    net::{FRAME, Links},
+    net::{ANSWER_OVERHEAD, Links},
     peers_address,
 };
 
-/// What the adapter waits for the answer to a check.
+/// Timeout of the adapter for a check.
 const CHECK_WAIT: Duration = Duration::from_millis(600);
 
-/// Whether the store answers.
+/// Whether the store responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answers {
+    /// It answers every call.
     Yes,
-    /// Calls, and the answers of watches under way, vanish.
+    /// Calls and watches in progress get no answer.
     Never,
 }
 
+/// What the store holds, and its faults.
 #[derive(Default)]
-struct Stored {
+struct State {
     revision: u64,
     book: Option<(u64, RouteBook)>,
     leafs: BTreeMap<LeafId, (u64, LeafEntry)>,
-    gone: Vec<(u64, LeafId)>,
-    /// Entries that another writer made unreadable.
+    deleted: Vec<(u64, LeafId)>,
+    /// Leafs whose entries another writer has overwritten with malformed ones.
     malformed: BTreeMap<LeafId, u64>,
-    /// Evacuated domains, and when each was last evacuated or came back.
+    /// Whether each failure domain is evacuated, and the revision of its last change.
     evacuated: BTreeMap<DomainName, (u64, bool)>,
     adverts: BTreeMap<MemberId, Advert>,
     records: BTreeMap<Fingerprint, Record>,
     leases: BTreeMap<LeaseId, LeaseRecord>,
-    silent: bool,
-    /// Raised by each silence; a watch from before it never answers.
-    silences: u64,
-    /// Watches to come whose answers vanish.
-    lost: usize,
+    unresponsive: bool,
+    /// Changes of responsiveness so far; a watch from before the last is never answered.
+    outages: u64,
+    /// Number of further watches that get no answer.
+    lost_watches: usize,
     calls: u64,
-    /// Entries that are turned away.
-    barred: BTreeSet<u16>,
-    /// Entries whose calls vanish.
-    parted: BTreeSet<u16>,
+    /// Entries whose calls fail at once.
+    rejected: BTreeSet<u16>,
+    /// Entries whose calls get no answer.
+    isolated: BTreeSet<u16>,
 }
 
-/// A store with a book, leafs and adverts.
+/// A handle to the store, through which one entry calls.
 #[derive(Clone, Default)]
 pub struct FakeStore {
-    stored: Arc<Mutex<Stored>>,
+    stored: Arc<Mutex<State>>,
     changed: Arc<Notify>,
     /// The entry that calls through this handle.
     caller: u16,
@@ -72,6 +74,7 @@
 }
 
 impl FakeStore {
+    /// Writes the route book.
     pub fn put_book(&self, book: RouteBook) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
@@ -79,6 +82,7 @@
         self.changed.notify_waiters();
     }
 
+    /// Writes the entry of a leaf.
     pub fn put_leaf(&self, id: &LeafId, entry: LeafEntry) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
@@ -88,7 +92,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Has another writer overwrite an entry with something that can't be read.
+    /// Overwrites the entry of a leaf with a malformed one.
     pub fn spoil_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
@@ -98,21 +102,22 @@
         self.changed.notify_waiters();
     }
 
+    /// Deletes the entry of a leaf.
     pub fn drop_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
         stored.leafs.remove(id);
-        stored.gone.push((revision, id.clone()));
+        stored.deleted.push((revision, id.clone()));
         self.changed.notify_waiters();
     }
 
-    /// Has the operator evacuate a failure domain.
+    /// Evacuates a failure domain, as an operator does.
     pub fn evacuate(&self, domain: &str) {
         self.set_evacuated(domain, true);
     }
 
-    /// Has the operator take that back.
+    /// Ends the evacuation of a failure domain.
     pub fn refill(&self, domain: &str) {
         self.set_evacuated(domain, false);
     }
@@ -126,123 +131,127 @@
         self.changed.notify_waiters();
     }
 
+    /// Sets whether the store responds; watches in progress are never answered.
     pub fn answers(&self, answers: Answers) {
         let mut stored = lock(&self.stored);
-        stored.silent = answers == Answers::Never;
-        stored.silences += 1;
+        stored.unresponsive = answers == Answers::Never;
+        stored.outages += 1;
         self.changed.notify_waiters();
     }
 
-    /// Has the answers of the next watches vanish, though the store is there.
+    /// Drops the answers of the next `count` watches while the store responds to all else.
     pub fn lose_watches(&self, count: usize) {
-        lock(&self.stored).lost = count;
+        lock(&self.stored).lost_watches = count;
     }
 
-    /// The store as entry number `n` reaches it.
-    pub fn reached_by(&self, n: u16, links: &Links) -> Self {
+    /// Returns a handle through which entry number `n` calls.
+    pub fn handle_for(&self, n: u16, links: &Links) -> Self {
         let mut store = self.clone();
         store.caller = n;
         store.links = links.clone();
         store
     }
 
-    /// Brings the objects of an answer over the caller's link.
-    async fn carry<T: Serialize>(&self, batch: Batch<T>) -> Batch<T> {
+    /// Transfers the objects of an answer over the caller's link.
+    async fn transfer<T: Serialize>(&self, batch: Batch<T>) -> Batch<T> {
         let size = |item: &Item<T>| match &item.content {
             Content::Is(value) => serde_json::to_vec(value).unwrap().len(),
             Content::Deleted | Content::Malformed => 0,
         };
-        let bytes = FRAME + batch.items.iter().map(size).sum::<usize>();
+        let bytes = ANSWER_OVERHEAD + batch.items.iter().map(size).sum::<usize>();
         let to = peers_address(self.caller);
-        self.links.carry_from_store(to, bytes).await;
+        self.links.transfer_from_store(to, bytes).await;
         batch
     }
 
-    /// Turns some entries away, and no others.
+    /// Rejects the calls of these entries, and of no others.
     pub fn bar(&self, entries: BTreeSet<u16>) {
-        lock(&self.stored).barred = entries;
+        lock(&self.stored).rejected = entries;
         self.changed.notify_waiters();
     }
 
-    /// Cuts some entries off, and no others: their calls vanish.
+    /// Isolates these entries, and no others, from the store: their calls get no answer.
     pub fn part(&self, entries: BTreeSet<u16>) {
-        lock(&self.stored).parted = entries;
+        lock(&self.stored).isolated = entries;
         self.changed.notify_waiters();
     }
 
-    fn is_barred(&self) -> bool {
-        lock(&self.stored).barred.contains(&self.caller)
+    fn is_rejected(&self) -> bool {
+        lock(&self.stored).rejected.contains(&self.caller)
     }
 
-    /// Leases of cold leafs that were ever taken.
+    /// Returns the number of cold leafs' leases that were ever granted.
     pub fn leases(&self) -> usize {
         lock(&self.stored).leases.len()
     }
 
-    /// Records of requests that end leafs.
+    /// Returns the number of records of suspect requests.
     pub fn records(&self) -> usize {
         lock(&self.stored).records.len()
     }
 
-    /// Has an operator remove all records.
+    /// Removes all records of suspect requests, as an operator does.
     pub fn drop_records(&self) {
         lock(&self.stored).records.clear();
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         lock(&self.stored).calls
     }
 
-    /// Waits for ever if the store is silent.
+    /// Counts a call and, if the store is unresponsive to it, waits out the timeout.
     async fn reach(&self) {
-        let silent = {
+        let unresponsive = {
             let mut stored = lock(&self.stored);
             stored.calls += 1;
-            stored.silent || stored.parted.contains(&self.caller)
+            stored.unresponsive || stored.isolated.contains(&self.caller)
         };
-        if silent {
-            // What the adapters make of silence: a timeout.
+        if unresponsive {
+            // Timeout of the adapters.
             sleep(Duration::from_millis(800)).await;
         }
     }
 
+    /// Fails unless the store responds to the caller.
     async fn check(&self) -> Result<(), FeedError> {
         self.reach().await;
-        if self.is_barred() {
-            return Err(FeedError::Busy("turned away".to_owned()));
+        if self.is_rejected() {
+            return Err(FeedError::Busy("rejected".to_owned()));
         }
         let stored = lock(&self.stored);
-        match stored.silent || stored.parted.contains(&self.caller) {
-            true => Err(FeedError::Unavailable("silent".to_owned())),
+        match stored.unresponsive || stored.isolated.contains(&self.caller) {
+            true => Err(FeedError::Unavailable("no answer".to_owned())),
             false => Ok(()),
         }
     }
 
-    async fn until<T>(
+    /// Waits up to `wait` for `find` to return a result, then returns that of `none`. Never
+    /// completes if the answer is lost.
+    async fn wait_for<T>(
         &self,
         wait: Duration,
-        find: impl Fn(&Stored) -> Option<T>,
-        none: impl Fn(&Stored) -> T,
+        find: impl Fn(&State) -> Option<T>,
+        none: impl Fn(&State) -> T,
     ) -> T {
         let end = Instant::now() + wait;
         let lost = {
             let mut stored = lock(&self.stored);
-            let lost = stored.lost > 0;
-            stored.lost = stored.lost.saturating_sub(1);
+            let lost = stored.lost_watches > 0;
+            stored.lost_watches = stored.lost_watches.saturating_sub(1);
             lost
         };
         if lost {
             return futures::future::pending().await;
         }
-        let silences = lock(&self.stored).silences;
+        let outages = lock(&self.stored).outages;
         loop {
             let changed = self.changed.notified();
             let found = {
                 let stored = lock(&self.stored);
-                let barred =
-                    stored.barred.contains(&self.caller) || stored.parted.contains(&self.caller);
-                if stored.silences != silences || barred {
+                let rejected = stored.rejected.contains(&self.caller)
+                    || stored.isolated.contains(&self.caller);
+                if stored.outages != outages || rejected {
                     None
                 } else if let Some(found) = find(&stored) {
                     return found;
@@ -253,7 +262,7 @@
                 }
             };
             if found.is_none() {
-                // The answer is lost: nothing ever comes.
+                // The answer is lost.
                 return futures::future::pending().await;
             }
             tokio::select! {
@@ -279,7 +288,7 @@
                     revision: stored.revision,
                 }
             };
-            Ok(self.carry(batch).await)
+            Ok(self.transfer(batch).await)
         }
         .boxed()
     }
@@ -299,7 +308,7 @@
     ) -> BoxFuture<'_, Result<Batch<RouteBook>, FeedError>> {
         async move {
             self.check().await?;
-            let find = |stored: &Stored| {
+            let find = |stored: &State| {
                 let (revision, book) = stored.book.as_ref()?;
                 (*revision > after).then(|| Batch {
                     items: vec![Item {
@@ -309,8 +318,8 @@
                     revision: stored.revision,
                 })
             };
-            let batch = self.until(wait, find, nothing).await;
-            Ok(self.carry(batch).await)
+            let batch = self.wait_for(wait, find, empty_batch).await;
+            Ok(self.transfer(batch).await)
         }
         .boxed()
     }
@@ -319,19 +328,21 @@
         async move {
             let watch = Feed::<RouteBook>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
-            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("silent".to_owned())))
+            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("no answer".to_owned())))
         }
         .boxed()
     }
 }
 
-fn nothing<T>(stored: &Stored) -> Batch<T> {
+/// Returns an answer without objects.
+fn empty_batch<T>(stored: &State) -> Batch<T> {
     Batch {
         items: Vec::new(),
         revision: stored.revision,
     }
 }
 
+/// An object of the feed of leafs.
 pub type LeafItem = (LeafId, LeafEntry);
 
 fn leaf_item(id: &LeafId, entry: &LeafEntry) -> Item<LeafItem> {
@@ -375,13 +386,13 @@
     ) -> BoxFuture<'_, Result<Batch<LeafItem>, FeedError>> {
         async move {
             self.check().await?;
-            let find = |stored: &Stored| {
+            let find = |stored: &State| {
                 let new = stored.leafs.iter().filter(|(_, (at, _))| *at > after);
                 let mut items: Vec<_> = new.map(|(id, (_, e))| leaf_item(id, e)).collect();
                 let malformed = stored.malformed.iter().filter(|(_, at)| **at > after);
                 items.extend(malformed.map(|(id, _)| malformed_item(id)));
-                let gone = stored.gone.iter().filter(|(at, _)| *at > after);
-                items.extend(gone.map(|(_, id)| Item {
+                let deleted = stored.deleted.iter().filter(|(at, _)| *at > after);
+                items.extend(deleted.map(|(_, id)| Item {
                     name: id.to_string(),
                     content: Content::Deleted,
                 }));
@@ -390,7 +401,7 @@
                     revision: stored.revision,
                 })
             };
-            Ok(self.until(wait, find, nothing).await)
+            Ok(self.wait_for(wait, find, empty_batch).await)
         }
         .boxed()
     }
@@ -399,7 +410,7 @@
         async move {
             let watch = Feed::<LeafItem>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
-            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("silent".to_owned())))
+            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("no answer".to_owned())))
         }
         .boxed()
     }
@@ -420,9 +431,12 @@
         async move {
             self.check().await?;
             let stored = lock(&self.stored);
-            let there = stored.evacuated.iter().filter(|(_, (_, there))| *there);
+            let evacuated = stored
+                .evacuated
+                .iter()
+                .filter(|(_, (_, evacuated))| *evacuated);
             Ok(Batch {
-                items: there
+                items: evacuated
                     .map(|(domain, _)| evacuation_item(domain, true))
                     .collect(),
                 revision: stored.revision,
@@ -442,17 +456,17 @@
     ) -> BoxFuture<'_, Result<Batch<DomainName>, FeedError>> {
         async move {
             self.check().await?;
-            let find = |stored: &Stored| {
+            let find = |stored: &State| {
                 let new = stored.evacuated.iter().filter(|(_, (at, _))| *at > after);
                 let items: Vec<_> = new
-                    .map(|(domain, (_, there))| evacuation_item(domain, *there))
+                    .map(|(domain, (_, evacuated))| evacuation_item(domain, *evacuated))
                     .collect();
                 (!items.is_empty()).then_some(Batch {
                     items,
                     revision: stored.revision,
                 })
             };
-            Ok(self.until(wait, find, nothing).await)
+            Ok(self.wait_for(wait, find, empty_batch).await)
         }
         .boxed()
     }
@@ -461,7 +475,7 @@
         async move {
             let watch = Feed::<DomainName>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
-            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("silent".to_owned())))
+            answer.unwrap_or_else(|_| Err(FeedError::Unavailable("no answer".to_owned())))
         }
         .boxed()
     }
@@ -508,17 +522,17 @@
     fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>> {
         async move {
             self.check().await?;
-            let what = record.report.what;
-            lock(&self.stored).records.insert(what, record);
+            let fingerprint = record.report.what;
+            lock(&self.stored).records.insert(fingerprint, record);
             Ok(())
         }
         .boxed()
     }
 
-    fn remove(&self, what: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>> {
+    fn remove(&self, fingerprint: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>> {
         async move {
             self.check().await?;
-            lock(&self.stored).records.remove(&what);
+            lock(&self.stored).records.remove(&fingerprint);
             Ok(())
         }
         .boxed()
