--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,75 +1,77 @@
-//! What to ask a store next, to follow a list of objects.
+//! State of a list-and-watch client: which call to make next, and the backoff
+//! after a failed one.
 
 use std::time::Duration;
 
 use chestnut_port::FeedError;
 use rand::Rng;
 
-/// The next call.
+/// The next call that a [`Follower`] makes to its feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Read everything.
+    /// Reads the whole list.
     List,
-    /// Wait for changes after this revision.
+    /// Waits for changes after this revision.
     Watch(u64),
 }
 
-/// First rest after a failed call.
-const REST_FIRST: Duration = Duration::from_millis(200);
-/// Longest rest. Well below the four seconds in which an entry is to be in
-/// touch again after an outage; each refused call is paid for.
-const REST_MAX: Duration = Duration::from_millis(1600);
+/// Backoff after the first failed call.
+const BACKOFF_MIN: Duration = Duration::from_millis(200);
+/// Longest backoff. It bounds the time until the entry reconnects after an
+/// outage, and the calls that are refused meanwhile.
+const BACKOFF_MAX: Duration = Duration::from_millis(1600);
 
-/// Follows one list of objects: reads it once, then watches, and reads it
-/// again only when the history that it would watch from is gone.
+/// Position of a client that lists a feed once and then watches it, and lists
+/// it again only when the history that it would watch from is gone.
 ///
-/// Calls that fail are repeated after a rest that doubles and is drawn from
-/// half to the whole of it, so that entries which lost the store together don't
-/// come back together.
+/// Failed calls are repeated after an exponential backoff, of which half is
+/// jitter, so that entries that lost the store together don't reconnect
+/// together.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
     revision: Option<u64>,
-    /// The greatest revision that was heard.
-    known: u64,
+    /// Greatest revision received; kept while the list is read again.
+    newest: u64,
     failures: u32,
 }
 
 impl Follower {
-    /// The next call.
+    /// Returns the next call to make.
     #[must_use]
     pub fn next(&self) -> Next {
         self.revision.map_or(Next::List, Next::Watch)
     }
 
-    /// Whether an answer that goes up to `revision` is older than what is
-    /// known. Taken as a whole list it would bring back what has gone since.
+    /// Returns whether an answer that goes up to `revision` is older than what
+    /// is known. Taken as a whole list it would restore deleted objects.
     #[must_use]
     pub fn is_old(&self, revision: u64) -> bool {
-        revision < self.known
+        revision < self.newest
     }
 
-    /// Takes an answer that goes up to `revision`.
+    /// Records an answer that goes up to `revision`, and resets the backoff.
     pub fn answered(&mut self, revision: u64) {
         self.revision = Some(revision);
-        self.known = self.known.max(revision);
+        self.newest = self.newest.max(revision);
         self.failures = 0;
     }
 
-    /// The greatest revision that was heard.
+    /// Returns the greatest revision received so far.
     #[must_use]
     pub fn known(&self) -> u64 {
-        self.known
+        self.newest
     }
 
-    /// Takes a failure; returns how long to rest.
+    /// Records a failed call and returns the backoff before the next one. After
+    /// [`FeedError::HistoryGone`] the list is read again at once.
     pub fn failed(&mut self, error: &FeedError, rng: &mut dyn Rng) -> Duration {
         if *error == FeedError::HistoryGone {
             self.revision = None;
             return Duration::ZERO;
         }
-        let rest = (REST_FIRST * 2u32.pow(self.failures.min(8))).min(REST_MAX);
+        let backoff = (BACKOFF_MIN * 2u32.pow(self.failures.min(8))).min(BACKOFF_MAX);
         self.failures += 1;
-        let draw = rng.next_u64() as f64 / u64::MAX as f64;
-        rest.mul_f64(0.5 + 0.5 * draw)
+        let fraction = rng.next_u64() as f64 / u64::MAX as f64;
+        backoff.mul_f64(0.5 + 0.5 * fraction)
     }
 }
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -1,24 +1,24 @@
-//! What an entry has heard of one list of objects, to pass it on.
+//! Watch cache of one list of objects, from which an entry answers the lists and watches
+//! of its peers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use chestnut_port::{Batch, Content, FeedError, Item};
 
-/// Changes that are remembered. A follower that is further behind reads
-/// everything; the ones that keep up are within a few changes.
-const REMEMBERED: usize = 1024;
+/// Number of changes kept. A follower that is further behind reads the whole list.
+const HISTORY_LIMIT: usize = 1024;
 
-/// The objects of one list, and its last changes.
+/// Objects of one list and its latest changes.
 #[derive(Clone, Debug)]
 pub struct Mirror<T> {
-    /// What each object holds; `None` if that can't be read.
+    /// Value of each object by name; `None` if it can't be parsed.
     values: BTreeMap<String, Option<T>>,
-    /// Revision and name, oldest first.
+    /// Revision and object name of each change, oldest first.
     changes: VecDeque<(u64, String)>,
-    /// Changes after this revision are all remembered.
-    from: u64,
-    /// Up to where the list has been heard; `None` before the first list.
-    heard: Option<u64>,
+    /// Revision up to which changes were dropped; all later ones are in `changes`.
+    dropped: u64,
+    /// Revision up to which the list is known; `None` before the first list.
+    latest: Option<u64>,
 }
 
 impl<T> Default for Mirror<T> {
@@ -26,66 +26,66 @@
         Self {
             values: BTreeMap::new(),
             changes: VecDeque::new(),
-            from: 0,
-            heard: None,
+            dropped: 0,
+            latest: None,
         }
     }
 }
 
 impl<T: Clone> Mirror<T> {
-    /// Takes the whole list.
+    /// Replaces the content with a whole list.
     pub fn listed(&mut self, batch: &Batch<T>) {
         self.values.clear();
         for item in &batch.items {
             self.put(item);
         }
         self.changes.clear();
-        self.from = batch.revision;
-        self.heard = Some(batch.revision);
+        self.dropped = batch.revision;
+        self.latest = Some(batch.revision);
     }
 
-    /// Takes changes.
+    /// Applies changes.
     pub fn changed(&mut self, batch: &Batch<T>) {
         self.changed_from(batch, |_, _| false);
     }
 
-    /// Takes changes. Of an item that says the `same` as what is known by then only the
-    /// value is kept, for those that read the whole list; followers are not told.
+    /// Applies changes. Of an item whose value is the `same` as the one known before it,
+    /// only the value is kept, for readers of the whole list; followers are not notified.
     ///
-    /// One after the other: an entry that lapsed and came back is in one answer twice. Judged
-    /// by what was known before it, coming back was no news, and followers heard of the
-    /// deletion alone.
+    /// Items are compared in order, as one batch may delete and re-create an object.
+    /// Compared with the state before the batch, the re-creation would be suppressed and
+    /// followers would see the deletion alone.
     pub fn changed_from(&mut self, batch: &Batch<T>, same: impl Fn(&T, &T) -> bool) {
         for item in &batch.items {
-            let known = match (self.values.get(&item.name), &item.content) {
+            let unchanged = match (self.values.get(&item.name), &item.content) {
                 (Some(Some(known)), Content::Is(value)) => same(known, value),
                 _ => false,
             };
             self.put(item);
-            if !known {
+            if !unchanged {
                 let change = (batch.revision, item.name.clone());
                 self.changes.push_back(change);
             }
         }
-        while self.changes.len() > REMEMBERED {
+        while self.changes.len() > HISTORY_LIMIT {
             if let Some((revision, _)) = self.changes.pop_front() {
-                self.from = revision;
+                self.dropped = revision;
             }
         }
-        self.heard = self.heard.max(Some(batch.revision));
+        self.latest = self.latest.max(Some(batch.revision));
     }
 
-    /// Whether `batch` tells of a later point than what has been heard.
+    /// Returns whether `batch` goes up to a later revision than this cache.
     #[must_use]
     pub fn is_behind(&self, batch: &Batch<T>) -> bool {
-        self.heard.is_none_or(|heard| heard < batch.revision)
+        self.latest.is_none_or(|latest| latest < batch.revision)
     }
 
-    /// The whole list.
+    /// Returns the whole list.
     ///
     /// # Errors
     ///
-    /// Nothing has been heard yet.
+    /// Fails with [`FeedError::Unavailable`] before the first list.
     pub fn all(&self) -> Result<Batch<T>, FeedError> {
         let revision = self.revision()?;
         Ok(Batch {
@@ -94,22 +94,23 @@
         })
     }
 
-    /// What changed after `revision`.
+    /// Returns the changes after `revision`.
     ///
     /// # Errors
     ///
-    /// That is longer ago than what is remembered, or nothing has been heard.
+    /// Fails with [`FeedError::HistoryGone`] if some of them were dropped, and with
+    /// [`FeedError::Unavailable`] before the first list.
     pub fn since(&self, revision: u64) -> Result<Batch<T>, FeedError> {
-        let heard = self.revision()?;
-        if revision < self.from {
+        let latest = self.revision()?;
+        if revision < self.dropped {
             return Err(FeedError::HistoryGone);
         }
         let new = self.changes.iter().filter(|(at, _)| *at > revision);
         let names: BTreeSet<&String> = new.map(|(_, name)| name).collect();
         Ok(Batch {
             items: names.into_iter().map(|name| self.item(name)).collect(),
-            // A follower may have heard more, from another entry.
-            revision: heard.max(revision),
+            // A follower may be ahead, with changes from another entry.
+            revision: latest.max(revision),
         })
     }
 
@@ -135,7 +136,7 @@
     }
 
     fn revision(&self) -> Result<u64, FeedError> {
-        self.heard
-            .ok_or_else(|| FeedError::Unavailable("nothing heard yet".to_owned()))
+        self.latest
+            .ok_or_else(|| FeedError::Unavailable("no list received yet".to_owned()))
     }
 }
--- a/crates/relay/src/pulse.rs
+++ b/crates/relay/src/pulse.rs
@@ -1,66 +1,69 @@
-//! Whether the store is there, and whether a watch has missed something.
+//! Reachability of the store, and detection of watches whose answer was lost.
 
 use std::time::Duration;
 
 use chestnut_unit::Time;
 
-/// How long a change may be known without the watch that should tell of it
-/// having answered. Watches answer within milliseconds, or within half a second
-/// while the store is sixty times as slow.
-const OVERDUE: Duration = Duration::from_millis(800);
+/// How long a watch may leave a known change unreported before it is checked.
+/// Longer than a slow store takes to answer a watch.
+const CHECK_DELAY: Duration = Duration::from_millis(800);
 
-/// What the pulses of a store tell.
+/// State of the store according to its revision polls.
 ///
 /// A watch whose answer was lost looks like one that waits: the connection is
-/// sound and nothing ever comes on it. Short watches would find that, but each
-/// call is paid for. The store's revision, asked for every second at a tenth of
-/// the price, shows that something changed. A watch that says nothing about a
-/// change for a while is checked by a call that doesn't wait: it tells whether
-/// the change was of another kind, or the watch is lost and is started again. A
-/// watch that is started while changes are waiting may be lost as well, so that
-/// it was started after them proves nothing.
+/// healthy and nothing arrives on it. Short watches would detect that, but each
+/// call is paid for. Revision polls, which are cheaper, show that something
+/// changed; a watch that doesn't report a change for a while is then checked by
+/// a call that doesn't wait. Either the change was of another kind, or the
+/// watch is lost and is started again. A watch that was started after the
+/// change may be lost as well, so its start proves nothing and it is checked
+/// like any other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pulse {
-    lost: Option<Time>,
+    /// When the store was lost: the first failed poll since the last answer.
+    lost_since: Option<Time>,
+    /// Greatest revision seen.
     revision: u64,
-    /// When the revision was first seen.
-    since: Time,
+    /// When `revision` was first seen.
+    changed_at: Time,
 }
 
 impl Pulse {
-    /// Takes an answer; tells for how long the store had been lost, if it had.
+    /// Records an answered poll; returns for how long the store had been lost,
+    /// if it had.
     pub fn answered(&mut self, revision: u64, now: Time) -> Option<Duration> {
         if revision > self.revision {
             self.revision = revision;
-            self.since = now;
+            self.changed_at = now;
         }
-        self.lost.take().map(|since| now.since(since))
+        self.lost_since.take().map(|since| now.since(since))
     }
 
-    /// Takes a failure; tells whether the store was there before.
+    /// Records a failed poll; returns whether the store was reachable before.
     pub fn failed(&mut self, now: Time) -> bool {
-        let new = self.lost.is_none();
-        self.lost.get_or_insert(now);
+        let new = self.lost_since.is_none();
+        self.lost_since.get_or_insert(now);
         new
     }
 
-    /// Whether the store did not answer the last pulse.
+    /// Returns whether the last poll failed.
     #[must_use]
     pub fn is_lost(&self) -> bool {
-        self.lost.is_some()
+        self.lost_since.is_some()
     }
 
-    /// The greatest revision seen.
+    /// Returns the greatest revision seen.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// When a watch that was asked at `asked`, and has told all up to `told`, is
-    /// to be checked.
+    /// Returns when a watch that was started or last checked at `started`, and has
+    /// reported all changes up to `reported`, is to be checked; `None` if no later
+    /// change is known.
     #[must_use]
-    pub fn overdue(&self, told: u64, asked: Time) -> Option<Time> {
-        let since = self.since.max(asked);
-        (self.revision > told).then(|| since + OVERDUE)
+    pub fn overdue(&self, reported: u64, started: Time) -> Option<Time> {
+        let since = self.changed_at.max(started);
+        (self.revision > reported).then(|| since + CHECK_DELAY)
     }
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the feeds come from now: the store, or an entry that watches it.
+//! Chooses the upstream, which is the store or an entry that watches it, and polls it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,218 +14,224 @@
     members::Members,
     shared::{Phase, Shared},
     sources::Sources,
-    watch::adopt,
+    watch::load_from_peer,
 };
 
-/// Time between two pulses. A store or peer that is lost is noticed within it,
-/// well within the seconds in which changes are due.
-const PULSE: Duration = Duration::from_secs(1);
-/// First time between two pulses while the entry has no book or no leafs yet; it
-/// doubles with each up to the longest. Callers are refused meanwhile, and each
-/// call of each entry that waits for a lost store is paid for.
-const PULSE_START: Duration = Duration::from_millis(40);
-const PULSE_START_MAX: Duration = Duration::from_millis(320);
+/// Interval between polls; the bound on noticing that the store or a peer is lost.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// First interval between polls until the entry has a book and leafs; it doubles up to
+/// the longest. Callers are refused meanwhile, and each call to a lost store is paid
+/// for.
+const STARTUP_INTERVAL: Duration = Duration::from_millis(40);
+const STARTUP_INTERVAL_MAX: Duration = Duration::from_millis(320);
 
-/// Rest before another peer is asked, so that entries which send each other
-/// around are not asked without end.
-const TRY_REST: Duration = Duration::from_millis(20);
-/// Longest wait for a peer's pulse while this entry starts. A seed whose machine
-/// has no power yet answers nothing at all, and the next one, or the store, may.
-/// One in another region answers within 40 ms.
-const START_WAIT: Duration = Duration::from_millis(45);
-/// Time between two pulses of a peer that has lost the store. They cost the store
-/// nothing, and what changed meanwhile is due soon after it is back.
-const PULSE_LOST: Duration = Duration::from_millis(250);
-/// Least time between two pulses of the store by an entry whose peers have all
-/// lost it, or that has lost it itself and follows a peer which has it; the most
-/// is twice as long. Should the store serve this entry only, it misses changes
-/// for so long; entries by the thousand still ask the store a few hundred times
-/// a second in all.
-const CHECK_LEAST: Duration = Duration::from_secs(4);
-/// Most time until the first such pulse after the peers have lost the store. A version
-/// that it took in that moment, and that it serves to others than its watchers, is due
-/// within seconds; a single pulse more of each entry costs little.
-const CHECK_FIRST: Duration = Duration::from_millis(1500);
-/// The same for each member, where they are many: of thousands a few hundred ask in a
-/// second.
-const CHECK_FIRST_EACH: Duration = Duration::from_millis(2);
+/// Delay before another peer is asked, so that peers that redirect to each other are
+/// not asked in a tight loop.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Timeout of a peer's heartbeat while this entry starts: a seed without power never
+/// answers, and the next one or the store may. Longer than a round trip to another
+/// region.
+const STARTUP_TIMEOUT: Duration = Duration::from_millis(45);
+/// Interval between heartbeats of a peer that has lost the store. They cost the store
+/// nothing, and changes are due soon after it is back.
+const LOST_INTERVAL: Duration = Duration::from_millis(250);
+/// Shortest interval between polls of the store by an entry whose peers have all lost
+/// it, or that has lost it and follows a peer; the longest is twice that. It bounds how
+/// long such an entry misses changes that only it could read, and the load of all
+/// entries on the store.
+const CHECK_INTERVAL_MIN: Duration = Duration::from_secs(4);
+/// Longest delay of the first such poll after the peers have lost the store. Short, as
+/// the store may have taken a version in that moment and serve it to this entry only.
+const FIRST_CHECK_MAX: Duration = Duration::from_millis(1500);
+/// The same for each member, where that is longer: it spreads the polls of a large fleet.
+const FIRST_CHECK_PER_MEMBER: Duration = Duration::from_millis(2);
 
-/// What a pulse brought.
+/// Outcome of a poll.
 #[derive(Clone, Copy)]
-enum Heard {
+enum PollOutcome {
     /// The store or a peer answered.
-    Revision,
+    Answered,
     /// The store is lost.
-    Lost,
-    /// Another upstream may answer.
+    StoreLost,
+    /// Another upstream is to be polled.
     TryNext,
 }
 
-/// Keeps choosing the upstream and asking for its pulse, for as long as the
-/// entry runs.
+/// Chooses the upstream and polls it, for as long as the entry runs.
 pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, sources: Arc<Sources>) {
-    let mut start = PULSE_START;
-    let mut check = Time::MAX;
+    let mut interval = STARTUP_INTERVAL;
+    let mut next_check = Time::MAX;
     let mut checked = false;
     loop {
-        let upstream = choose(&shared, &members);
+        let upstream = choose_upstream(&shared, &members);
         shared.metrics.count_store(match upstream {
             Upstream::Store => "pulse",
             Upstream::Peer(_) => "pulse of a peer",
         });
-        let answer = pulse(&shared, &sources, upstream).await;
-        let heard = match upstream {
-            Upstream::Store => hear_store(&shared, &members, answer),
-            Upstream::Peer(peer) => hear_peer(&shared, &members, peer, answer),
+        let answer = poll(&shared, &sources, upstream).await;
+        let outcome = match upstream {
+            Upstream::Store => handle_store_poll(&shared, &members, answer),
+            Upstream::Peer(peer) => handle_heartbeat(&shared, &members, peer, answer),
         };
-        match (heard, upstream) {
-            (Heard::TryNext, _) => sleep(TRY_REST).await,
-            (Heard::Lost, Upstream::Peer(_)) => {
+        match (outcome, upstream) {
+            (PollOutcome::TryNext, _) => sleep(RETRY_DELAY).await,
+            (PollOutcome::StoreLost, Upstream::Peer(_)) => {
                 let now = shared.now();
-                if check == Time::MAX {
+                if next_check == Time::MAX {
                     let span = match checked {
-                        true => check_span(&shared),
-                        false => check_first(&shared, &members),
+                        true => check_delay(&shared),
+                        false => first_check_delay(&shared, &members),
                     };
-                    check = now + span;
+                    next_check = now + span;
                 }
-                if now >= check {
+                if now >= next_check {
                     checked = true;
-                    check = check_store(&shared, &sources).await;
+                    next_check = check_store(&shared, &sources).await;
                 }
-                rest(&shared, PULSE_LOST).await;
+                wait_interval(&shared, LOST_INTERVAL).await;
             }
-            (Heard::Revision | Heard::Lost, _) => {
-                check = Time::MAX;
-                checked &= matches!(heard, Heard::Lost);
+            (PollOutcome::Answered | PollOutcome::StoreLost, _) => {
+                next_check = Time::MAX;
+                checked &= matches!(outcome, PollOutcome::StoreLost);
                 let starting = shared.phase() == Phase::Starting;
-                rest(&shared, if starting { start } else { PULSE }).await;
-                start = (start * 2).min(PULSE_START_MAX);
+                wait_interval(&shared, if starting { interval } else { POLL_INTERVAL }).await;
+                interval = (interval * 2).min(STARTUP_INTERVAL_MAX);
             }
         }
     }
 }
 
-async fn pulse(shared: &Shared, sources: &Sources, upstream: Upstream) -> Result<u64, FeedError> {
+/// Polls `upstream` and returns the revision of the store. While the entry starts, it also
+/// loads what peers know if the store doesn't answer soon.
+async fn poll(shared: &Shared, sources: &Sources, upstream: Upstream) -> Result<u64, FeedError> {
     let starting = shared.phase() == Phase::Starting;
     match upstream {
         Upstream::Store if starting => {
-            let mut pulse = sources.book.pulse();
-            if let Ok(answer) = timeout(START_WAIT, &mut pulse).await {
+            let mut poll = sources.book.pulse();
+            if let Ok(answer) = timeout(STARTUP_TIMEOUT, &mut poll).await {
                 return answer;
             }
             tokio::select! {
-                answer = &mut pulse => return answer,
-                () = adopt_from_seeds(shared, sources) => {}
+                answer = &mut poll => return answer,
+                () = load_from_seeds(shared, sources) => {}
             }
-            pulse.await
+            poll.await
         }
         Upstream::Store => sources.book.pulse().await,
         Upstream::Peer(peer) if starting => {
-            let answer = peer_pulse(shared, sources, peer, START_WAIT).await;
+            let answer = peer_heartbeat(shared, sources, peer, STARTUP_TIMEOUT).await;
             if answer == Err(FeedError::Lost) {
-                adopt(shared, sources, peer).await;
+                load_from_peer(shared, sources, peer).await;
             }
             answer
         }
-        Upstream::Peer(peer) => peer_pulse(shared, sources, peer, Duration::MAX).await,
+        Upstream::Peer(peer) => peer_heartbeat(shared, sources, peer, Duration::MAX).await,
     }
 }
 
-/// The pulse of a peer, which also tells the version of its book.
-async fn peer_pulse(
+/// Asks a peer for its heartbeat, and records the version of its book. Returns the
+/// revision of the store that it reports.
+async fn peer_heartbeat(
     shared: &Shared,
     sources: &Sources,
     peer: SocketAddr,
-    wait: Duration,
+    limit: Duration,
 ) -> Result<u64, FeedError> {
-    let none = || Err(FeedError::Unavailable("no answer yet".to_owned()));
-    let answer = timeout(wait, sources.peers.pulse(peer)).await;
-    let pulse = answer.unwrap_or_else(|_| none())?;
-    // The upstream is what this entry reads from anyway, near or far.
-    shared.hear_version(peer, pulse.book, Distance::Near);
-    pulse.store
+    let none = || Err(FeedError::Unavailable("no answer in time".to_owned()));
+    let answer = timeout(limit, sources.peers.pulse(peer)).await;
+    let heartbeat = answer.unwrap_or_else(|_| none())?;
+    // The upstream is read from in either case, in the same failure domain or in
+    // another.
+    shared.hear_version(peer, heartbeat.book, Distance::Near);
+    heartbeat.store
 }
 
-/// Takes what a seed has heard that serves, while the store does not answer.
-async fn adopt_from_seeds(shared: &Shared, sources: &Sources) {
+/// Loads the state of the seeds until this entry can serve, while the store doesn't
+/// answer.
+async fn load_from_seeds(shared: &Shared, sources: &Sources) {
     let own = shared.settings.listen.peers;
     let seeds = shared.settings.seeds.iter().filter(|seed| **seed != own);
     for seed in seeds {
         if shared.phase() != Phase::Starting {
             return;
         }
-        let answer = peer_pulse(shared, sources, *seed, START_WAIT).await;
+        let answer = peer_heartbeat(shared, sources, *seed, STARTUP_TIMEOUT).await;
         if !matches!(answer, Err(FeedError::Unavailable(_))) {
-            adopt(shared, sources, *seed).await;
+            load_from_peer(shared, sources, *seed).await;
         }
     }
 }
 
-fn hear_store(shared: &Shared, members: &Members, answer: Result<u64, FeedError>) -> Heard {
+/// Records the answer of the store to a revision poll.
+fn handle_store_poll(
+    shared: &Shared,
+    members: &Members,
+    answer: Result<u64, FeedError>,
+) -> PollOutcome {
     let now = shared.now();
     match answer {
         Ok(revision) => {
             lock(&shared.upstreams).store_answered(now);
-            answered(shared, revision, now);
-            Heard::Revision
+            mark_answered(shared, revision, now);
+            PollOutcome::Answered
         }
         Err(error) => {
-            lock(&shared.upstreams).store_failed(now + check_span(shared));
-            if choose(shared, members) != Upstream::Store {
+            lock(&shared.upstreams).store_failed(now + check_delay(shared));
+            if choose_upstream(shared, members) != Upstream::Store {
                 info!(shared.host.log, "watch: the store does not answer"; "why" => %error);
-                return Heard::TryNext;
+                return PollOutcome::TryNext;
             }
-            lose(shared, &error, now);
-            Heard::Lost
+            mark_lost(shared, &error, now);
+            PollOutcome::StoreLost
         }
     }
 }
 
-fn hear_peer(
+/// Records the answer of a peer to a heartbeat.
+fn handle_heartbeat(
     shared: &Shared,
     members: &Members,
     peer: SocketAddr,
     answer: Result<u64, FeedError>,
-) -> Heard {
+) -> PollOutcome {
     let now = shared.now();
     let starting = shared.phase() == Phase::Starting;
     match answer {
         Ok(revision) => {
             lock(&shared.upstreams).answered(peer);
-            answered(shared, revision, now);
-            choose(shared, members);
-            Heard::Revision
+            mark_answered(shared, revision, now);
+            choose_upstream(shared, members);
+            PollOutcome::Answered
         }
         Err(FeedError::Elsewhere(to)) => {
             let own = shared.settings.listen.peers;
             lock(&shared.upstreams).redirected(peer, to, own, now);
-            Heard::TryNext
+            PollOutcome::TryNext
         }
         Err(FeedError::Lost) if starting => {
             let age = now.since(Time::ZERO);
             lock(&shared.upstreams).not_ready(peer, age, now);
-            Heard::TryNext
+            PollOutcome::TryNext
         }
         Err(error @ FeedError::Lost) => {
             lock(&shared.upstreams).lost(peer, now);
-            if choose(shared, members) != Upstream::Peer(peer) {
-                return Heard::TryNext;
+            if choose_upstream(shared, members) != Upstream::Peer(peer) {
+                return PollOutcome::TryNext;
             }
-            lose(shared, &error, now);
-            Heard::Lost
+            mark_lost(shared, &error, now);
+            PollOutcome::StoreLost
         }
         Err(error) => {
-            info!(shared.host.log, "watch: a peer does not pass on the store";
+            info!(shared.host.log, "watch: a peer does not relay the store";
                 "peer" => %peer, "why" => %error);
             shared.failed(peer);
-            Heard::TryNext
+            PollOutcome::TryNext
         }
     }
 }
 
-/// Takes it that the store is lost, until a pulse is answered.
-fn lose(shared: &Shared, error: &FeedError, now: Time) {
+/// Records that the store is lost, until a poll is answered.
+fn mark_lost(shared: &Shared, error: &FeedError, now: Time) {
     let mut new = false;
     shared.pulse.send_modify(|pulse| new = pulse.failed(now));
     if new {
@@ -233,11 +239,12 @@
     }
 }
 
-/// Asks the store itself whether it is lost to this entry as it is to its peers, and
-/// turns to it if it has news. Returns when to ask again.
+/// Polls the store to check whether this entry has lost it as its peers have, and makes
+/// it the upstream if it has a newer revision. Returns when to poll again.
 ///
-/// Without news the peers are waited for: of entries that asked as the store came back,
-/// each read it whole and watched it for five seconds beside the watchers.
+/// Without a newer revision the entry waits for its peers: if all entries moved to a
+/// store that just came back, each would list and watch it for seconds beside the
+/// watchers.
 async fn check_store(shared: &Shared, sources: &Sources) -> Time {
     shared.metrics.count_store("pulse");
     let answer = sources.book.pulse().await;
@@ -249,17 +256,18 @@
             lock(&shared.upstreams).store_answers(now);
             Time::MAX
         }
-        Ok(_) => now + PULSE,
-        Err(_) => now + check_span(shared),
+        Ok(_) => now + POLL_INTERVAL,
+        Err(_) => now + check_delay(shared),
     }
 }
 
-/// Chooses whom to ask. A peer is followed only once it has answered.
+/// Chooses the upstream to poll, and publishes it once it is the store or a peer that
+/// has answered.
 ///
-/// An entry that looks for one asks several in turn: seeds that start with it, or
-/// watchers that have all lost the store. If each counted as followed, readings would
-/// move along with no gain.
-fn choose(shared: &Shared, members: &Members) -> Upstream {
+/// An entry in search of an upstream polls several in turn: seeds that start with it,
+/// or watchers that have all lost the store. If each were published, calls would be
+/// cancelled and repeated on the next one with no gain.
+fn choose_upstream(shared: &Shared, members: &Members) -> Upstream {
     let (upstream, cause) = members.upstream(shared);
     let followed = match upstream {
         Upstream::Peer(peer) if !lock(&shared.upstreams).is_heard(peer) => None,
@@ -277,7 +285,8 @@
     upstream
 }
 
-fn answered(shared: &Shared, revision: u64, now: Time) {
+/// Records that the store answered, to this entry or to its upstream.
+fn mark_answered(shared: &Shared, revision: u64, now: Time) {
     let mut lost = None;
     shared
         .pulse
@@ -288,27 +297,29 @@
     }
 }
 
-/// Waits for the next pulse, or until the upstream may have to change.
-async fn rest(shared: &Shared, span: Duration) {
-    // From three quarters to the whole, so that entries that started together
-    // don't ask together.
+/// Waits for the next poll, or until the upstream may have to change.
+async fn wait_interval(shared: &Shared, span: Duration) {
+    // Jitter of a quarter, so that entries that started together don't poll together.
     tokio::select! {
-        () = sleep(span.mul_f64(0.75 + 0.25 * draw(shared))) => {}
+        () = sleep(span.mul_f64(0.75 + 0.25 * random_fraction(shared))) => {}
         () = shared.choose.notified() => {}
     }
 }
 
-/// Time until an entry asks the store whose peers have just lost it.
-fn check_first(shared: &Shared, members: &Members) -> Duration {
-    let each = CHECK_FIRST_EACH * u32::try_from(members.count()).unwrap_or(u32::MAX);
-    CHECK_FIRST.max(each.min(CHECK_LEAST)).mul_f64(draw(shared))
+/// Returns the delay until an entry whose peers have just lost the store polls it.
+fn first_check_delay(shared: &Shared, members: &Members) -> Duration {
+    let each = FIRST_CHECK_PER_MEMBER * u32::try_from(members.count()).unwrap_or(u32::MAX);
+    FIRST_CHECK_MAX
+        .max(each.min(CHECK_INTERVAL_MIN))
+        .mul_f64(random_fraction(shared))
 }
 
-fn check_span(shared: &Shared) -> Duration {
-    CHECK_LEAST.mul_f64(1.0 + draw(shared))
+/// Returns the jittered interval until the store is polled again.
+fn check_delay(shared: &Shared) -> Duration {
+    CHECK_INTERVAL_MIN.mul_f64(1.0 + random_fraction(shared))
 }
 
-/// A number from 0 to 1.
-fn draw(shared: &Shared) -> f64 {
+/// Returns a random number from 0 to 1.
+fn random_fraction(shared: &Shared) -> f64 {
     shared.host.rng().next_u64() as f64 / u64::MAX as f64
 }
--- a/crates/relay/src/sources.rs
+++ b/crates/relay/src/sources.rs
@@ -1,4 +1,4 @@
-//! The feeds of the store and of other entries.
+//! Feeds of the store and of other entries.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,23 +9,25 @@
 
 use crate::{LeafEntry, Upstream};
 
-/// The feed of leafs, among entries.
+/// Name of the feed of leafs between entries.
 pub(crate) const LEAFS: &str = "leafs";
-/// The feed of evacuated failure domains, among entries.
+/// Name of the feed of evacuated failure domains between entries.
 pub(crate) const EVACUATIONS: &str = "evacuations";
 
-/// The port to what other entries pass on.
+/// Port to the feeds of other entries.
 pub trait FeedPeers: Send + Sync {
-    /// The pulse of the entry at `to`.
+    /// Returns the heartbeat of the entry at `to`: the revision of the store and the
+    /// version of its route book.
     fn pulse(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>>;
 
-    /// What makes the book of the entry at `to` of version `have`, or of nothing.
+    /// Returns the delta that turns version `have` (0 for none) into the route book of
+    /// the entry at `to`.
     fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>>;
 
-    /// The leafs, as the entry at `to` hears them.
+    /// Returns the feed of leafs of the entry at `to`.
     fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafEntry)>>;
 
-    /// The failure domains that are evacuated, as the entry at `to` hears of them.
+    /// Returns the feed of evacuated failure domains of the entry at `to`.
     fn evacuations(&self, to: SocketAddr) -> Arc<dyn Feed<DomainName>>;
 }
 
@@ -47,15 +49,20 @@
     }
 }
 
-/// The feeds of the store and of other entries.
+/// Feeds of the store, and the port to those of other entries.
 pub(crate) struct Sources {
+    /// Route books in the store.
     pub(crate) book: Arc<dyn Feed<RouteBook>>,
+    /// Leafs in the store.
     pub(crate) leafs: Arc<dyn Feed<(LeafId, LeafEntry)>>,
+    /// Evacuated failure domains in the store.
     pub(crate) evacuations: Arc<dyn Feed<DomainName>>,
+    /// Feeds of other entries.
     pub(crate) peers: Arc<dyn FeedPeers>,
 }
 
 impl Sources {
+    /// Returns the feed of leafs of an upstream.
     pub(crate) fn leafs(&self, from: Upstream) -> Arc<dyn Feed<(LeafId, LeafEntry)>> {
         match from {
             Upstream::Store => self.leafs.clone(),
@@ -63,6 +70,7 @@
         }
     }
 
+    /// Returns the feed of evacuated failure domains of an upstream.
     pub(crate) fn evacuations(&self, from: Upstream) -> Arc<dyn Feed<DomainName>> {
         match from {
             Upstream::Store => self.evacuations.clone(),
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/take.rs
@@ -1,4 +1,4 @@
-//! Takes what the feeds tell.
+//! Applies the answers of feeds to the relay state.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -17,27 +17,29 @@
     upstream::Upstream,
 };
 
-/// Takes an answer of the feed, to pass it on and to act by it.
-pub(crate) fn pass_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
-    let cooled = cooled_of(shared, &batch);
+/// Applies an answer of the feed of leafs to the relay state, and to the cache that peers
+/// read from.
+pub(crate) fn update_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
+    let colder = leafs_cold_longer(shared, &batch);
     let mut passed = lock(&shared.passed.leafs);
     match whole {
         true => passed.listed(&batch),
-        // A leaf that warms up writes with each heartbeat, and only the time that is left
-        // of it changes. One that has become cold again is news.
+        // A leaf that warms up writes with each heartbeat, and only its remaining warm-up
+        // time changes. One that has become cold again is a change.
         false => passed.changed_from(&batch, |(id, known), (_, new)| {
-            known.is_same(new) && new.warmup <= known.warmup && !cooled.contains(id)
+            known.is_same(new) && new.warmup <= known.warmup && !colder.contains(id)
         }),
     }
     drop(passed);
-    take_leafs(shared, batch, whole);
+    apply_leafs(shared, batch, whole);
 }
 
-/// Leafs of a batch that stay cold for longer than was known: one that becomes cold again
-/// before it has told that it grows warm says the same as before.
-fn cooled_of(shared: &Shared, batch: &Batch<(LeafId, LeafEntry)>) -> BTreeSet<LeafId> {
-    /// By how much heartbeats of a leaf that warms up differ in what they make of its end.
-    const SLACK: Duration = Duration::from_millis(500);
+/// Returns the leafs of a batch that stay cold for longer than was known. A leaf that
+/// becomes cold again before it has reported a shorter warm-up writes the same entry as
+/// before.
+fn leafs_cold_longer(shared: &Shared, batch: &Batch<(LeafId, LeafEntry)>) -> BTreeSet<LeafId> {
+    /// Tolerance for the jitter of heartbeats, by which the end of one warm-up differs.
+    const TOLERANCE: Duration = Duration::from_millis(500);
     let now = shared.now();
     let state = lock(&shared.cell.state);
     let values = batch.items.iter().filter_map(|item| match &item.content {
@@ -46,36 +48,36 @@
     });
     let longer = values.filter(|(id, entry)| {
         let until = now + entry.warmup;
-        !entry.warmup.is_zero() && until > state.extra.leafs.cold_until(id) + SLACK
+        !entry.warmup.is_zero() && until > state.extra.leafs.cold_until(id) + TOLERANCE
     });
     longer.map(|(id, _)| id.clone()).collect()
 }
 
-fn take_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
+fn apply_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
     let now = shared.now();
     let mut moves = Vec::new();
     {
         let mut state = lock(&shared.cell.state);
         let leafs = &mut state.extra.leafs;
         if whole {
-            take_list(leafs, batch.items, now, &mut moves);
+            apply_leaf_list(leafs, batch.items, now, &mut moves);
         } else {
             for item in batch.items {
-                take_leaf(leafs, item, now, &mut moves);
+                apply_leaf(leafs, item, now, &mut moves);
             }
         }
         let known = leafs.len();
         shared.metrics.leafs.set(known as i64);
         take_moves(&mut state, &moves, &shared.settings, now);
     }
-    tell_moves(shared, &moves, batch.revision);
+    report_moves(shared, &moves, batch.revision);
     if moves.iter().any(|moved| matches!(moved, Moved::Cooled(..))) {
         shared.cooled.notify_one();
     }
     serve_if_ready(shared);
 }
 
-fn take_list(
+fn apply_leaf_list(
     leafs: &mut Leafs,
     items: Vec<Item<(LeafId, LeafEntry)>>,
     now: Time,
@@ -85,13 +87,13 @@
     for item in items {
         match item.content {
             Content::Is(leaf) => list.push(leaf),
-            Content::Deleted | Content::Malformed => take_leaf(leafs, item, now, moves),
+            Content::Deleted | Content::Malformed => apply_leaf(leafs, item, now, moves),
         }
     }
     leafs.listed(list, now, moves);
 }
 
-fn take_leaf(
+fn apply_leaf(
     leafs: &mut Leafs,
     item: Item<(LeafId, LeafEntry)>,
     now: Time,
@@ -101,25 +103,26 @@
         (Content::Is((id, entry)), _) => leafs.changed(id, entry, now, moves),
         (Content::Deleted, Ok(id)) => leafs.deleted(&id, now, moves),
         (Content::Malformed, Ok(id)) => leafs.malformed(&id, moves),
-        // No leaf can have been taken under a name that is none.
+        // An invalid name belongs to no known leaf.
         (Content::Deleted | Content::Malformed, Err(_)) => {}
     }
 }
 
-/// Gives up missing leafs in time.
-pub(crate) async fn lapses(shared: &Shared) {
-    /// Time between two looks while no leaf is missing, or the store is lost.
-    const LOOK: Duration = Duration::from_millis(500);
+/// Removes leafs that stay missing past their time limit.
+pub(crate) async fn expire_leafs(shared: &Shared) {
+    /// Interval between checks while no leaf is missing, or the store is lost.
+    const CHECK_INTERVAL: Duration = Duration::from_millis(500);
     loop {
         let now = shared.now();
         let wake = lock(&shared.cell.state).extra.leafs.wake();
-        // An entry that has lost the store can't see lapsed entries come back.
+        // Without the store this entry can't see expired leafs come back, so it removes
+        // none.
         let lost = shared.pulse.borrow().is_lost();
         if lost || wake > now {
             let wake = if lost {
-                now + LOOK
+                now + CHECK_INTERVAL
             } else {
-                wake.min(now + LOOK)
+                wake.min(now + CHECK_INTERVAL)
             };
             sleep_until(shared.host.clock.instant(wake)).await;
             continue;
@@ -130,14 +133,15 @@
             state.extra.leafs.tick(now, &mut moves);
             take_moves(&mut state, &moves, &shared.settings, now);
         }
-        tell_moves(shared, &moves, 0);
+        report_moves(shared, &moves, 0);
     }
 }
 
-fn tell_moves(shared: &Shared, moves: &[Moved], revision: u64) {
+/// Logs changes of leafs, and drops what was kept of calls to leafs that are gone or restarted.
+fn report_moves(shared: &Shared, moves: &[Moved], revision: u64) {
     for moved in moves {
-        let (word, id) = match moved {
-            // Told with each heartbeat of a leaf that warms up.
+        let (event, id) = match moved {
+            // Logged with each heartbeat of a leaf that warms up.
             Moved::Cooled(id, until) => {
                 let left = until.since(shared.now()).as_millis() as u64;
                 debug!(shared.host.log, "hold: leaf {id} is cold"; "revision" => revision, "left_ms" => left);
@@ -154,12 +158,13 @@
         if let Moved::Gone(id) | Moved::Reborn(id, _) = moved {
             shared.forward.forget(id);
         }
-        info!(shared.host.log, "hold: leaf {id} {word}"; "revision" => revision);
+        info!(shared.host.log, "hold: leaf {id} {event}"; "revision" => revision);
     }
 }
 
-/// Takes an answer of the feed of evacuations, to pass it on and to act by it.
-pub(crate) fn pass_evacuations(shared: &Shared, batch: Batch<DomainName>, whole: bool) {
+/// Applies an answer of the feed of evacuations to the relay state, and to the cache that
+/// peers read from.
+pub(crate) fn update_evacuations(shared: &Shared, batch: Batch<DomainName>, whole: bool) {
     {
         let mut passed = lock(&shared.passed.evacuations);
         match whole {
@@ -187,14 +192,15 @@
     for id in &emptied {
         shared.forward.forget(id);
     }
-    tell_shifts(shared, &shifts, batch.revision);
+    report_shifts(shared, &shifts, batch.revision);
     shared.cooled.notify_one();
     serve_if_ready(shared);
 }
 
-fn tell_shifts(shared: &Shared, shifts: &[Shift], revision: u64) {
+/// Logs failure domains that were evacuated or returned to service.
+fn report_shifts(shared: &Shared, shifts: &[Shift], revision: u64) {
     for shift in shifts {
-        let (word, domain) = match shift {
+        let (event, domain) = match shift {
             Shift::Emptied(domain) => ("is evacuated, its leafs get no calls", domain),
             Shift::Refilled(domain) => ("is back, its leafs may be called", domain),
         };
@@ -202,15 +208,15 @@
             let state = lock(&shared.cell.state);
             state.extra.leafs.within(domain).count()
         };
-        info!(shared.host.log, "hold: domain {domain} {word}"; "revision" => revision, "leafs" => leafs);
+        info!(shared.host.log, "hold: domain {domain} {event}"; "revision" => revision, "leafs" => leafs);
         if leafs == 0 {
             warn!(shared.host.log, "hold: no leaf is known in domain {domain}"; "revision" => revision);
         }
     }
 }
 
-/// Takes books that the store told of.
-pub(crate) fn take_book(shared: &Shared, batch: Batch<RouteBook>) {
+/// Applies route books from the store.
+pub(crate) fn apply_books(shared: &Shared, batch: Batch<RouteBook>) {
     for item in batch.items {
         let book = match item.content {
             Content::Is(book) => book,
@@ -227,31 +233,32 @@
     serve_if_ready(shared);
 }
 
-/// What an entry still has to know before it serves.
+/// Whether an entry has the state that it needs to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lack {
-    /// The book or the leafs.
-    More,
-    /// Only which domains are evacuated.
-    Evacuations,
-    /// Nothing.
-    Nothing,
+pub(crate) enum Readiness {
+    /// It has no route book or no leafs.
+    Incomplete,
+    /// It only lacks the evacuated failure domains.
+    NeedsEvacuations,
+    /// It has all that it needs.
+    Ready,
 }
 
-pub(crate) fn lacks(shared: &Shared) -> Lack {
+/// Returns whether the entry has the state that it needs to serve.
+pub(crate) fn readiness(shared: &Shared) -> Readiness {
     let state = lock(&shared.cell.state);
-    let ground = &state.extra;
-    match ground.evacuations.is_known() {
-        _ if ground.book.is_none() || ground.leafs.is_empty() => Lack::More,
-        false => Lack::Evacuations,
-        true => Lack::Nothing,
+    let relay_state = &state.extra;
+    match relay_state.evacuations.is_known() {
+        _ if relay_state.book.is_none() || relay_state.leafs.is_empty() => Readiness::Incomplete,
+        false => Readiness::NeedsEvacuations,
+        true => Readiness::Ready,
     }
 }
 
-/// Lets the entry serve once it knows the book, the leafs and which of their domains are
-/// evacuated.
+/// Lets the entry serve once it has the route book, the leafs and the evacuated failure
+/// domains.
 pub(crate) fn serve_if_ready(shared: &Shared) {
-    let serves = lacks(shared) == Lack::Nothing
+    let serves = readiness(shared) == Readiness::Ready
         && shared.phase.send_if_modified(|phase| {
             let starting = *phase == Phase::Starting;
             if starting {
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -1,4 +1,5 @@
-//! Follows the book and the leafs.
+//! Watches the feeds of the route book, the leafs and the evacuated failure domains at
+//! the current upstream.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,59 +15,55 @@
     pulse::Pulse,
     shared::Shared,
     sources::{EVACUATIONS, LEAFS, Sources},
-    take::{Lack, lacks, lapses, pass_evacuations, pass_leafs, take_book},
+    take::{Readiness, apply_books, expire_leafs, readiness, update_evacuations, update_leafs},
 };
 
-/// The book, as the metrics and the log call it.
+/// Name of the route book in metrics and logs.
 const BOOK: &str = "book";
-/// How long one watch waits for a change. Each call is paid for, so as long as
-/// stores let it wait; a watch that is lost is found by the pulse and not by
-/// its end.
-const WATCH: Duration = Duration::from_secs(25);
-/// Rest after a peer failed, in which another upstream is chosen.
-const PEER_REST: Duration = Duration::from_millis(20);
-/// Rest after a peer said that it can't pass on the store now.
-const WORD_REST: Duration = Duration::from_millis(50);
-/// Rest after an answer that is older than what is known, from a peer that has
-/// heard less.
-const OLD_REST: Duration = Duration::from_millis(100);
-/// How long a call for the book goes on once the entry hears from elsewhere. A book of a
-/// megabyte is read within it at 14 Mbit/s; a call that only waits would bring a whole
-/// book with the next change that the new upstream passes on in a few hundred bytes.
-const LINGER: Duration = Duration::from_secs(1);
-/// Pause between an answer of a watch and the next one. Changes mostly come
-/// several at a time, and each call is paid for; a leaf that leaves serves for
-/// some seconds more, so a third of a second is in time.
-const GATHER: Duration = Duration::from_millis(350);
-/// The longest pause, while changes come in series: it doubles with each answer that
-/// came at once. A watch that is lost is noticed later than that, within which all that
-/// follows is reckoned.
-const GATHER_MAX: Duration = Duration::from_millis(1000);
-/// A watch that waited for so long ends a series.
-const CALM: Duration = Duration::from_secs(1);
+/// Longest time that a watch waits for a change. As long as stores allow, as each call
+/// is paid for; a lost watch is found by the revision poll and not by its end.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
+/// Backoff after a peer failed, in which another upstream is chosen.
+const PEER_BACKOFF: Duration = Duration::from_millis(20);
+/// Backoff after a peer answered that it can't relay the store now.
+const LOST_BACKOFF: Duration = Duration::from_millis(50);
+/// Backoff after an answer older than what is known, from a peer that is behind.
+const STALE_BACKOFF: Duration = Duration::from_millis(100);
+/// How long a call for the book goes on after the upstream changed: enough for a large
+/// book on a slow link. A call that only waits would bring a whole book with the next
+/// change, which the new upstream sends as a small delta.
+const CALL_GRACE: Duration = Duration::from_secs(1);
+/// Delay between an answer of a watch and the next watch, so that changes that come
+/// together are read in one call. Short against the time that a draining leaf still
+/// serves.
+const BATCH_DELAY: Duration = Duration::from_millis(350);
+/// Longest such delay in a burst of changes: it doubles with each answer that came at
+/// once. It also delays the detection of a lost watch.
+const BATCH_DELAY_MAX: Duration = Duration::from_millis(1000);
+/// A watch that waited for this long ends a burst.
+const BURST_GAP: Duration = Duration::from_secs(1);
 
-/// What a change of upstream does to a call that is under way.
+/// What happens to a call under way when the upstream changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Calls {
-    /// It is given up: the news of one that is no upstream any more may be old.
-    GivenUp,
-    /// It goes on for [`LINGER`] unless its source has fallen silent: a book is newer than
-    /// the own one or is passed over, from wherever it comes, and may have been read in
-    /// part.
-    GoOn,
+enum CallPolicy {
+    /// It is cancelled, as answers of the former upstream may be stale.
+    Cancel,
+    /// It goes on for [`CALL_GRACE`], unless its source stopped answering: a book is
+    /// ordered by its version wherever it comes from, and may have been read in part.
+    Finish,
 }
 
-/// Follows the book in the store for as long as the entry runs, while the entry watches
-/// the store. What other entries have comes by [`crate::pull`].
+/// Watches the route book in the store for as long as the entry runs and the store is
+/// its upstream. Books of other entries are fetched by [`crate::pull`].
 pub(crate) async fn book(shared: Arc<Shared>, sources: Arc<Sources>) {
     let feed = |from| (from == Upstream::Store).then(|| sources.book.clone());
-    let take = |batch, _| take_book(&shared, batch);
-    follow(&shared, feed, Calls::GoOn, BOOK, take).await;
+    let apply = |batch, _| apply_books(&shared, batch);
+    watch_feed(&shared, feed, CallPolicy::Finish, BOOK, apply).await;
 }
 
-/// Takes all leafs that the entry at `from` has heard of. An entry that starts while the
-/// store is lost serves by them, and by the book of which that entry tells.
-pub(crate) async fn adopt(shared: &Shared, sources: &Sources, from: SocketAddr) {
+/// Loads the leafs and evacuations that the entry at `from` knows. An entry that starts
+/// while the store is lost serves by them, and by that entry's book.
+pub(crate) async fn load_from_peer(shared: &Shared, sources: &Sources, from: SocketAddr) {
     let (leafs, evacuations) = (sources.peers.leafs(from), sources.peers.evacuations(from));
     let lists = tokio::join!(
         leafs.list(Freshness::Stale),
@@ -76,47 +73,48 @@
         return;
     };
     if lock(&shared.passed.evacuations).is_behind(&evacuations) {
-        pass_evacuations(shared, evacuations, true);
+        update_evacuations(shared, evacuations, true);
     }
-    // The store may have answered meanwhile. An older list beside its watch would
-    // leave leafs missing for good of which the watch has nothing more to tell.
+    // The store may have answered meanwhile. An older list beside its watch would lack
+    // leafs for good that the watch does not report again.
     if lock(&shared.passed.leafs).is_behind(&leafs) {
-        info!(shared.host.log, "watch: takes what {from} has heard"; "revision" => leafs.revision);
-        pass_leafs(shared, leafs, true);
+        info!(shared.host.log, "watch: loads the state of {from}"; "revision" => leafs.revision);
+        update_leafs(shared, leafs, true);
     }
 }
 
-/// Follows the leafs for as long as the entry runs.
+/// Watches the leafs for as long as the entry runs.
 pub(crate) async fn leafs(shared: Arc<Shared>, sources: Arc<Sources>) {
-    let take = |batch, whole| pass_leafs(&shared, batch, whole);
+    let apply = |batch, whole| update_leafs(&shared, batch, whole);
     let feed = |from| Some(sources.leafs(from));
-    let follow = follow(&shared, feed, Calls::GivenUp, LEAFS, take);
-    tokio::join!(follow, lapses(&shared));
+    let watch = watch_feed(&shared, feed, CallPolicy::Cancel, LEAFS, apply);
+    tokio::join!(watch, expire_leafs(&shared));
 }
 
-/// Follows which failure domains are evacuated, for as long as the entry runs.
+/// Watches which failure domains are evacuated, for as long as the entry runs.
 pub(crate) async fn evacuations(shared: Arc<Shared>, sources: Arc<Sources>) {
-    let take = |batch, whole| pass_evacuations(&shared, batch, whole);
+    let apply = |batch, whole| update_evacuations(&shared, batch, whole);
     let feed = |from| Some(sources.evacuations(from));
-    let follow = follow(&shared, feed, Calls::GivenUp, EVACUATIONS, take);
-    tokio::join!(follow, ask_store(&shared, &*sources.evacuations));
+    let watch = watch_feed(&shared, feed, CallPolicy::Cancel, EVACUATIONS, apply);
+    tokio::join!(watch, list_evacuations(&shared, &*sources.evacuations));
 }
 
-/// Asks the store which domains are evacuated while no peer tells. One of an earlier
-/// version never does, and the entry would not serve until it is replaced.
-async fn ask_store(shared: &Shared, evacuations: &dyn Feed<DomainName>) {
-    /// Time that a peer has to tell, once the entry knows the book and the leafs.
-    const PATIENCE: Duration = Duration::from_secs(1);
+/// Lists the evacuated failure domains from the store while no peer reports them. A
+/// peer of an earlier version never does, and without the list the entry would not
+/// serve.
+async fn list_evacuations(shared: &Shared, evacuations: &dyn Feed<DomainName>) {
+    /// Time that a peer has to report them, once the entry has the book and the leafs.
+    const PEER_TIMEOUT: Duration = Duration::from_secs(1);
     loop {
-        sleep(PATIENCE).await;
-        match lacks(shared) {
-            Lack::Nothing => return,
-            Lack::More => continue,
-            Lack::Evacuations => shared.metrics.count_store(EVACUATIONS),
+        sleep(PEER_TIMEOUT).await;
+        match readiness(shared) {
+            Readiness::Ready => return,
+            Readiness::Incomplete => continue,
+            Readiness::NeedsEvacuations => shared.metrics.count_store(EVACUATIONS),
         }
         match evacuations.list(Freshness::Now).await {
             Ok(batch) if lock(&shared.passed.evacuations).is_behind(&batch) => {
-                pass_evacuations(shared, batch, true);
+                update_evacuations(shared, batch, true);
             }
             Ok(_) => {}
             Err(error) => {
@@ -126,95 +124,97 @@
     }
 }
 
-async fn follow<T>(
+/// Lists and watches one feed at the current upstream for as long as the entry runs; `apply`
+/// gets each answer, and whether it is the whole list.
+async fn watch_feed<T>(
     shared: &Shared,
     feed: impl Fn(Upstream) -> Option<Arc<dyn Feed<T>>>,
-    calls: Calls,
+    policy: CallPolicy,
     what: &'static str,
-    take: impl Fn(Batch<T>, bool),
+    apply: impl Fn(Batch<T>, bool),
 ) {
     let mut follower = Follower::default();
-    let mut gather = GATHER;
+    let mut batch_delay = BATCH_DELAY;
     loop {
-        store_there(shared).await;
-        let Some(upstream) = upstream(shared).await else {
+        wait_for_store(shared).await;
+        let Some(upstream) = wait_for_upstream(shared).await else {
             return;
         };
         let next = follower.next();
         let Some(source) = feed(upstream) else {
-            replaced(shared, upstream).await;
+            upstream_replaced(shared, upstream).await;
             continue;
         };
-        if what == EVACUATIONS && follower.known() > 0 && is_passing(shared, upstream).await {
+        if what == EVACUATIONS && follower.known() > 0 && is_transient(shared, upstream).await {
             continue;
         }
         if upstream == Upstream::Store {
             shared.metrics.count_store(what);
         }
-        let begun = shared.now();
-        let answer = answer(shared, &*source, &mut follower, upstream, calls).await;
-        tell_reading(shared, what, upstream, begun, answer.as_ref());
+        let started = shared.now();
+        let answer = next_answer(shared, &*source, &mut follower, upstream, policy).await;
+        record_outcome(shared, what, upstream, started, answer.as_ref());
         let Some(answer) = answer else {
             continue;
         };
         match (answer, upstream) {
-            (Ok(batch), _) if follower.is_old(batch.revision) => sleep(OLD_REST).await,
+            (Ok(batch), _) if follower.is_old(batch.revision) => sleep(STALE_BACKOFF).await,
             (Ok(batch), _) => {
                 follower.answered(batch.revision);
                 let changed = !batch.items.is_empty();
-                take(batch, next == Next::List);
-                shared.passed.told.send_modify(|told| *told += 1);
+                apply(batch, next == Next::List);
+                shared.passed.told.send_modify(|count| *count += 1);
                 if changed && next != Next::List && upstream == Upstream::Store {
-                    gather = match shared.now().since(begun) < CALM {
-                        true => (gather * 2).min(GATHER_MAX),
-                        false => GATHER,
+                    batch_delay = match shared.now().since(started) < BURST_GAP {
+                        true => (batch_delay * 2).min(BATCH_DELAY_MAX),
+                        false => BATCH_DELAY,
                     };
-                    sleep(gather).await;
+                    sleep(batch_delay).await;
                 }
             }
             (Err(error @ FeedError::HistoryGone), _) => {
                 follower.failed(&error, &mut shared.host.rng());
             }
             (Err(FeedError::Lost | FeedError::Elsewhere(_)), Upstream::Peer(_)) => {
-                // The pulse tells what became of the peer, and whom to follow.
+                // The next heartbeat shows the outcome, and the upstream to use.
                 shared.choose.notify_one();
-                sleep(WORD_REST).await;
+                sleep(LOST_BACKOFF).await;
             }
             (Err(error), Upstream::Peer(peer)) => {
                 info!(shared.host.log, "watch: a peer failed"; "what" => what,
                     "peer" => %peer, "why" => %error);
                 shared.failed(peer);
-                sleep(PEER_REST).await;
+                sleep(PEER_BACKOFF).await;
             }
             (Err(error), Upstream::Store) => {
-                let rest = follower.failed(&error, &mut shared.host.rng());
+                let backoff = follower.failed(&error, &mut shared.host.rng());
                 warn!(shared.host.log, "watch: a call failed"; "what" => what,
-                    "why" => %error, "rest_ms" => rest.as_millis() as u64);
-                sleep(rest).await;
+                    "why" => %error, "rest_ms" => backoff.as_millis() as u64);
+                sleep(backoff).await;
             }
         }
     }
 }
 
-/// Whether this entry turns to the store for a moment only, as it does while it looks for
-/// peers that have not lost it. What changes seldom need not be read anew then.
-async fn is_passing(shared: &Shared, upstream: Upstream) -> bool {
-    /// Time after which it is taken to stay.
-    const STAYS: Duration = Duration::from_millis(250);
+/// Returns whether the store is the upstream for a moment only, as it is in the search
+/// for peers that have not lost it. What seldom changes need not be listed for that.
+async fn is_transient(shared: &Shared, upstream: Upstream) -> bool {
+    /// Time after which the upstream counts as settled.
+    const SETTLE_TIME: Duration = Duration::from_millis(250);
     if upstream != Upstream::Store {
         return false;
     }
-    sleep(STAYS).await;
+    sleep(SETTLE_TIME).await;
     *shared.upstream.borrow() != Some(upstream)
 }
 
-/// Counts a reading and logs one that ended without its answer: what it had read
-/// is lost, and the next one begins anew.
-fn tell_reading<T>(
+/// Counts the outcome of a call, and logs one that was cancelled: what it had read is
+/// lost, and the next call starts over.
+fn record_outcome<T>(
     shared: &Shared,
     what: &'static str,
     from: Upstream,
-    begun: Time,
+    started: Time,
     answer: Option<&Result<Batch<T>, FeedError>>,
 ) {
     let kind = match answer {
@@ -226,38 +226,38 @@
     };
     shared.metrics.count_reading(kind);
     if answer.is_none() {
-        debug!(shared.host.log, "watch: gave up a call for the {what}"; "from" => %from,
-            "after_ms" => shared.now().since(begun).as_millis() as u64);
+        debug!(shared.host.log, "watch: cancelled a call for the {what}"; "from" => %from,
+            "after_ms" => shared.now().since(started).as_millis() as u64);
     }
 }
 
-/// The answer to the follower's next call; `None` if the store is lost or the
-/// upstream is another now.
-async fn answer<T>(
+/// Returns the answer to the follower's next call; `None` if the store is lost or the
+/// upstream has changed.
+async fn next_answer<T>(
     shared: &Shared,
     feed: &dyn Feed<T>,
     follower: &mut Follower,
     upstream: Upstream,
-    calls: Calls,
+    policy: CallPolicy,
 ) -> Option<Result<Batch<T>, FeedError>> {
     let revision = match follower.next() {
         Next::List => {
             return tokio::select! {
                 biased;
                 answer = feed.list(Freshness::Now) => Some(answer),
-                () = moved(shared, upstream, calls) => None,
+                () = call_cancelled(shared, upstream, policy) => None,
             };
         }
         Next::Watch(revision) => revision,
     };
-    let mut asked = shared.now();
-    let mut watch = feed.watch(revision, WATCH);
+    let mut started = shared.now();
+    let mut watch = feed.watch(revision, WATCH_TIMEOUT);
     loop {
         tokio::select! {
             biased;
             answer = &mut watch => return Some(answer),
-            () = moved(shared, upstream, calls) => return None,
-            () = overdue(shared, follower.known(), asked) => {}
+            () = call_cancelled(shared, upstream, policy) => return None,
+            () = check_due(shared, follower.known(), started) => {}
         }
         if *shared.upstream.borrow() != Some(upstream) {
             return None;
@@ -266,22 +266,21 @@
             shared.metrics.count_store("check");
         }
         match feed.check(follower.known()).await {
-            // Nothing of this kind has changed: the watch may be sound.
+            // Nothing of this kind has changed, so the watch may be healthy.
             Ok(batch) if batch.items.is_empty() => {
                 follower.answered(batch.revision.max(follower.known()));
-                asked = shared.now();
+                started = shared.now();
             }
             answer => {
-                info!(shared.host.log, "watch: a change was not told"; "revision" => revision);
+                info!(shared.host.log, "watch: a watch missed a change"; "revision" => revision);
                 return Some(answer);
             }
         }
     }
 }
 
-/// Waits until the store answers pulses. Calls to one that does not would only
-/// be paid for.
-async fn store_there(shared: &Shared) {
+/// Waits until the store answers polls, as calls to a lost one are paid for in vain.
+async fn wait_for_store(shared: &Shared) {
     // An error means that the entry ends.
     let _ = shared
         .pulse
@@ -290,27 +289,27 @@
         .await;
 }
 
-/// The upstream, once there is one; `None` if the entry ends.
-async fn upstream(shared: &Shared) -> Option<Upstream> {
+/// Waits for an upstream; `None` if the entry ends.
+async fn wait_for_upstream(shared: &Shared) -> Option<Upstream> {
     let mut upstreams = shared.upstream.subscribe();
     let upstream = upstreams.wait_for(Option::is_some).await;
     upstream.ok().and_then(|upstream| *upstream)
 }
 
-/// Waits until the upstream is another.
-async fn replaced(shared: &Shared, from: Upstream) {
+/// Waits until the upstream is no longer `from`.
+async fn upstream_replaced(shared: &Shared, from: Upstream) {
     let mut upstreams = shared.upstream.subscribe();
     // An error means that the entry ends.
     let _ = upstreams.wait_for(|upstream| *upstream != Some(from)).await;
 }
 
-/// Waits until a call to `from` is to be given up.
-async fn moved(shared: &Shared, from: Upstream, calls: Calls) {
+/// Waits until a call to `from` is to be cancelled.
+async fn call_cancelled(shared: &Shared, from: Upstream, policy: CallPolicy) {
     let mut pulses = shared.pulse.subscribe();
     let over = async {
-        replaced(shared, from).await;
-        if calls == Calls::GoOn && !lock(&shared.upstreams).is_deaf() {
-            sleep(LINGER).await;
+        upstream_replaced(shared, from).await;
+        if policy == CallPolicy::Finish && !lock(&shared.upstreams).is_deaf() {
+            sleep(CALL_GRACE).await;
         }
     };
     tokio::select! {
@@ -320,12 +319,12 @@
     }
 }
 
-/// Waits until a watch that was asked at `asked`, and has told all up to `told`,
-/// is to be checked.
-async fn overdue(shared: &Shared, told: u64, asked: Time) {
+/// Waits until a watch that was started or last checked at `started`, and has reported all
+/// changes up to `reported`, is to be checked.
+async fn check_due(shared: &Shared, reported: u64, started: Time) {
     let mut pulses = shared.pulse.subscribe();
     loop {
-        let until = pulses.borrow_and_update().overdue(told, asked);
+        let until = pulses.borrow_and_update().overdue(reported, started);
         if until.is_some_and(|until| until <= shared.now()) {
             return;
         }
