--- a/crates/relay/tests/large_book.rs
+++ b/crates/relay/tests/large_book.rs
@@ -1,4 +1,4 @@
-//! Books that take long to read, on links of limited rate.
+//! Propagation of large route books over links of limited rate.
 
 mod world;
 
@@ -14,30 +14,29 @@
 
 const ENTRIES: u16 = 24;
 const DOMAINS: u16 = 3;
-/// A book of so many rules is read in 0.5 s over a weak link, as one of 4,251 is at
-/// 14 Mbit/s.
+/// Number of rules in a large book, which takes half a second to read over a slow link.
 const RULES: usize = 1000;
-/// Bytes a second of a weak link.
-const WEAK: u32 = 400_000;
-/// Bytes a second of the link of the first entry of each domain.
-const STRONG: u32 = 4_000_000;
+/// Rate of a slow link in bytes a second.
+const SLOW_LINK: u32 = 400_000;
+/// Rate of the link of the first entry of each domain in bytes a second.
+const FAST_LINK: u32 = 4_000_000;
 /// Time within which a change is in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(2);
 
-fn one(prefix: &str) -> Rule {
+fn one_rule(prefix: &str) -> Rule {
     rule(prefix, Kind::Idempotent, Target::One(name("archive")))
 }
 
 /// A version with many rules, and one that is found by the version's number.
-fn large(number: u64) -> RouteBook {
+fn large_book(number: u64) -> RouteBook {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut prefix = || format!("/{:010x}/", rng.random_range(0..1_u64 << 40));
-    let mut rules: Vec<Rule> = (0..RULES).map(|_| one(&prefix())).collect();
-    rules.push(one(&format!("/v{number}/")));
+    let mut rules: Vec<Rule> = (0..RULES).map(|_| one_rule(&prefix())).collect();
+    rules.push(one_rule(&format!("/v{number}/")));
     book(number, rules)
 }
 
-async fn has(relay: &Relay, number: u64) -> bool {
+async fn serves_version(relay: &Relay, number: u64) -> bool {
     let path: &'static str = format!("/v{number}/x").leak();
     matches!(relay.forward(ask("r", path)).await, Reply::Whole(_))
 }
@@ -45,7 +44,7 @@
 async fn entries_with(relays: &[Relay], number: u64) -> usize {
     let mut count = 0;
     for relay in relays {
-        count += usize::from(has(relay, number).await);
+        count += usize::from(serves_version(relay, number).await);
     }
     count
 }
@@ -57,11 +56,11 @@
         ..Stage::default()
     };
     for n in 1..=ENTRIES {
-        let rate = if n <= DOMAINS { STRONG } else { WEAK };
+        let rate = if n <= DOMAINS { FAST_LINK } else { SLOW_LINK };
         stage.feeds.1.limit(peers_address(n), rate);
     }
     stage.add_leafs("archive", 2, 5);
-    stage.store.put_book(book(1, vec![one("/v1/")]));
+    stage.store.put_book(book(1, vec![one_rule("/v1/")]));
     let mut relays = Vec::new();
     for n in 1..=ENTRIES {
         relays.push(stage.serving(n).await);
@@ -70,54 +69,47 @@
     (stage, relays)
 }
 
-/// A caller is refused with "no rule" for a route that was confirmed seconds before,
-/// or is served by the service that the route was moved from.
-/// The book grows by a thousand rules, and a small change follows a second later.
-/// All followers read at once. A reading takes half a second on a weak link, and was
-/// given up after 0.4 s: the peer counted as lost, another one sent all of it again.
-/// Links filled with books that nobody took, pulses waited behind them and failed
-/// too. On a deployment of 71 entries, with nothing else wrong, 833 KB a reading, the
-/// last entry had the book 12 s after its peers and 1,549 changes of upstream.
+/// Reads of a large book are cancelled and started over on another peer, so that links
+/// fill with copies that nobody applies and a confirmed route is refused for seconds.
 #[tokio::test(start_paused = true)]
 async fn a_large_book_is_in_force_everywhere_within_two_seconds() {
     let (stage, relays) = start().await;
-    stage.store.put_book(large(2));
+    stage.store.put_book(large_book(2));
     sleep(IN_FORCE).await;
     assert_eq!(entries_with(&relays, 2).await, relays.len());
-    stage.store.put_book(large(3));
+    stage.store.put_book(large_book(3));
     sleep(IN_FORCE).await;
     assert_eq!(entries_with(&relays, 3).await, relays.len());
 }
 
-/// What becomes of the store once the first entry has the version.
+/// Outage of the store once the first entry has the version.
 #[derive(Clone, Copy, Debug)]
-enum Store {
-    /// It falls silent.
-    Gone,
-    /// It turns away every entry but one.
-    TurnsAway,
-    /// Calls of every entry but one vanish.
-    Parted,
+enum Outage {
+    /// The store answers nobody.
+    Silent,
+    /// The store rejects every entry but one.
+    Rejects,
+    /// Calls of every entry but one are lost.
+    Partitioned,
 }
 
-/// Most entries refuse a route that one of them serves, and one that starts refuses all.
-/// Only one entry could read the version before the store was lost to the others, and it
-/// passed nothing on as it had lost the store too, or followed another one.
+/// A version that only one entry read before the store was lost stays at that entry, as
+/// it relays nothing without the store or follows another one.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_version_that_one_entry_has_reaches_all_without_the_store(
-    #[values(Store::Gone, Store::TurnsAway, Store::Parted)] store: Store,
+    #[values(Outage::Silent, Outage::Rejects, Outage::Partitioned)] outage: Outage,
 ) {
     let (stage, mut relays) = start().await;
     let others = (2..=ENTRIES + 1).collect();
-    match store {
-        Store::Gone => {}
-        Store::TurnsAway => stage.store.bar(others),
-        Store::Parted => stage.store.part(others),
+    match outage {
+        Outage::Silent => {}
+        Outage::Rejects => stage.store.bar(others),
+        Outage::Partitioned => stage.store.part(others),
     }
-    stage.store.put_book(large(2));
+    stage.store.put_book(large_book(2));
     sleep(Duration::from_millis(100)).await;
-    if matches!(store, Store::Gone) {
+    if matches!(outage, Outage::Silent) {
         stage.store.answers(Answers::Never);
     }
     sleep(Duration::from_millis(400)).await;
@@ -126,31 +118,25 @@
     assert_eq!(entries_with(&relays, 2).await, relays.len());
 }
 
-/// The operator changes one route, and the links between entries carry a book for each
-/// of them, which is paid for.
-/// 24 entries, 23 of which don't watch the store or read it as one of three: 5 MB before
-/// for one route of a thousand.
+/// A change of one rule sends the whole book to every entry.
 #[tokio::test(start_paused = true)]
-async fn a_small_change_of_a_large_book_weighs_little() {
+async fn a_small_change_of_a_large_book_sends_few_bytes() {
     let (stage, relays) = start().await;
-    stage.store.put_book(large(2));
+    stage.store.put_book(large_book(2));
     sleep(IN_FORCE).await;
     let carried = stage.feeds.1.carried();
-    stage.store.put_book(large(3));
+    stage.store.put_book(large_book(3));
     sleep(Duration::from_millis(500)).await;
     assert_eq!(entries_with(&relays, 3).await, relays.len());
     let each = (stage.feeds.1.carried() - carried) / relays.len();
     assert!(each < 2_000, "{each} bytes an entry");
 }
 
-/// Time within which a change is due at all entries though the store turns some away. The
-/// deployment where it was missed allows five seconds.
-const DUE_DISTURBED: Duration = Duration::from_secs(5);
+/// Time within which a change is due at all entries though the store rejects some.
+const IN_FORCE_DEGRADED: Duration = Duration::from_secs(5);
 
-/// Callers are refused a route that was confirmed five seconds before.
-/// The store takes a version, turns all its watchers away in the same moment, and serves
-/// one other entry. The others wait for the watchers, and each asked the store for itself
-/// for the first time four to eight seconds after it had noticed.
+/// The store takes a version as it rejects all watchers, and the one entry that it
+/// still serves polls it too late.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_version_that_came_as_all_watchers_were_turned_away_is_in_force_in_time(
@@ -163,12 +149,12 @@
             .bar((1..=ENTRIES).filter(|n| *n != served).collect());
         stage
             .store
-            .put_book(book(number, vec![one(&format!("/v{number}/"))]));
-        sleep(DUE_DISTURBED).await;
+            .put_book(book(number, vec![one_rule(&format!("/v{number}/"))]));
+        sleep(IN_FORCE_DEGRADED).await;
         let with = entries_with(&relays, number).await;
         assert_eq!(with, relays.len(), "version {number}");
         stage.store.bar(Default::default());
-        // A part of a second more each time, so that pulses are found elsewhere.
+        // A different phase each time, so that it falls elsewhere between polls.
         sleep(Duration::from_millis(20_000 + 130 * number)).await;
     }
 }
--- a/crates/relay/tests/regressions.rs
+++ b/crates/relay/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! One test for each failure found, named after it.
+//! Regression tests, each named after the property that a failure broke.
 
 mod world;
 
@@ -20,8 +20,8 @@
     book(version, vec![rule("/a/", Kind::Idempotent, target)])
 }
 
-/// Calls that a leaf gets of many requests at once, enough that no leaf that
-/// may be called is left out.
+/// Returns the calls that a leaf gets of many requests at once, enough that no leaf
+/// that may be called is left out.
 async fn calls_now(stage: &Stage, relay: &Relay, leaf: &LeafId) -> usize {
     let since = Instant::now();
     let ids: Vec<String> = (0..40).map(|n| format!("r{n}")).collect();
@@ -31,10 +31,8 @@
     got.iter().filter(here).count()
 }
 
-/// Callers' connections break while an entry stops.
-/// The last of the entries that know each other leaves; nobody is left among
-/// those that take work, and the connections to a leaf were divided by their
-/// number. An entry that leaves still serves and counts.
+/// The last entry to leave divides the connections to a leaf by the number of members
+/// that take work, which is zero. An entry that leaves still counts.
 #[tokio::test(start_paused = true)]
 async fn the_last_entry_to_leave_still_serves() {
     let stage = Stage::default();
@@ -51,11 +49,8 @@
     assert!(matches!(a.forward(ask("r", "/a/x")).await, Reply::Whole(_)));
 }
 
-/// A leaf that left gets calls for half a minute.
-/// The store is silent for three seconds and takes the answer of a waiting
-/// watch with it. The connection is sound afterwards, so the watch waits on for
-/// an answer that never comes, and its leaf drains unseen. The store's pulse
-/// shows the change, and the watch is started again.
+/// The answer of a watch is lost in a silence of the store while the connection stays
+/// healthy, and a draining leaf goes on getting calls.
 #[tokio::test(start_paused = true)]
 async fn a_watch_whose_answer_was_lost_is_started_again() {
     let stage = Stage::default();
@@ -74,8 +69,8 @@
     assert_eq!(calls_now(&stage, &relay, &leafs[0]).await, 0);
 }
 
-/// As above, but the silence falls between two pulses, so that nothing but the
-/// missing change tells of it.
+/// As above, but the silence falls between two revision polls, so that only the missing
+/// change shows it.
 #[tokio::test(start_paused = true)]
 async fn a_watch_lost_in_a_short_silence_is_started_again() {
     let stage = Stage::default();
@@ -92,11 +87,8 @@
     assert_eq!(calls_now(&stage, &relay, &leafs[0]).await, 0);
 }
 
-/// A leaf that left gets calls until something else changes in the store.
-/// It leaves while the store is silent; when the store is back the entry asks
-/// for changes, and that call is lost on a connection that stays silent. The
-/// change is older than the call, so the call alone proves nothing: it is
-/// checked like any other.
+/// A watch that is started after a change is lost too, and a draining leaf gets calls
+/// until something else changes.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_is_lost_after_the_change_is_started_again() {
     let stage = Stage::default();
@@ -114,12 +106,10 @@
     assert_eq!(calls_now(&stage, &relay, &leafs[0]).await, 0);
 }
 
-/// A service has no leaf for this entry although all of them are listed.
-/// Their entries lapsed with the store; the entry could not see them come back
-/// in time and took them for gone. When it does see them, under the same ids,
-/// they take work again.
+/// A leaf whose entry expired with the store is ignored after it registers again under
+/// the same id.
 #[tokio::test(start_paused = true)]
-async fn a_leaf_that_was_taken_for_gone_may_come_back() {
+async fn a_leaf_that_was_removed_may_return() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 1, 10);
     stage.store.put_book(one(1));
@@ -138,9 +128,8 @@
     ));
 }
 
-/// Callers of an entry that is cut off from the store find no leafs.
-/// All entries lapsed in an outage, and the entry lost the store again before
-/// it could see them come back. While it can't see, it takes none for gone.
+/// An entry that lost the store while all leaf entries were expired removes the leafs,
+/// though it can't see them come back.
 #[tokio::test(start_paused = true)]
 async fn missing_leafs_are_kept_while_the_store_is_lost() {
     let stage = Stage::default();
@@ -167,12 +156,10 @@
     ));
 }
 
-/// An entry's memory grows with every edit, and hedges stop fitting their
-/// routes after some days.
-/// Operators add and remove routes; each has a class of calls of its own, and
-/// those of routes that are gone must be used again.
+/// Classes of calls of removed routes are not reused, so that memory grows with every
+/// edit and hedges no longer fit their routes.
 #[tokio::test(start_paused = true)]
-async fn classes_of_removed_rules_are_used_again() {
+async fn classes_of_removed_rules_are_reused() {
     let stage = Stage::default();
     stage.add_leafs("archive", 1, 1);
     stage.store.put_book(one(1));
@@ -192,12 +179,10 @@
     assert!(metrics.contains("chestnut_relay_classes 2\n"), "{metrics}");
 }
 
-/// The caller gets a whole answer that lacks the records of one shard.
-/// A leaf of that shard answers that it knows no such path; the answer is signed
-/// and whole, and was merged as the part of its shard. It is a failure, and
-/// another leaf is asked.
+/// The signed rejection of a leaf is merged as the part of its shard, and the caller
+/// gets an answer that lacks records without notice.
 #[tokio::test(start_paused = true)]
-async fn a_rejection_is_no_part_of_a_merge() {
+async fn a_rejection_is_not_merged() {
     let stage = Stage::default();
     for shard in ["s1", "s2"] {
         stage.add_leafs(shard, 2, 10);
@@ -215,11 +200,10 @@
     assert_eq!(missing(&reply), Some(1));
 }
 
-/// A route that was moved goes back to its old service.
-/// An entry hears an older book after a newer one, from a peer that has heard
-/// less or from a copy of the store that lags. It keeps the newer one.
+/// A moved route returns to its old service, as an older book arrives after a newer one
+/// from a lagging source.
 #[tokio::test(start_paused = true)]
-async fn an_older_book_is_not_taken() {
+async fn an_older_book_is_not_applied() {
     let stage = Stage::default();
     stage.add_leafs("archive", 2, 10);
     let version = |number, prefix: &str| {
@@ -240,12 +224,10 @@
     ));
 }
 
-/// A route is still served by its old service, seconds after it was moved.
-/// An entry that is cut off from the store lost the peer it followed, and asks
-/// the store again in vain. While it waited for the answer it told others that it
-/// hears of the store, and an entry that the store serves followed it.
+/// An entry that is cut off reports the store as reachable while it waits for an
+/// answer, and its followers miss changes.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_cut_off_passes_nothing_on() {
+async fn an_entry_that_is_cut_off_relays_nothing() {
     let stage = Stage {
         domains: 2,
         seeds: vec![1, 2],
@@ -256,36 +238,32 @@
     let first = stage.serving(1).await;
     let _cut_off = stage.serving(2).await;
     sleep(Duration::from_secs(8)).await;
-    let passes_on = || {
+    let relays = || {
         let service = lock(&stage.feeds.0).get(&peers_address(2)).cloned();
         service.is_some_and(|service| service.pulse().is_ok())
     };
-    assert!(passes_on());
+    assert!(relays());
     stage.store.part([2].into());
     sleep(Duration::from_secs(4)).await;
     drop(first);
     stage.feeds.cut(peers_address(1));
     stage.net.cut(peers_address(1));
     for _ in 0..400 {
-        assert!(!passes_on());
+        assert!(!relays());
         sleep(Duration::from_millis(25)).await;
     }
     stage.store.part([].into());
     sleep(Duration::from_secs(10)).await;
-    assert!(passes_on());
+    assert!(relays());
 }
 
-/// Callers of an entry that was started again are refused for as long as the store
-/// is away, while the entries beside it serve.
-/// It knows no book and no leafs. Those beside it do, and pass on what they heard
-/// last, to one that asks them and to one that asks the store first.
+/// An entry that starts while the store is lost refuses all callers, although its peers
+/// know the book and the leafs.
 #[rstest]
 #[case::no_seed(vec![1])]
 #[case::a_seed(vec![1, 2])]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_starts_without_the_store_serves_by_what_others_know(
-    #[case] seeds: Vec<u16>,
-) {
+async fn an_entry_started_without_the_store_serves_from_its_peers(#[case] seeds: Vec<u16>) {
     let stage = Stage {
         domains: 2,
         seeds,
@@ -302,7 +280,7 @@
     assert_eq!(second.phase(), Phase::Serving);
     let reply = second.forward(ask("r", "/a/x")).await;
     assert!(matches!(reply, Reply::Whole(_)), "{reply:?}");
-    // And it hears of what changes once the store is back.
+    // It also receives changes once the store is back.
     stage.store.put_book(one(2));
     stage.store.answers(Answers::Yes);
     sleep(Duration::from_secs(5)).await;
--- a/crates/relay/tests/spread.rs
+++ b/crates/relay/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Which peer an entry reads a newer book from, and what it is told.
+//! Choice of the peer from which an entry reads a newer book, and the deltas that it
+//! gets.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,43 +14,46 @@
     SocketAddr::from(([10, 0, 0, n], 4))
 }
 
-fn told(spread: &mut Spread, n: u8, version: u64, distance: Distance) -> bool {
+fn report(spread: &mut Spread, n: u8, version: u64, distance: Distance) -> bool {
     spread.told(peer(n), BookVersion(version), distance, NOW)
 }
 
-/// Two peers of the own domain have what this entry lacks, and all entries ask the one
-/// that comes first in some order. Its link then carries the book of all of them.
+/// All entries read a new version from the same peer, whose link then carries the book
+/// for each of them.
 #[test]
-fn entries_that_hear_together_ask_different_peers() {
+fn entries_updated_together_ask_different_peers() {
     let mut spread = Spread::default();
-    assert!(told(&mut spread, 1, 5, Distance::Near));
-    assert!(!told(&mut spread, 2, 5, Distance::Near), "no news any more");
+    assert!(report(&mut spread, 1, 5, Distance::Near));
+    assert!(
+        !report(&mut spread, 2, 5, Distance::Near),
+        "already reported"
+    );
     assert_eq!(spread.next(0, NOW), Pull::From(peer(1)));
     assert_eq!(spread.next(1, NOW), Pull::From(peer(2)));
 }
 
 /// Bytes between domains are paid for, and a peer of the own domain mostly has the
-/// version some milliseconds later. Where none tells of it, another domain's is asked.
+/// version soon; without one, the version must not wait.
 #[test]
-fn a_peer_of_another_domain_is_asked_if_no_near_one_tells_soon() {
+fn a_remote_peer_is_asked_if_no_local_one_reports_soon() {
     let mut spread = Spread::default();
-    told(&mut spread, 8, 5, Distance::Far);
+    report(&mut spread, 8, 5, Distance::Far);
     let Pull::Rest(until) = spread.next(0, NOW) else {
         panic!("asked at once");
     };
     assert!(until.since(NOW) <= Duration::from_millis(200));
     assert_eq!(spread.next(0, until), Pull::From(peer(8)));
-    told(&mut spread, 2, 5, Distance::Near);
+    report(&mut spread, 2, 5, Distance::Near);
     assert_eq!(spread.next(0, until), Pull::From(peer(2)));
 }
 
-/// A peer that falls silent in the middle of its answer must not be asked for ever
-/// while another one has the version, and is asked again if it is the only one.
+/// A silent peer is asked for ever while another one has the version, or is never asked
+/// again though it is the only one.
 #[test]
-fn a_peer_that_did_not_pass_on_its_book_is_asked_last() {
+fn a_peer_that_failed_is_asked_last() {
     let mut spread = Spread::default();
-    told(&mut spread, 1, 5, Distance::Near);
-    told(&mut spread, 8, 5, Distance::Far);
+    report(&mut spread, 1, 5, Distance::Near);
+    report(&mut spread, 8, 5, Distance::Far);
     spread.failed(peer(1), NOW);
     let Pull::Rest(until) = spread.next(0, NOW) else {
         panic!("asked at once");
@@ -62,16 +66,16 @@
     assert_eq!(spread.next(0, until), Pull::From(peer(1)));
 }
 
-/// A version is late at an entry, as the peer that it reads from has a full link.
-/// Such a peer is not lost, as bytes come; another one is asked beside it, and no third.
+/// A version is late as the peer that it is read from has a slow link, or too many
+/// peers are read from at once.
 #[test]
-fn another_peer_is_asked_beside_a_slow_one() {
+fn a_slow_fetch_is_hedged_once() {
     let mut spread = Spread::default();
-    told(&mut spread, 1, 5, Distance::Near);
+    report(&mut spread, 1, 5, Distance::Near);
     spread.begun(peer(1), NOW);
     assert_eq!(spread.next(0, NOW), Pull::Nothing);
-    told(&mut spread, 2, 5, Distance::Near);
-    told(&mut spread, 3, 5, Distance::Near);
+    report(&mut spread, 2, 5, Distance::Near);
+    report(&mut spread, 3, 5, Distance::Near);
     let Pull::Rest(until) = spread.next(0, NOW) else {
         panic!("asked at once");
     };
@@ -85,12 +89,12 @@
     assert_eq!(spread.next(0, later), Pull::From(peer(3)));
 }
 
-/// An entry goes on asking for what it has, or believes to be behind for good.
+/// An entry keeps fetching what it has, or counts as behind for good.
 #[test]
-fn what_is_in_force_is_not_asked_for() {
+fn versions_in_force_are_not_fetched() {
     let mut spread = Spread::default();
-    told(&mut spread, 1, 5, Distance::Near);
-    told(&mut spread, 2, 7, Distance::Near);
+    report(&mut spread, 1, 5, Distance::Near);
+    report(&mut spread, 2, 7, Distance::Near);
     let later = NOW + Duration::from_secs(3);
     assert_eq!(spread.behind(later), Some(Duration::from_secs(3)));
     spread.taken(BookVersion(5), later);
@@ -100,23 +104,23 @@
         Some(Duration::from_secs(3))
     );
     assert_eq!((spread.behind(later), spread.newest()), (None, None));
-    assert!(!told(&mut spread, 1, 7, Distance::Near));
+    assert!(!report(&mut spread, 1, 7, Distance::Near));
     assert_eq!(spread.next(0, later), Pull::Nothing);
-    // One that has started again lacks what it had told of.
-    told(&mut spread, 1, 9, Distance::Near);
-    told(&mut spread, 1, 0, Distance::Near);
+    // One that has restarted lacks what it had reported.
+    report(&mut spread, 1, 9, Distance::Near);
+    report(&mut spread, 1, 0, Distance::Near);
     assert_eq!(
         (spread.next(0, later), spread.behind(later)),
         (Pull::Nothing, None)
     );
 }
 
-/// Members by the thousand tell of a version at once; what is kept of them is bounded.
+/// The state kept of peers grows with the members that report a version.
 #[test]
-fn what_is_kept_of_peers_is_bounded() {
+fn state_of_peers_is_bounded() {
     let mut spread = Spread::default();
     for n in 0..=u8::MAX {
-        told(&mut spread, n, 5, Distance::Far);
+        report(&mut spread, n, 5, Distance::Far);
     }
     let later = NOW + Duration::from_secs(1);
     let asked: std::collections::BTreeSet<String> = (0..1000)
@@ -142,11 +146,10 @@
     Arc::new(RouteBook::build(BookVersion(number), rules, [], limits).unwrap())
 }
 
-/// An entry that has one of the last versions gets what has changed since, one that is
-/// further behind or has a version that was never here gets all, and one that is ahead
-/// gets nothing older.
+/// An entry gets a delta that doesn't fit its version, or an older version than its
+/// own; one that is too far behind gets the whole book.
 #[test]
-fn what_is_told_makes_the_newest_version_of_any_other() {
+fn deltas_update_any_version_to_the_newest() {
     let mut history = History::default();
     assert!(history.since(BookVersion(0)).unwrap().delta.is_empty());
     for number in [2, 4, 6, 8, 10] {
--- a/crates/relay/tests/spread_model.rs
+++ b/crates/relay/tests/spread_model.rs
@@ -1,5 +1,5 @@
-//! How a version spreads among many entries, by their decisions alone: a queue of
-//! messages and readings in virtual time. Each seed repeats its run.
+//! Simulation of the propagation of a version among many entries: a queue of messages
+//! and reads in virtual time. Each seed reproduces its run.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -10,39 +10,39 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Members that are told of a new version, as the entries do it.
-const TOLD_NEAR: usize = 5;
-const TOLD_FAR: usize = 1;
-/// Time of a message on its way, and of a reading.
-const WAY: Duration = Duration::from_millis(2);
-const READING: Duration = Duration::from_millis(20);
-/// Time between two pulses of the entry that is followed, and between two probes.
-const PULSE: Duration = Duration::from_secs(1);
-const PROBE: Duration = Duration::from_millis(500);
+/// Members that an entry reports a new version to, in its failure domain and in any.
+const REPORTS_LOCAL: usize = 5;
+const REPORTS_REMOTE: usize = 1;
+/// Network delay of a message, and duration of a read.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+const READ_TIME: Duration = Duration::from_millis(20);
+/// Interval between heartbeats of the upstream, and between probes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 const NEW: BookVersion = BookVersion(7);
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// One entry hears from another which version it has.
-    Hears(usize, usize),
-    /// A reading from an entry ends.
+    /// The first entry receives a report of the version of the second.
+    Reported(usize, usize),
+    /// The first entry has read the book of the second.
     Read(usize, usize),
-    /// The entry looks again what to do.
-    Looks(usize),
-    /// The entry asks the one that it follows, or any member.
-    Pulses(usize),
-    Probes(usize),
+    /// The entry decides which peer to read from next.
+    Decide(usize),
+    /// The entry gets the version of its upstream, or probes any member.
+    Heartbeat(usize),
+    Probe(usize),
 }
 
-struct World {
+struct Simulation {
     domains: usize,
     spreads: Vec<Spread>,
-    has: Vec<Option<Time>>,
-    /// Messages and readings that each entry was asked for.
+    received: Vec<Option<Time>>,
+    /// Messages that were sent, and reads that each entry had to serve.
     messages: usize,
     asked: Vec<usize>,
     queue: BTreeMap<(Time, u64), Event>,
-    next: u64,
+    sequence: u64,
     rng: ChaCha8Rng,
 }
 
@@ -60,129 +60,132 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize, domains: usize, seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             domains,
             spreads: vec![Spread::default(); entries],
-            has: vec![None; entries],
+            received: vec![None; entries],
             messages: 0,
             asked: vec![0; entries],
             queue: BTreeMap::new(),
-            next: 0,
+            sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for n in 0..entries {
-            let pulse = PULSE.mul_f64(world.rng.random_range(0.0..1.0));
-            let probe = PROBE.mul_f64(world.rng.random_range(0.0..1.0));
-            world.add(Time::ZERO + pulse, Event::Pulses(n));
-            world.add(Time::ZERO + probe, Event::Probes(n));
+            let pulse = HEARTBEAT_INTERVAL.mul_f64(simulation.rng.random_range(0.0..1.0));
+            let probe = PROBE_INTERVAL.mul_f64(simulation.rng.random_range(0.0..1.0));
+            simulation.schedule(Time::ZERO + pulse, Event::Heartbeat(n));
+            simulation.schedule(Time::ZERO + probe, Event::Probe(n));
         }
-        world
+        simulation
     }
 
-    fn add(&mut self, at: Time, event: Event) {
-        self.next += 1;
-        self.queue.insert((at, self.next), event);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((at, self.sequence), event);
     }
 
-    fn say(&mut self, from: usize, to: usize, now: Time) {
+    fn send(&mut self, from: usize, to: usize, now: Time) {
         self.messages += 1;
-        self.add(now + WAY, Event::Hears(to, from));
+        self.schedule(now + NETWORK_DELAY, Event::Reported(to, from));
     }
 
-    fn takes(&mut self, n: usize, now: Time) {
-        if self.has[n].is_some() {
+    fn receive(&mut self, n: usize, now: Time) {
+        if self.received[n].is_some() {
             return;
         }
-        self.has[n] = Some(now);
+        self.received[n] = Some(now);
         self.spreads[n].taken(NEW, now);
         let entries = self.spreads.len();
-        for _ in 0..TOLD_NEAR {
-            let near = self.rng.random_range(0..entries / self.domains) * self.domains;
-            self.say(n, near + n % self.domains, now);
+        for _ in 0..REPORTS_LOCAL {
+            let local = self.rng.random_range(0..entries / self.domains) * self.domains;
+            self.send(n, local + n % self.domains, now);
         }
-        for _ in 0..TOLD_FAR {
-            let far = self.rng.random_range(0..entries);
-            self.say(n, far, now);
+        for _ in 0..REPORTS_REMOTE {
+            let remote = self.rng.random_range(0..entries);
+            self.send(n, remote, now);
         }
     }
 
-    fn act(&mut self, event: Event, now: Time) {
+    fn handle(&mut self, event: Event, now: Time) {
         let entries = self.spreads.len();
         match event {
-            Event::Hears(n, from) => {
-                let version = self.has[from].map_or(BookVersion(0), |_| NEW);
+            Event::Reported(n, from) => {
+                let version = self.received[from].map_or(BookVersion(0), |_| NEW);
                 let distance = match n % self.domains == from % self.domains {
                     true => Distance::Near,
                     false => Distance::Far,
                 };
                 self.spreads[n].told(address(from), version, distance, now);
-                self.act(Event::Looks(n), now);
+                self.handle(Event::Decide(n), now);
             }
             Event::Read(n, from) => {
                 self.spreads[n].ended(address(from));
-                self.takes(n, now);
+                self.receive(n, now);
             }
-            Event::Looks(n) => match self.spreads[n].next(self.rng.random(), now) {
+            Event::Decide(n) => match self.spreads[n].next(self.rng.random(), now) {
                 Pull::From(peer) => {
                     self.spreads[n].begun(peer, now);
                     self.asked[number(peer)] += 1;
-                    self.add(now + READING, Event::Read(n, number(peer)));
+                    self.schedule(now + READ_TIME, Event::Read(n, number(peer)));
                 }
-                Pull::Rest(until) => self.add(until, Event::Looks(n)),
+                Pull::Rest(until) => self.schedule(until, Event::Decide(n)),
                 Pull::Nothing => {}
             },
-            Event::Pulses(n) => {
-                // The first of each domain watches the store; the others follow it.
+            Event::Heartbeat(n) => {
+                // The first of each domain watches the store and is the upstream of the
+                // others.
                 let watcher = n % self.domains;
-                self.add(now + WAY, Event::Hears(n, watcher));
-                self.add(now + PULSE, Event::Pulses(n));
+                self.schedule(now + NETWORK_DELAY, Event::Reported(n, watcher));
+                self.schedule(now + HEARTBEAT_INTERVAL, Event::Heartbeat(n));
             }
-            Event::Probes(n) => {
+            Event::Probe(n) => {
                 let any = self.rng.random_range(0..entries);
-                self.add(now + WAY, Event::Hears(any, n));
-                self.add(now + WAY * 2, Event::Hears(n, any));
-                self.add(now + PROBE, Event::Probes(n));
+                self.schedule(now + NETWORK_DELAY, Event::Reported(any, n));
+                self.schedule(now + NETWORK_DELAY * 2, Event::Reported(n, any));
+                self.schedule(now + PROBE_INTERVAL, Event::Probe(n));
             }
         }
     }
 
-    /// Runs until all have the version; returns when that is.
+    /// Runs until all have the version; returns the time of that.
     fn run(&mut self) -> Time {
         while let Some(((now, _), event)) = self.queue.pop_first() {
-            self.act(event, now);
-            if self.has.iter().all(Option::is_some) {
+            self.handle(event, now);
+            if self.received.iter().all(Option::is_some) {
                 return now;
             }
-            assert!(now < Time::from_millis(60_000), "some never get it");
+            assert!(
+                now < Time::from_millis(60_000),
+                "some entries never receive the version"
+            );
         }
-        unreachable!("pulses go on")
+        unreachable!("heartbeats never end")
     }
 }
 
-/// A change has to be in force at 90 entries within two seconds, and at 2,900 within 18,
-/// though a single one can read it from the store. No entry may have to serve the
-/// readings of all others, or their books fill its link.
+/// A version that a single entry can read from the store is late elsewhere, or one
+/// entry serves the reads of all others and its link fills.
 #[rstest]
 #[case::ninety(90, 4, 1_000, 12)]
 #[case::three_hundred(300, 6, 1_000, 12)]
 #[case::all(2_904, 24, 1_500, 16)]
-fn a_version_that_one_entry_has_spreads_to_all(
+fn a_version_propagates_from_one_entry_to_all(
     #[case] entries: usize,
     #[case] domains: usize,
     #[case] most_ms: u64,
     #[case] most_asked: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut world = World::new(entries, domains, seed);
-    world.takes(entries / 2, Time::ZERO);
-    let end = world.run();
+    let mut simulation = Simulation::new(entries, domains, seed);
+    simulation.receive(entries / 2, Time::ZERO);
+    let end = simulation.run();
     let ms = end.since(Time::ZERO).as_millis() as u64;
-    let asked = world.asked.iter().max().copied().unwrap_or(0);
-    let told = world.messages as f64 / entries as f64;
+    let asked = simulation.asked.iter().max().copied().unwrap_or(0);
+    let sent = simulation.messages as f64 / entries as f64;
     println!(
-        "{entries} entries, seed {seed}: {ms} ms, {asked} readings of one, {told:.1} messages each"
+        "{entries} entries, seed {seed}: {ms} ms, {asked} readings of one, {sent:.1} messages each"
     );
     assert!(ms <= most_ms, "{ms} ms");
     assert!(asked <= most_asked, "{asked} readings of one entry");
--- a/crates/relay/tests/upstream.rs
+++ b/crates/relay/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! From whom an entry hears of changes, and what is passed on.
+//! Choice of the upstream of an entry, and the watch cache that it serves to others.
 
 mod world;
 
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 use world::{Answers, Stage, ask, book, entry, name, peers_address, rule};
 
-const OLD: Duration = Duration::from_secs(60);
+const SETTLED: Duration = Duration::from_secs(60);
 
 fn member(n: u16, domain: &str, weight: u32) -> Member {
     let address = |port| SocketAddr::from(([10, 0, 0, n as u8], port));
@@ -31,11 +31,11 @@
     let find = |member: &&Member| member.addresses.peers == peers_address(own);
     let own = members.iter().find(find).unwrap();
     let others = members.iter().filter(|member| member.id != own.id);
-    UpstreamChoice::default().choose(own, others, &[], OLD, Time::ZERO)
+    UpstreamChoice::default().choose(own, others, &[], SETTLED, Time::ZERO)
 }
 
-/// The store's calls grow with the failure domains and not with the entries:
-/// the strongest of each watches it, and all others follow that one.
+/// Every entry watches the store, whose load then grows with the entries and not with
+/// the failure domains.
 #[test]
 fn one_entry_of_a_domain_watches_the_store() {
     let mut members: Vec<Member> = (1..=40).map(|n| member(n, "dub-a", 600)).collect();
@@ -53,8 +53,8 @@
     }
 }
 
-/// An entry hears of no change while its watcher is gone and it still follows
-/// it. One that leaves, is suspected or does not answer is no upstream.
+/// An entry receives no change because it keeps a watcher that leaves, is suspected or
+/// does not answer as its upstream.
 #[test]
 fn a_watcher_that_leaves_is_replaced() {
     let mut members: Vec<Member> = (1..=4).map(|n| member(n, "dub-a", 600)).collect();
@@ -72,68 +72,69 @@
     let members: Vec<Member> = (1..=3).map(|n| member(n, "dub-a", 600)).collect();
     let (own, others) = (&members[2], &members[..2]);
     let mut choice = UpstreamChoice::default();
-    let ask = |choice: &mut UpstreamChoice, now| choice.choose(own, others.iter(), &[], OLD, now);
+    let ask =
+        |choice: &mut UpstreamChoice, now| choice.choose(own, others.iter(), &[], SETTLED, now);
     let Upstream::Peer(first) = ask(&mut choice, Time::ZERO) else {
-        panic!("nobody to follow");
+        panic!("no peer to follow");
     };
-    choice.failed(first, OLD, Time::ZERO);
+    choice.failed(first, SETTLED, Time::ZERO);
     let Upstream::Peer(second) = ask(&mut choice, Time::ZERO) else {
-        panic!("nobody to follow");
+        panic!("no peer to follow");
     };
     assert_ne!(first, second);
-    choice.failed(second, OLD, Time::ZERO);
+    choice.failed(second, SETTLED, Time::ZERO);
     assert_eq!(ask(&mut choice, Time::ZERO), Upstream::Store);
     let later = Time::ZERO + Duration::from_secs(10);
     assert_eq!(ask(&mut choice, later), Upstream::Peer(first));
 }
 
-/// The members of two domains, the strongest first.
+/// The members of two failure domains, the strongest first.
 fn two_domains() -> Vec<Member> {
     let near = (1..=5).map(|n| member(n, "dub-a", 600));
     near.chain((6..=7).map(|n| member(n, "dub-b", 600)))
         .collect()
 }
 
-/// What entry 5 of [`two_domains`] follows, by `choice`.
-fn fifth(choice: &mut UpstreamChoice, now: Time) -> Upstream {
+/// The upstream of entry 5 of [`two_domains`], by `choice`.
+fn choose_for_fifth(choice: &mut UpstreamChoice, now: Time) -> Upstream {
     let members = two_domains();
     let others = members.iter().filter(|member| member.id != members[4].id);
-    choice.choose(&members[4], others, &[], OLD, now)
+    choice.choose(&members[4], others, &[], SETTLED, now)
 }
 
-/// Every entry asks a store that is lost, and again all at once when it is back.
-/// Those that watch it say that they have lost it, and their followers took
-/// that for a failure of theirs and turned to the store. They wait instead,
-/// once two have lost it and none is known to have it.
+/// Every entry calls a lost store, and all at once when it is back. Followers wait for
+/// its watchers instead, once two have lost it and none is known to have it.
 #[test]
-fn a_lost_store_is_left_to_those_that_watch_it() {
+fn followers_of_a_lost_store_wait_for_its_watchers() {
     let mut choice = UpstreamChoice::default();
     for (lost, next) in [(1, 2), (2, 6), (6, 1)] {
         choice.lost(peers_address(lost), Time::ZERO);
         let expected = Upstream::Peer(peers_address(next));
-        assert_eq!(fifth(&mut choice, Time::ZERO), expected, "{lost}");
+        assert_eq!(
+            choose_for_fifth(&mut choice, Time::ZERO),
+            expected,
+            "{lost}"
+        );
     }
     assert!(choice.is_lost(peers_address(1)));
     choice.answered(peers_address(1));
-    let back = fifth(&mut choice, Time::ZERO);
+    let back = choose_for_fifth(&mut choice, Time::ZERO);
     assert_eq!(back, Upstream::Peer(peers_address(1)));
 }
 
-/// An entry hears of no change although the store answers it.
-/// All watchers that it could follow are gone but one, which is cut off from
-/// the store. One that has lost the store says nothing of the store.
+/// An entry receives no change although the store answers it: its only reachable
+/// watcher is cut off from the store, and it waits for that one.
 #[test]
-fn one_watcher_that_lost_the_store_proves_nothing() {
+fn one_watcher_that_lost_the_store_is_no_quorum() {
     let mut choice = UpstreamChoice::default();
     choice.lost(peers_address(1), Time::ZERO);
-    choice.failed(peers_address(2), OLD, Time::ZERO);
-    choice.failed(peers_address(6), OLD, Time::ZERO);
-    assert_eq!(fifth(&mut choice, Time::ZERO), Upstream::Store);
+    choice.failed(peers_address(2), SETTLED, Time::ZERO);
+    choice.failed(peers_address(6), SETTLED, Time::ZERO);
+    assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), Upstream::Store);
 }
 
-/// An entry hears of no change although the store answers it.
-/// The store turns away all watchers that it could follow. It asks the store
-/// now and then, and then follows that.
+/// An entry receives no change although the store answers it: the store rejects all
+/// watchers that it could follow, and it never becomes a watcher itself.
 #[test]
 fn a_store_that_answers_is_followed_though_peers_lost_it() {
     let mut choice = UpstreamChoice::default();
@@ -141,44 +142,44 @@
         choice.lost(peers_address(peer), Time::ZERO);
     }
     choice.store_answers(Time::ZERO);
-    assert_eq!(fifth(&mut choice, Time::ZERO), Upstream::Store);
+    assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), Upstream::Store);
     let later = Time::ZERO + Duration::from_secs(10);
     let expected = Upstream::Peer(peers_address(1));
-    assert_eq!(fifth(&mut choice, later), expected);
+    assert_eq!(choose_for_fifth(&mut choice, later), expected);
 }
 
-/// An entry asks the store itself after it found none that passes it on.
-/// It knows part of the members, and each that it takes for a watcher follows
-/// another one, which that names.
+/// An entry with a partial view of the members asks the store, though the peers that it
+/// takes for watchers redirect it to their upstream.
 #[test]
-fn an_entry_goes_where_it_is_sent() {
+fn an_entry_follows_a_redirect() {
     let mut choice = UpstreamChoice::default();
     let (named, own) = (peers_address(9), peers_address(5));
     choice.redirected(peers_address(1), named, own, Time::ZERO);
-    assert_eq!(fifth(&mut choice, Time::ZERO), Upstream::Peer(named));
+    assert_eq!(
+        choose_for_fifth(&mut choice, Time::ZERO),
+        Upstream::Peer(named)
+    );
     let later = Time::ZERO + Duration::from_secs(4);
     let expected = Upstream::Peer(peers_address(1));
-    assert_eq!(fifth(&mut choice, later), expected);
+    assert_eq!(choose_for_fifth(&mut choice, later), expected);
 }
 
-/// Two entries send each other around for good, and hear of nothing.
-/// Each takes the other for its watcher. One that names this entry, or one that
-/// is no use, is passed over for a moment.
+/// Two entries that take each other for the watcher redirect to each other for ever,
+/// and receive no change.
 #[test]
-fn an_entry_is_not_sent_around() {
+fn redirect_loops_are_broken() {
     let mut choice = UpstreamChoice::default();
     let own = peers_address(5);
     choice.redirected(peers_address(1), own, own, Time::ZERO);
     let second = Upstream::Peer(peers_address(2));
-    assert_eq!(fifth(&mut choice, Time::ZERO), second);
+    assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), second);
     choice.redirected(peers_address(2), peers_address(1), own, Time::ZERO);
     let third = Upstream::Peer(peers_address(6));
-    assert_eq!(fifth(&mut choice, Time::ZERO), third);
+    assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), third);
 }
 
-/// Most of many entries that start together read the store, each for itself.
-/// They hear of the members one after the other, and meanwhile take themselves
-/// for the strongest of their domain, or follow one that does not.
+/// Many entries that start together each watch the store, as each ranks first among the
+/// few members that it knows so far.
 #[test]
 fn an_entry_that_starts_stays_with_the_peer_that_answers() {
     let mut choice = UpstreamChoice::default();
@@ -187,11 +188,10 @@
     let mut choose = |age| choice.choose(&members[0], members[1..].iter(), &[], age, Time::ZERO);
     let young = Duration::from_secs(2);
     assert_eq!(choose(young), Upstream::Peer(peers_address(7)));
-    assert_eq!(choose(OLD), Upstream::Store);
+    assert_eq!(choose(SETTLED), Upstream::Store);
 }
 
-/// Entries that all start at once would all ask the store. Those that are no
-/// seeds wait for the seeds first, but not for long.
+/// All entries that start at once ask the store, or wait for seeds that never answer.
 #[test]
 fn entries_that_start_ask_the_seeds_first() {
     let seeds = [peers_address(1), peers_address(2)];
@@ -218,9 +218,8 @@
     assert_eq!(after, Upstream::Store);
 }
 
-/// All callers are refused for a third of a second beside a store that answers.
-/// Power was lost everywhere, and the seeds are the last to come back. The others
-/// ask the store soon, and not all in the same moment.
+/// Callers are refused beside a store that answers, because the seeds are the last to
+/// restart after a power loss.
 #[test]
 fn entries_whose_seeds_are_gone_ask_the_store_soon() {
     let seeds = [peers_address(1), peers_address(2)];
@@ -238,29 +237,26 @@
     let half = asking(2_800, 75);
     assert!((8..24).contains(&half), "{half}");
     assert_eq!(asking(2_800, 120), 32);
-    // Weak ones, of which there are many, leave the store to the strong.
+    // Weak entries, of which there are many, leave the store to the strong.
     assert_eq!(asking(600, 399), 0);
     assert_eq!(asking(600, 400), 32);
 }
 
-/// Every entry asks a store that is lost.
-/// The entry that watches it has lost it and says so. The second one still follows that
-/// one and names it, as it has not noticed yet, so that only one was known to have lost
-/// the store. With a millisecond on the way of each pulse 20 entries made 157 calls in
-/// an outage of 4 s; without it the second one always noticed first.
+/// Every entry calls a lost store: its watcher reports the loss, but a second entry
+/// that still names that watcher as its upstream does not count towards the quorum.
 #[test]
 fn an_entry_that_follows_one_which_lost_the_store_has_lost_it_too() {
     let mut choice = UpstreamChoice::default();
     let own = peers_address(5);
-    choice.failed(peers_address(6), OLD, Time::ZERO);
+    choice.failed(peers_address(6), SETTLED, Time::ZERO);
     choice.lost(peers_address(1), Time::ZERO);
     choice.redirected(peers_address(2), peers_address(1), own, Time::ZERO);
     let waits = Upstream::Peer(peers_address(1));
-    assert_eq!(fifth(&mut choice, Time::ZERO), waits);
-    // It is asked again soon: it may have found the store.
+    assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), waits);
+    // It is asked again soon, as it may have found the store.
     let later = Time::ZERO + Duration::from_secs(1);
     let second = Upstream::Peer(peers_address(2));
-    assert_eq!(fifth(&mut choice, later), second);
+    assert_eq!(choose_for_fifth(&mut choice, later), second);
 }
 
 fn batch(revision: u64, items: &[(&str, Option<u32>)]) -> Batch<u32> {
@@ -275,7 +271,7 @@
 }
 
 #[test]
-fn a_mirror_tells_what_changed_since_any_revision_it_remembers() {
+fn changes_since_any_kept_revision_are_returned() {
     let mut mirror = Mirror::default();
     assert!(matches!(mirror.all(), Err(FeedError::Unavailable(_))));
     mirror.listed(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
@@ -299,19 +295,16 @@
     assert_eq!(since(9), Err(FeedError::HistoryGone));
 }
 
-/// A route that was moved is not known for six seconds at an entry that the store
-/// serves.
-/// Its watchers are cut off, and the one of another domain, which hears the store,
-/// looked just then whether its peers have it again: for 30 ms it told that it had
-/// lost the store, and was believed for three seconds.
+/// An entry reports the store as lost while it polls a peer for a moment, and its
+/// followers miss changes although the store serves it.
 #[test]
-fn an_entry_that_looks_at_its_peers_still_hears_the_store() {
+fn polling_a_peer_does_not_report_the_store_lost() {
     let mut choice = UpstreamChoice::default();
     let members = two_domains();
     let at = Time::from_millis;
     assert!(!choice.hears_store(at(0)));
     choice.store_answered(at(1_000));
-    choice.choose(&members[1], members[2..].iter(), &[], OLD, at(1_020));
+    choice.choose(&members[1], members[2..].iter(), &[], SETTLED, at(1_020));
     assert!(choice.hears_store(at(1_030)));
     choice.store_failed(at(6_000));
     assert!(!choice.hears_store(at(1_040)));
@@ -319,11 +312,10 @@
     assert!(!choice.hears_store(at(10_000)));
 }
 
-/// An entry that starts misses leafs for good.
-/// It read the store, and then took the older list of a peer that it had asked
-/// before.
+/// An entry that starts misses leafs for good: it lists the store, and then applies the
+/// older list of a peer.
 #[test]
-fn an_older_list_is_no_news() {
+fn an_older_list_is_not_applied() {
     let mut mirror = Mirror::default();
     let list = |revision| batch(revision, &[("a", Some(1))]);
     assert!(mirror.is_behind(&list(0)));
@@ -333,7 +325,7 @@
     assert!(mirror.is_behind(&list(11)));
 }
 
-fn one(version: u64, prefix: &str) -> chestnut_book::RouteBook {
+fn single_rule(version: u64, prefix: &str) -> chestnut_book::RouteBook {
     let target = Target::One(name("archive"));
     book(version, vec![rule(prefix, Kind::Idempotent, target)])
 }
@@ -342,26 +334,26 @@
     matches!(relay.forward(ask("r", path)).await, Reply::Whole(_))
 }
 
-/// A change is in force at entries that don't watch the store, as soon as at
-/// those that do.
+/// A change comes into force later at entries that don't watch the store than at its
+/// watchers.
 #[tokio::test(start_paused = true)]
-async fn changes_reach_entries_that_follow() {
+async fn changes_reach_followers() {
     let stage = Stage::default();
     stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(one(1, "/a/"));
+    stage.store.put_book(single_rule(1, "/a/"));
     let mut relays = Vec::new();
     for n in 1..=6 {
         relays.push(stage.serving(n).await);
     }
     sleep(Duration::from_secs(6)).await;
     let calls = stage.store.calls();
-    stage.store.put_book(one(2, "/b/"));
+    stage.store.put_book(single_rule(2, "/b/"));
     sleep(Duration::from_millis(50)).await;
     for relay in &relays {
         assert!(serves(relay, "/b/x").await);
         assert!(!serves(relay, "/a/x").await);
     }
-    // Two watchers, each a watch and perhaps a pulse.
+    // Two watchers, each a watch and perhaps a poll.
     assert!(
         stage.store.calls() - calls <= 8,
         "{}",
@@ -369,15 +361,14 @@
     );
 }
 
-/// The store is asked by every entry for as long as it is lost.
-/// Its outage is heard of from those that watch it; the others wait for them,
-/// ask it a few times in all, and hear of changes soon after it is back.
+/// Every entry polls the store during an outage, or misses changes after it because it
+/// waits for its watcher too long.
 #[tokio::test(start_paused = true)]
 async fn an_outage_does_not_turn_all_entries_to_the_store() {
     const ENTRIES: u16 = 20;
     let stage = Stage::default();
     stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(one(1, "/a/"));
+    stage.store.put_book(single_rule(1, "/a/"));
     let mut relays = Vec::new();
     for n in 1..=ENTRIES {
         relays.push(stage.serving(n).await);
@@ -388,26 +379,25 @@
     sleep(Duration::from_secs(4)).await;
     stage.store.answers(Answers::Yes);
     sleep(Duration::from_secs(2)).await;
-    stage.store.put_book(one(2, "/b/"));
+    stage.store.put_book(single_rule(2, "/b/"));
     sleep(Duration::from_millis(500)).await;
     for relay in &relays {
         assert!(serves(relay, "/b/x").await);
     }
-    // Two watchers, each a pulse a second, which makes eight at three quarters of one,
-    // and three watches that are begun twice; and at most one pulse of each other entry.
+    // Two watchers, each a poll a second, which makes eight at three quarters of one,
+    // and three watches that are started twice; and at most one poll of each other
+    // entry.
     let calls = stage.store.calls() - calls;
     assert!(calls <= 2 * (8 + 3 * 2) + u64::from(ENTRIES), "{calls}");
 }
 
-/// A change is in force within two seconds at an entry whose watcher fell
-/// silent just before it.
-/// The watcher's machine loses power: nothing is reset, and the follower waits
-/// on a feed that will never tell. Its pulse finds that out.
+/// A follower waits for ever on a watch whose peer lost power without a reset, and
+/// misses a change.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watcher_costs_no_change() {
+async fn changes_arrive_after_a_watcher_falls_silent() {
     let stage = Stage::default();
     stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(one(1, "/a/"));
+    stage.store.put_book(single_rule(1, "/a/"));
     let mut relays = Vec::new();
     for n in 1..=4 {
         relays.push(stage.serving(n).await);
@@ -417,7 +407,7 @@
         stage.net.cut(peers_address(n));
         stage.feeds.cut(peers_address(n));
     }
-    stage.store.put_book(one(2, "/b/"));
+    stage.store.put_book(single_rule(2, "/b/"));
     stage.store.put_leaf(
         &"archive-0".parse().unwrap(),
         entry("archive", LeafState::Draining),
@@ -428,14 +418,13 @@
     }
 }
 
-/// Links fill while leafs start: each of 295 entries is told of each heartbeat of each.
-/// A leaf that warms up writes with every heartbeat, and only how much longer it is slow
-/// changes. Those that follow are not told; one that reads the whole list gets the latest.
+/// Links fill with the heartbeats of leafs that warm up, of which only the remaining
+/// warm-up changes. Followers skip them; a list has the latest.
 #[test]
-fn what_nobody_acts_upon_is_not_passed_on() {
+fn insignificant_changes_are_not_forwarded() {
     let mut mirror = Mirror::default();
     mirror.listed(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
-    // Even and odd numbers stand for two things that an entry may say.
+    // Values of equal parity count as the same.
     let same = |known: &u32, new: &u32| known % 2 == new % 2;
     mirror.changed_from(&batch(12, &[("a", Some(3)), ("b", Some(5))]), same);
     let since = mirror.since(10).unwrap();
@@ -448,12 +437,10 @@
     assert_eq!(mirror.since(12).unwrap(), batch(15, &[("a", None)]));
 }
 
-/// Callers are refused for want of a leaf that serves, at entries that follow a watcher.
-/// The store dropped the leaf's entry in an outage and had it back; one answer told both.
-/// What it said was the same as before, so coming back was taken for no news, and the
-/// deletion was passed on alone.
+/// Followers lose a leaf whose entry was deleted and re-created in one answer of the
+/// store, as only the deletion is forwarded to them.
 #[test]
-fn a_leaf_that_lapsed_and_came_back_in_one_answer_is_there() {
+fn a_leaf_deleted_and_recreated_in_one_answer_is_kept() {
     let mut mirror = Mirror::default();
     mirror.listed(&batch(10, &[("a", Some(1))]));
     let same = |known: &u32, new: &u32| known == new;
