--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -1,15 +1,17 @@
-//! What is known against one request.
+//! The record of one suspect request: the leafs that crashed under it and the refusal that
+//! follows.
 
 use std::time::Duration;
 
 use chestnut_unit::{LeafId, Time};
 
-/// A mark of a leaf, enough to tell the few apart that ended under one request.
+/// A short hash of a leaf id, which tells apart the few leafs that crashed under one
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeafMark(pub u32);
 
 impl LeafMark {
-    /// The mark of a leaf.
+    /// Hashes the id of a leaf.
     #[must_use]
     pub fn of(leaf: &LeafId) -> Self {
         let hash = blake3::hash(leaf.as_str().as_bytes());
@@ -19,162 +21,169 @@
     }
 }
 
-/// A leaf that ended under a request which no leaf had answered.
+/// The crash of a leaf under a request that no leaf had answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Strike {
-    /// The leaf.
+    /// The leaf that crashed.
     pub leaf: LeafMark,
-    /// When. A strike that another entry told of is dated by how long ago it was.
+    /// When it crashed. A crash that another entry reported is dated by its age in the
+    /// report.
     pub at: Time,
 }
 
-/// How a request is to be handled.
+/// How a request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stand {
-    /// As any other.
+    /// As any other request.
     Free,
-    /// With a single call until a leaf has answered one.
+    /// With a single trial call until a leaf has answered one.
     Trial,
-    /// Not now, but maybe after this time.
+    /// Not now; it may be sent again after this time.
     Refused(Duration),
 }
 
-/// Ended leafs from which on a request is taken for the cause.
-pub(crate) const LEAFS: usize = 3;
-/// Strikes within this time of the first are one episode: a rack that fails takes many
-/// leafs under one request, and takes them once.
+/// Crashes from which on a request counts as their cause.
+pub(crate) const MIN_CRASHES: usize = 3;
+/// Crashes within this time of the first are one episode: a rack that fails takes many
+/// leafs under one request, but only once.
 pub(crate) const EPISODE: Duration = Duration::from_secs(1);
-/// Episodes from which on a request is taken for the cause. A request that is not is
-/// answered between two of them.
-const EPISODES: usize = 2;
-/// First time for which a request is refused; each further episode makes it
-/// [`SPAN_GROWTH`] times as long.
-const SPAN_FIRST: Duration = Duration::from_secs(120);
-const SPAN_GROWTH: u32 = 4;
-const SPAN_MAX: Duration = Duration::from_secs(2 * 3600);
-/// How long a case is kept after its last strike, or after the end of the time for which
-/// it is refused.
-const KEEP: Duration = Duration::from_secs(600);
-/// Strikes kept of a case: the first, which date it, and the latest.
-pub(crate) const STRIKES_MAX: usize = 8;
-
-/// What is known against one request.
+/// Episodes from which on a request counts as the cause. A harmless request is answered
+/// between two of them.
+const MIN_EPISODES: usize = 2;
+/// Length of the first refusal; each further episode multiplies it by [`REFUSAL_GROWTH`].
+const INITIAL_REFUSAL: Duration = Duration::from_secs(120);
+/// Factor by which a refusal grows with each episode.
+const REFUSAL_GROWTH: u32 = 4;
+/// Longest refusal.
+const MAX_REFUSAL: Duration = Duration::from_secs(2 * 3600);
+/// How long a record is kept after its last crash or the end of its refusal.
+const RECORD_TTL: Duration = Duration::from_secs(600);
+/// Crashes kept in a record: the earliest, which date it, and the latest.
+pub(crate) const MAX_CRASHES: usize = 8;
+
+/// The crashes under one suspect request and the last answer to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Case {
-    /// In the order of their times.
-    strikes: Vec<Strike>,
-    /// When a leaf last answered the request: nothing before it counts.
-    cleared: Option<Time>,
-    /// The first strike of each episode, of which [`Case::strikes`] may have dropped some.
+pub(crate) struct SuspectRecord {
+    /// In order of time.
+    crashes: Vec<Strike>,
+    /// When a leaf last answered the request; earlier crashes don't count.
+    answered_at: Option<Time>,
+    /// Episodes counted so far, including those whose crashes were dropped.
     episodes: usize,
 }
 
-impl Case {
-    pub(crate) fn strikes(&self) -> &[Strike] {
-        &self.strikes
+impl SuspectRecord {
+    /// Returns the kept crashes in order of time.
+    pub(crate) fn crashes(&self) -> &[Strike] {
+        &self.crashes
     }
 
-    pub(crate) fn cleared(&self) -> Option<Time> {
-        self.cleared
+    /// Returns when a leaf last answered the request.
+    pub(crate) fn answered_at(&self) -> Option<Time> {
+        self.answered_at
     }
 
+    /// Returns the number of episodes.
     pub(crate) fn episodes(&self) -> usize {
         self.episodes
     }
 
-    /// Whether a leaf has answered the request since.
-    pub(crate) fn is_void(&self, strike: &Strike) -> bool {
-        self.cleared.is_some_and(|cleared| strike.at <= cleared)
+    /// Returns whether a leaf has answered the request since this crash.
+    pub(crate) fn is_superseded(&self, crash: &Strike) -> bool {
+        self.answered_at.is_some_and(|answer| crash.at <= answer)
     }
 
-    /// Takes a strike. Tells whether it is news.
-    pub(crate) fn add(&mut self, strike: Strike) -> bool {
+    /// Adds a crash. Returns whether the record changed.
+    pub(crate) fn add_crash(&mut self, crash: Strike) -> bool {
         let known =
-            |known: &Strike| known.leaf == strike.leaf && gap(known.at, strike.at) < EPISODE;
-        if self.is_void(&strike) || self.strikes.iter().any(known) {
+            |known: &Strike| known.leaf == crash.leaf && abs_diff(known.at, crash.at) < EPISODE;
+        if self.is_superseded(&crash) || self.crashes.iter().any(known) {
             return false;
         }
-        let at = self.strikes.partition_point(|known| known.at <= strike.at);
-        let full = self.strikes.len() >= STRIKES_MAX;
-        if full && at < self.strikes.len() {
-            // An older one than the latest changes nothing any more.
+        let at = self.crashes.partition_point(|known| known.at <= crash.at);
+        let full = self.crashes.len() >= MAX_CRASHES;
+        if full && at < self.crashes.len() {
+            // A crash before the latest one changes nothing any more.
             return false;
         }
         if full {
-            self.strikes.remove(STRIKES_MAX / 2);
+            self.crashes.remove(MAX_CRASHES / 2);
         }
-        let at = at.min(self.strikes.len());
-        self.strikes.insert(at, strike);
-        self.episodes = self.episodes.max(self.count());
+        let at = at.min(self.crashes.len());
+        self.crashes.insert(at, crash);
+        self.episodes = self.episodes.max(self.count_episodes());
         true
     }
 
-    /// Takes it that another entry has counted so many episodes. Tells whether it is news.
-    pub(crate) fn raise(&mut self, episodes: usize) -> bool {
-        let news = episodes > self.episodes && !self.strikes.is_empty();
-        if news {
+    /// Raises the episode count to that of another entry. Returns whether it changed.
+    pub(crate) fn raise_episodes(&mut self, episodes: usize) -> bool {
+        let changed = episodes > self.episodes && !self.crashes.is_empty();
+        if changed {
             self.episodes = episodes;
         }
-        news
+        changed
     }
 
-    /// Takes it that a leaf answered the request at `at`. Tells whether it is news.
-    pub(crate) fn clear(&mut self, at: Time) -> bool {
-        let void = self.strikes.iter().any(|strike| strike.at <= at);
-        if !void {
+    /// Records that a leaf answered the request at `at`. Returns whether the record
+    /// changed.
+    pub(crate) fn record_answer(&mut self, at: Time) -> bool {
+        let superseded = self.crashes.iter().any(|crash| crash.at <= at);
+        if !superseded {
             return false;
         }
-        self.cleared = self.cleared.max(Some(at));
-        self.strikes.retain(|strike| strike.at > at);
-        self.episodes = self.count();
+        self.answered_at = self.answered_at.max(Some(at));
+        self.crashes.retain(|crash| crash.at > at);
+        self.episodes = self.count_episodes();
         true
     }
 
-    /// Episodes among the strikes that are kept.
-    fn count(&self) -> usize {
+    /// Counts the episodes among the kept crashes.
+    fn count_episodes(&self) -> usize {
         let mut episodes = 0;
-        let mut until = None;
-        for strike in &self.strikes {
-            if until.is_none_or(|until| strike.at >= until) {
+        let mut end = None;
+        for crash in &self.crashes {
+            if end.is_none_or(|end| crash.at >= end) {
                 episodes += 1;
-                until = Some(strike.at + EPISODE);
+                end = Some(crash.at + EPISODE);
             }
         }
         episodes
     }
 
-    /// Until when the request is refused.
-    pub(crate) fn until(&self) -> Option<Time> {
-        let last = self.strikes.last()?;
-        if self.strikes.len() < LEAFS || self.episodes < EPISODES {
+    /// Returns the end of the refusal, if the request counts as the cause.
+    pub(crate) fn refused_until(&self) -> Option<Time> {
+        let last = self.crashes.last()?;
+        if self.crashes.len() < MIN_CRASHES || self.episodes < MIN_EPISODES {
             return None;
         }
-        let more = u32::try_from(self.episodes - EPISODES).unwrap_or(u32::MAX);
-        let span = SPAN_FIRST.saturating_mul(SPAN_GROWTH.saturating_pow(more));
-        Some(last.at + span.min(SPAN_MAX))
+        let more = u32::try_from(self.episodes - MIN_EPISODES).unwrap_or(u32::MAX);
+        let span = INITIAL_REFUSAL.saturating_mul(REFUSAL_GROWTH.saturating_pow(more));
+        Some(last.at + span.min(MAX_REFUSAL))
     }
 
-    pub(crate) fn stand(&self, now: Time) -> Stand {
-        if self.strikes.is_empty() {
+    /// Returns how the request is handled at `now`.
+    pub(crate) fn handling(&self, now: Time) -> Stand {
+        if self.crashes.is_empty() {
             return Stand::Free;
         }
-        match self.until().filter(|until| now < *until) {
-            Some(until) => Stand::Refused(until.since(now)),
+        match self.refused_until().filter(|end| now < *end) {
+            Some(end) => Stand::Refused(end.since(now)),
             None => Stand::Trial,
         }
     }
 
-    /// When the case is forgotten.
-    pub(crate) fn end(&self) -> Time {
-        let last = self.strikes.last().map(|strike| strike.at);
-        let latest = [last, self.until(), self.cleared]
+    /// Returns when the record expires.
+    pub(crate) fn expires_at(&self) -> Time {
+        let last = self.crashes.last().map(|crash| crash.at);
+        let latest = [last, self.refused_until(), self.answered_at]
             .into_iter()
             .flatten()
             .max();
-        latest.map_or(Time::ZERO, |latest| latest + KEEP)
+        latest.map_or(Time::ZERO, |latest| latest + RECORD_TTL)
     }
 }
 
-fn gap(a: Time, b: Time) -> Duration {
+/// Returns the absolute difference of two times.
+fn abs_diff(a: Time, b: Time) -> Duration {
     a.since(b).max(b.since(a))
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,15 +1,15 @@
-//! What two requests have in common that ask for the same.
+//! Fingerprints that identify requests which ask for the same.
 
 use std::{fmt, str::FromStr};
 
-/// The fingerprint of what a request asks for. A caller that tries again sends another
-/// request of the same fingerprint, at whatever entry.
+/// A hash of what a request asks for: a caller's retry has the same fingerprint at every
+/// entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request with these parts, in this order. Their lengths
-    /// count, so that no part can pose as the end of another.
+    /// Hashes the parts of a request in this order. Their lengths are hashed too, so that
+    /// moving bytes between parts changes the fingerprint.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -17,9 +17,9 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut start = [0; 8];
-        start.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-        Self(u64::from_le_bytes(start))
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+        Self(u64::from_le_bytes(prefix))
     }
 }
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What one entry knows against requests, and what it tells the others.
+//! The suspect requests known to one entry and the reports that it gossips about them.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -6,46 +6,45 @@
 
 use crate::{
     Fingerprint, LeafMark, Stand, Strike,
-    case::{Case, EPISODE, LEAFS},
+    case::{EPISODE, MIN_CRASHES, SuspectRecord},
 };
 
-/// Cases kept. Past it the one that says least is dropped: the fewest episodes, then the
-/// oldest. A case takes some 200 bytes.
-const CASES_MAX: usize = 1024;
-/// Strikes told of a case: the first and the latest two, as many as a refusal needs.
-const STRIKES_TOLD: usize = LEAFS;
-/// Times that a case is told after it has changed, for each decimal digit of the number
-/// of members.
-const REPEAT: u32 = 4;
-/// Time between two tellings, so that what is learned together goes together.
-const TELL_GAP: Duration = Duration::from_millis(100);
-/// Tellings in a window that need not make or end a refusal. The next try of what ended
-/// the leafs of a whole search should be a trial at whatever entry, but when a region fails
-/// thousands of requests are struck, few of them at fault.
-const TELL_BURST: u32 = 8;
-const TELL_WINDOW: Duration = Duration::from_secs(10);
-/// Time after the start of a trial in which no other one is made here. A leaf answers
-/// within it, or is too slow to be waited for.
-const TRIAL_GAP: Duration = Duration::from_millis(100);
+/// Records kept. Beyond it the one with the fewest episodes, then the oldest, is dropped.
+const MAX_RECORDS: usize = 1024;
+/// Crashes in a report: the first and the latest two, as many as a refusal needs.
+const REPORT_CRASHES: usize = MIN_CRASHES;
+/// Times that a changed record is sent, for each decimal digit of the number of members.
+const SENDS_PER_DIGIT: u32 = 4;
+/// Time between two pushes of changes, which batches those that come together.
+const PUSH_INTERVAL: Duration = Duration::from_millis(100);
+/// Pushes in a window for changes that neither start nor end a refusal: a region that
+/// fails makes thousands of requests suspect, few of them at fault.
+const PUSH_BURST: u32 = 8;
+/// Length of the window in which pushes are counted.
+const PUSH_WINDOW: Duration = Duration::from_secs(10);
+/// Time after the start of a trial call in which this entry starts no other one for the
+/// request.
+const TRIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Added to all times, so that what others saw before this entry started has a time too.
-const PAST: Duration = Duration::from_secs(24 * 3600);
+/// Added to all times, so that crashes from before this entry's start have a time too.
+const CLOCK_OFFSET: Duration = Duration::from_secs(24 * 3600);
 
-/// What one entry tells another of a request. Times are spans before it was told.
+/// What one entry reports to another about a request. All spans are ages at the time of
+/// sending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The request.
+    /// The fingerprint of the request.
     pub what: Fingerprint,
-    /// How long ago a leaf answered it; nothing before that counts.
+    /// Age of the last answer of a leaf; crashes before it don't count.
     pub cleared: Option<Duration>,
-    /// Leafs that ended under it, and how long ago.
+    /// The leafs that crashed under it, with the ages of the crashes.
     pub strikes: Vec<(LeafMark, Duration)>,
-    /// Episodes in which leafs ended under it.
+    /// Episodes in which leafs crashed under it.
     pub episodes: u32,
 }
 
 impl Report {
-    /// The same, told so much later.
+    /// Adds `span` to all ages of the report.
     #[must_use]
     pub fn aged(mut self, span: Duration) -> Self {
         self.cleared = self.cleared.map(|age| age + span);
@@ -56,285 +55,298 @@
     }
 }
 
+/// A suspect request: its record and the state of its trial calls and reports.
 #[derive(Clone, Debug, Default)]
-struct Entry {
-    case: Case,
-    /// When the latest trial here began, and from when on another may.
-    rest: Option<Time>,
-    /// Times that the case was told since it changed.
-    told: u32,
-    /// Whether the change made or ended a refusal.
+struct Suspect {
+    record: SuspectRecord,
+    /// End of the cooldown after the latest trial call of this entry.
+    cooldown: Option<Time>,
+    /// Times that the record was sent since it changed.
+    sent: u32,
+    /// Whether the change started or ended a refusal.
     urgent: bool,
 }
 
-/// The requests under which leafs ended.
+/// The requests under which leafs crashed.
 ///
-/// A request that crashes the leafs that run it comes back, at any entry, and takes the
-/// service away from all other callers each time. What tells it from the requests that
-/// merely ran beside it is that no leaf ever answers it: a strike counts only until one
-/// does. So one under which leafs ended is tried with a single call, and only if that
-/// ends its leaf too, at another time, the request is refused. Every entry tells the
-/// others what it has seen.
+/// A request that crashes the leafs that run it is retried at any entry and would take
+/// down more leafs each time. Unlike requests that merely ran beside it, it is never
+/// answered, so a crash counts only until a leaf answers. A suspect request is tried with
+/// a single call; it is refused if that crashes its leaf too, in another episode. Entries
+/// gossip their records.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    entries: BTreeMap<Fingerprint, Entry>,
-    /// Where the telling of cases that are refused goes on.
-    turn: Option<Fingerprint>,
-    pace: Pace,
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    /// The refused request that was reported last; reporting goes on after it.
+    cursor: Option<Fingerprint>,
+    pacing: Pacing,
 }
 
-/// When news were last told without waiting for other messages, and how often in the
+/// When changes were last pushed without waiting for other messages, and how often in the
 /// present window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct Pacing {
     last: Time,
-    window: Time,
+    window_start: Time,
     count: u32,
 }
 
 impl Ledger {
-    /// How a request that has come is to be handled. A trial that is allowed has begun.
-    pub fn admit(&mut self, what: Fingerprint, now: Time) -> Stand {
-        let now = now + PAST;
-        let Some(entry) = self.entries.get_mut(&what) else {
+    /// Decides how an arriving request is handled. [`Stand::Trial`] starts its trial call.
+    pub fn admit(&mut self, key: Fingerprint, now: Time) -> Stand {
+        let now = now + CLOCK_OFFSET;
+        let Some(suspect) = self.suspects.get_mut(&key) else {
             return Stand::Free;
         };
-        let stand = entry.case.stand(now);
-        if stand != Stand::Trial {
-            return stand;
+        let handling = suspect.record.handling(now);
+        if handling != Stand::Trial {
+            return handling;
         }
-        if let Some(rest) = entry.rest.filter(|rest| now < *rest) {
-            return Stand::Refused(rest.since(now));
+        if let Some(end) = suspect.cooldown.filter(|end| now < *end) {
+            return Stand::Refused(end.since(now));
         }
-        entry.rest = Some(now + TRIAL_GAP);
-        stand
+        suspect.cooldown = Some(now + TRIAL_INTERVAL);
+        handling
     }
 
-    /// How the request would be handled now.
+    /// Returns how the request would be handled now, without starting a trial call.
     #[must_use]
-    pub fn look(&self, what: Fingerprint, now: Time) -> Stand {
-        let entry = self.entries.get(&what);
-        entry.map_or(Stand::Free, |entry| entry.case.stand(now + PAST))
+    pub fn look(&self, key: Fingerprint, now: Time) -> Stand {
+        let suspect = self.suspects.get(&key);
+        suspect.map_or(Stand::Free, |s| s.record.handling(now + CLOCK_OFFSET))
     }
 
-    /// Whether the request is taken for the cause of what ended under it: it is refused, or
-    /// was, and no leaf has answered it since.
+    /// Returns whether the request counts as the cause of the crashes under it: it is or
+    /// was refused, and no leaf has answered it since.
     #[must_use]
-    pub fn blames(&self, what: Fingerprint) -> bool {
-        let entry = self.entries.get(&what);
-        entry.is_some_and(|entry| entry.case.until().is_some())
+    pub fn blames(&self, key: Fingerprint) -> bool {
+        let suspect = self.suspects.get(&key);
+        suspect.is_some_and(|suspect| suspect.record.refused_until().is_some())
     }
 
-    /// What is known against a request, if it is taken for the cause.
+    /// Returns a report of a request that counts as the cause of crashes.
     #[must_use]
-    pub fn verdict(&self, what: Fingerprint, now: Time) -> Option<Report> {
-        let entry = self.entries.get(&what).filter(|_| self.blames(what))?;
-        Some(report(what, &entry.case, now + PAST))
+    pub fn verdict(&self, key: Fingerprint, now: Time) -> Option<Report> {
+        let suspect = self.suspects.get(&key).filter(|_| self.blames(key))?;
+        Some(report(key, &suspect.record, now + CLOCK_OFFSET))
     }
 
-    /// Takes it that leafs ended under a try that no leaf answered. Tells whether it is
-    /// news.
-    pub fn ended(&mut self, what: Fingerprint, leafs: &[LeafMark], now: Time) -> bool {
-        let now = now + PAST;
-        let entry = self.entries.entry(what).or_default();
-        let before = entry.case.until();
-        let mut news = false;
+    /// Records that leafs crashed under a call that no leaf answered. Returns whether the
+    /// record changed.
+    pub fn ended(&mut self, key: Fingerprint, leafs: &[LeafMark], now: Time) -> bool {
+        let now = now + CLOCK_OFFSET;
+        let suspect = self.suspects.entry(key).or_default();
+        let before = suspect.record.refused_until();
+        let mut changed = false;
         for leaf in leafs {
-            let strike = Strike {
+            let crash = Strike {
                 leaf: *leaf,
                 at: now,
             };
-            news |= entry.case.add(strike);
+            changed |= suspect.record.add_crash(crash);
         }
-        if entry.rest.is_some() {
-            // What ended a leaf in its trial rests for an episode, so that the next trial
-            // tells more than this one.
-            entry.rest = Some(now + EPISODE);
+        if suspect.cooldown.is_some() {
+            // Wait for the end of the episode after a failed trial call: another crash
+            // within it would not count as a further episode.
+            suspect.cooldown = Some(now + EPISODE);
         }
-        self.changed(what, news, before);
-        self.bound();
-        news
+        self.mark_changed(key, changed, before);
+        self.drop_excess();
+        changed
     }
 
-    /// Takes it that a leaf ran the request and answered. Tells whether it is news.
-    pub fn answered(&mut self, what: Fingerprint, now: Time) -> bool {
-        let now = now + PAST;
-        let Some(entry) = self.entries.get_mut(&what) else {
+    /// Records that a leaf answered the request. Returns whether the record changed.
+    pub fn answered(&mut self, key: Fingerprint, now: Time) -> bool {
+        let now = now + CLOCK_OFFSET;
+        let Some(suspect) = self.suspects.get_mut(&key) else {
             return false;
         };
-        let before = entry.case.until();
-        let news = entry.case.clear(now);
-        if news {
-            entry.rest = None;
+        let before = suspect.record.refused_until();
+        let changed = suspect.record.record_answer(now);
+        if changed {
+            suspect.cooldown = None;
         }
-        self.changed(what, news, before);
-        news
+        self.mark_changed(key, changed, before);
+        changed
     }
 
-    /// Takes what another entry tells. Tells whether it is news.
+    /// Merges a report of another entry. Returns whether the record changed.
     pub fn hear(&mut self, report: &Report, now: Time) -> bool {
-        let now = now + PAST;
-        let entry = self.entries.entry(report.what).or_default();
-        let before = entry.case.until();
-        let mut news = false;
+        let now = now + CLOCK_OFFSET;
+        let suspect = self.suspects.entry(report.what).or_default();
+        let before = suspect.record.refused_until();
+        let mut changed = false;
         if let Some(age) = report.cleared {
-            news |= entry.case.clear(now - age);
+            changed |= suspect.record.record_answer(now - age);
         }
-        let mut counts = false;
+        let mut current = false;
         for (leaf, age) in &report.strikes {
-            let strike = Strike {
+            let crash = Strike {
                 leaf: *leaf,
                 at: now - *age,
             };
-            counts |= !entry.case.is_void(&strike);
-            news |= entry.case.add(strike);
+            current |= !suspect.record.is_superseded(&crash);
+            changed |= suspect.record.add_crash(crash);
         }
-        if counts {
-            news |= entry.case.raise(report.episodes as usize);
+        if current {
+            changed |= suspect.record.raise_episodes(report.episodes as usize);
         } else if !report.strikes.is_empty() {
-            // The teller has not heard of the answer since, and may pass that on.
-            entry.told = entry.told.min(REPEAT - 1);
+            // The sender doesn't know of the later answer: send the record again.
+            suspect.sent = suspect.sent.min(SENDS_PER_DIGIT - 1);
         }
-        // What is over here and still told elsewhere would go round for ever.
-        if now >= entry.case.end() {
-            self.entries.remove(&report.what);
+        // An expired record that is still gossiped elsewhere would circulate for ever.
+        if now >= suspect.record.expires_at() {
+            self.suspects.remove(&report.what);
             return false;
         }
-        self.changed(report.what, news, before);
-        self.bound();
-        news
+        self.mark_changed(report.what, changed, before);
+        self.drop_excess();
+        changed
     }
 
-    /// What goes with the next message, at most `most` cases: changes that make or end a
-    /// refusal, then others, those first that were told least; then those that are refused
-    /// in turn, so that an entry which starts hears of all of them.
+    /// Returns the reports for the next message, at most `most`: first changes that start
+    /// or end a refusal, then other changes, the least sent first; then refused requests
+    /// in turn, so that an entry that starts receives all of them.
     pub fn tell(&mut self, most: usize, members: usize, now: Time) -> Vec<Report> {
-        let now = now + PAST;
-        let limit = REPEAT * (members.max(1).ilog10() + 1);
-        let waiting = self.entries.iter().filter(|(_, entry)| entry.told < limit);
-        let mut order: Vec<_> = waiting
-            .map(|(what, entry)| {
-                let strikes = Reverse(entry.case.strikes().len());
-                (!entry.urgent, entry.told, strikes, *what)
+        let now = now + CLOCK_OFFSET;
+        let max_sends = SENDS_PER_DIGIT * (members.max(1).ilog10() + 1);
+        let pending = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| suspect.sent < max_sends);
+        let mut order: Vec<_> = pending
+            .map(|(key, suspect)| {
+                let crashes = Reverse(suspect.record.crashes().len());
+                (!suspect.urgent, suspect.sent, crashes, *key)
             })
             .collect();
         order.sort_unstable();
-        let mut chosen: Vec<Fingerprint> = order.into_iter().map(|(.., what)| what).collect();
+        let mut chosen: Vec<Fingerprint> = order.into_iter().map(|(.., key)| key).collect();
         chosen.truncate(most);
         while chosen.len() < most {
-            match self.next_refused(now).filter(|what| !chosen.contains(what)) {
-                Some(what) => chosen.push(what),
+            match self.next_refused(now).filter(|key| !chosen.contains(key)) {
+                Some(key) => chosen.push(key),
                 None => break,
             }
         }
         chosen
             .into_iter()
-            .filter_map(|what| self.report(what, now))
+            .filter_map(|key| self.report(key, now))
             .collect()
     }
 
-    /// When changes have to be told without waiting for other messages, if there are any.
+    /// Returns when changes are due to be pushed without waiting for other messages, if
+    /// there are any.
     #[must_use]
     pub fn tell_at(&self) -> Option<Time> {
-        let mut news = self.entries.values().filter(|entry| entry.told == 0);
-        let first = news.next()?;
-        let urgent = first.urgent || news.any(|entry| entry.urgent);
-        let next = self.pace.last + TELL_GAP;
-        Some(match urgent || self.pace.count < TELL_BURST {
+        let mut unsent = self.suspects.values().filter(|suspect| suspect.sent == 0);
+        let first = unsent.next()?;
+        let urgent = first.urgent || unsent.any(|suspect| suspect.urgent);
+        let next = self.pacing.last + PUSH_INTERVAL;
+        Some(match urgent || self.pacing.count < PUSH_BURST {
             true => next,
-            false => next.max(self.pace.window + TELL_WINDOW),
+            false => next.max(self.pacing.window_start + PUSH_WINDOW),
         })
     }
 
-    /// Takes it that changes are told now, without waiting for other messages.
+    /// Records that changes are pushed now, without waiting for other messages.
     pub fn telling(&mut self, now: Time) {
-        let pace = &mut self.pace;
-        if now >= pace.window + TELL_WINDOW {
-            (pace.window, pace.count) = (now, 0);
+        let pacing = &mut self.pacing;
+        if now >= pacing.window_start + PUSH_WINDOW {
+            (pacing.window_start, pacing.count) = (now, 0);
         }
-        pace.last = now;
-        pace.count += 1;
+        pacing.last = now;
+        pacing.count += 1;
     }
 
-    /// Forgets cases whose time is over.
+    /// Drops expired records.
     pub fn forget(&mut self, now: Time) {
-        let now = now + PAST;
-        self.entries.retain(|_, entry| now < entry.case.end());
+        let now = now + CLOCK_OFFSET;
+        self.suspects
+            .retain(|_, suspect| now < suspect.record.expires_at());
     }
 
-    /// Cases that are known.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.suspects.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.suspects.is_empty()
     }
 
-    /// Requests that are refused now.
+    /// Returns the number of requests that are refused now.
     #[must_use]
     pub fn refused(&self, now: Time) -> usize {
-        let now = now + PAST;
-        let refused = |entry: &&Entry| matches!(entry.case.stand(now), Stand::Refused(_));
-        self.entries.values().filter(refused).count()
+        let now = now + CLOCK_OFFSET;
+        let refused =
+            |suspect: &&Suspect| matches!(suspect.record.handling(now), Stand::Refused(_));
+        self.suspects.values().filter(refused).count()
     }
 
-    /// Has a case told that has changed, and that was refused until `before`.
-    fn changed(&mut self, what: Fingerprint, news: bool, before: Option<Time>) {
-        if let Some(entry) = self.entries.get_mut(&what).filter(|_| news) {
-            entry.told = 0;
-            entry.urgent = entry.case.until() != before;
+    /// Marks a changed record to be sent; `before` is the end of its refusal before the
+    /// change.
+    fn mark_changed(&mut self, key: Fingerprint, changed: bool, before: Option<Time>) {
+        if let Some(suspect) = self.suspects.get_mut(&key).filter(|_| changed) {
+            suspect.sent = 0;
+            suspect.urgent = suspect.record.refused_until() != before;
         }
     }
 
-    /// The next of the cases that are refused, after the one told last.
+    /// Returns the next refused request after the one reported last.
     fn next_refused(&mut self, now: Time) -> Option<Fingerprint> {
-        let refused = |(_, entry): &(&Fingerprint, &Entry)| {
-            matches!(entry.case.stand(now), Stand::Refused(_))
+        let refused = |(_, suspect): &(&Fingerprint, &Suspect)| {
+            matches!(suspect.record.handling(now), Stand::Refused(_))
         };
-        let after = self.entries.iter().filter(refused).map(|(what, _)| *what);
-        let next = after
+        let refused_keys = self.suspects.iter().filter(refused).map(|(key, _)| *key);
+        let next = refused_keys
             .clone()
-            .find(|what| self.turn.is_none_or(|turn| *what > turn))
-            .or_else(|| after.clone().next());
-        self.turn = next;
+            .find(|key| self.cursor.is_none_or(|cursor| *key > cursor))
+            .or_else(|| refused_keys.clone().next());
+        self.cursor = next;
         next
     }
 
-    fn report(&mut self, what: Fingerprint, now: Time) -> Option<Report> {
-        let entry = self.entries.get_mut(&what)?;
-        entry.told = entry.told.saturating_add(1);
-        Some(report(what, &entry.case, now))
+    /// Makes the report of a request and counts it as sent.
+    fn report(&mut self, key: Fingerprint, now: Time) -> Option<Report> {
+        let suspect = self.suspects.get_mut(&key)?;
+        suspect.sent = suspect.sent.saturating_add(1);
+        Some(report(key, &suspect.record, now))
     }
 
-    fn bound(&mut self) {
-        if self.entries.len() <= CASES_MAX {
+    /// Drops the least important record if there are too many.
+    fn drop_excess(&mut self) {
+        if self.suspects.len() <= MAX_RECORDS {
             return;
         }
-        let worth = |entry: &Entry| (entry.case.episodes(), entry.case.end());
-        let least = self.entries.iter().min_by_key(|(_, entry)| worth(entry));
-        if let Some(what) = least.map(|(what, _)| *what) {
-            self.entries.remove(&what);
+        let rank = |suspect: &Suspect| (suspect.record.episodes(), suspect.record.expires_at());
+        let least = self
+            .suspects
+            .iter()
+            .min_by_key(|(_, suspect)| rank(suspect));
+        if let Some(key) = least.map(|(key, _)| *key) {
+            self.suspects.remove(&key);
         }
     }
 }
 
-fn report(what: Fingerprint, case: &Case, now: Time) -> Report {
-    let strikes = case.strikes();
-    let late = strikes.len().saturating_sub(STRIKES_TOLD - 1).max(1);
-    let told = strikes
+/// Makes the report of a record, with ages at `now`.
+fn report(key: Fingerprint, record: &SuspectRecord, now: Time) -> Report {
+    let crashes = record.crashes();
+    let latest = crashes.len().saturating_sub(REPORT_CRASHES - 1).max(1);
+    let chosen = crashes
         .iter()
         .enumerate()
-        .filter(|(at, _)| *at == 0 || *at >= late);
+        .filter(|(at, _)| *at == 0 || *at >= latest);
     Report {
-        what,
-        cleared: case.cleared().map(|at| now.since(at)),
-        strikes: told
-            .map(|(_, strike)| (strike.leaf, now.since(strike.at)))
+        what: key,
+        cleared: record.answered_at().map(|at| now.since(at)),
+        strikes: chosen
+            .map(|(_, crash)| (crash.leaf, now.since(crash.at)))
             .collect(),
-        episodes: u32::try_from(case.episodes()).unwrap_or(u32::MAX),
+        episodes: u32::try_from(record.episodes()).unwrap_or(u32::MAX),
     }
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What a ledger makes of leafs that end.
+//! Tests of the decisions that a ledger makes when leafs crash.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use chestnut_unit::Time;
 use rstest::rstest;
 
-const ASKS: Fingerprint = Fingerprint(7);
+const REQUEST: Fingerprint = Fingerprint(7);
 
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
@@ -16,158 +16,147 @@
     numbers.map(LeafMark).collect()
 }
 
-/// A ledger that refuses [`ASKS`], whose last strike was at 2 s.
+/// A ledger that refuses [`REQUEST`], with the last crash at 2 s.
 fn refusing() -> Ledger {
     let mut ledger = Ledger::default();
-    ledger.ended(ASKS, &marks(0..10), at(0));
-    assert_eq!(ledger.admit(ASKS, at(2000)), Stand::Trial);
-    ledger.ended(ASKS, &marks(10..11), at(2000));
+    ledger.ended(REQUEST, &marks(0..10), at(0));
+    assert_eq!(ledger.admit(REQUEST, at(2000)), Stand::Trial);
+    ledger.ended(REQUEST, &marks(10..11), at(2000));
     ledger
 }
 
 fn is_refused(ledger: &Ledger, now: Time) -> bool {
-    matches!(ledger.look(ASKS, now), Stand::Refused(_))
+    matches!(ledger.look(REQUEST, now), Stand::Refused(_))
 }
 
-/// Callers of a popular request would be refused for minutes.
-/// A rack fails and takes many leafs under the same request at many entries, within a
-/// second. That is one episode, however many leafs it took: the next try tells.
+/// A rack failure that takes many leafs within a second must not get a harmless request
+/// refused.
 #[test]
-fn leafs_that_end_together_are_one_episode() {
+fn crashes_within_a_second_are_one_episode() {
     let mut ledger = Ledger::default();
     for ms in [0, 100, 300, 800] {
         let first = ms as u32;
-        ledger.ended(ASKS, &marks(first..first + 10), at(ms));
+        ledger.ended(REQUEST, &marks(first..first + 10), at(ms));
     }
-    assert_eq!(ledger.admit(ASKS, at(900)), Stand::Trial);
-    assert!(ledger.answered(ASKS, at(930)));
-    assert_eq!(ledger.admit(ASKS, at(931)), Stand::Free);
+    assert_eq!(ledger.admit(REQUEST, at(900)), Stand::Trial);
+    assert!(ledger.answered(REQUEST, at(930)));
+    assert_eq!(ledger.admit(REQUEST, at(931)), Stand::Free);
 }
 
-/// Callers of a request that leafs answer would be refused.
-/// Leafs end for other reasons again and again, each time with a call of the same request
-/// under way. What was answered in between starts anew.
+/// A request must not be refused because leafs crash for other reasons while it runs.
 #[test]
-fn an_answer_voids_what_was_before() {
+fn an_answer_supersedes_earlier_crashes() {
     let mut ledger = Ledger::default();
     for round in 0..50u32 {
         let start = u64::from(round) * 5000;
-        ledger.ended(ASKS, &marks(round * 9..round * 9 + 9), at(start));
+        ledger.ended(REQUEST, &marks(round * 9..round * 9 + 9), at(start));
         assert!(!is_refused(&ledger, at(start)), "round {round}");
-        ledger.answered(ASKS, at(start + 2000));
+        ledger.answered(REQUEST, at(start + 2000));
     }
 }
 
-/// Leafs would end by the dozen while it is found out that a request ends them.
-/// Tries of it arrive together. One is let through, the others come back when it has
-/// been answered or not.
+/// Retries that arrive together must not each crash a leaf before the first is answered.
 #[test]
-fn one_trial_at_a_time() {
+fn only_one_trial_call_at_a_time() {
     let mut ledger = Ledger::default();
-    ledger.ended(ASKS, &marks(0..2), at(0));
-    assert_eq!(ledger.admit(ASKS, at(50)), Stand::Trial);
-    let Stand::Refused(after) = ledger.admit(ASKS, at(60)) else {
-        panic!("a second trial beside the first");
+    ledger.ended(REQUEST, &marks(0..2), at(0));
+    assert_eq!(ledger.admit(REQUEST, at(50)), Stand::Trial);
+    let Stand::Refused(after) = ledger.admit(REQUEST, at(60)) else {
+        panic!("a second trial call beside the first");
     };
     assert!(after <= Duration::from_millis(100), "{after:?}");
-    ledger.answered(ASKS, at(80));
-    assert_eq!(ledger.admit(ASKS, at(81)), Stand::Free);
+    ledger.answered(REQUEST, at(80));
+    assert_eq!(ledger.admit(REQUEST, at(81)), Stand::Free);
 }
 
-/// One leaf after the other ends under tries that come ten a second.
-/// A trial that ended its leaf within the first second tells no more than the try before
-/// it; the next one waits until the second is over.
+/// Retries in quick succession must not each crash a leaf within one episode.
 #[test]
-fn a_trial_that_ended_its_leaf_rests() {
+fn a_failed_trial_call_waits_for_the_next_episode() {
     let mut ledger = Ledger::default();
-    ledger.ended(ASKS, &marks(0..2), at(0));
-    assert_eq!(ledger.admit(ASKS, at(100)), Stand::Trial);
-    ledger.ended(ASKS, &marks(2..3), at(120));
+    ledger.ended(REQUEST, &marks(0..2), at(0));
+    assert_eq!(ledger.admit(REQUEST, at(100)), Stand::Trial);
+    ledger.ended(REQUEST, &marks(2..3), at(120));
     for ms in (200..1100).step_by(100) {
-        let Stand::Refused(after) = ledger.admit(ASKS, at(ms)) else {
-            panic!("another trial after {ms} ms");
+        let Stand::Refused(after) = ledger.admit(REQUEST, at(ms)) else {
+            panic!("another trial call after {ms} ms");
         };
         assert!(after <= Duration::from_secs(1), "{after:?}");
     }
-    assert_eq!(ledger.admit(ASKS, at(1120)), Stand::Trial);
+    assert_eq!(ledger.admit(REQUEST, at(1120)), Stand::Trial);
 }
 
-/// Callers of a request whose trial went to a leaf that hangs would be refused for as long
-/// as it does.
+/// A trial call to a leaf that hangs must not get the request refused until it returns.
 #[test]
-fn a_trial_that_hangs_holds_up_no_other() {
+fn a_hanging_trial_call_does_not_block_the_next() {
     let mut ledger = Ledger::default();
-    ledger.ended(ASKS, &marks(0..2), at(0));
-    assert_eq!(ledger.admit(ASKS, at(50)), Stand::Trial);
-    assert_eq!(ledger.admit(ASKS, at(200)), Stand::Trial);
+    ledger.ended(REQUEST, &marks(0..2), at(0));
+    assert_eq!(ledger.admit(REQUEST, at(50)), Stand::Trial);
+    assert_eq!(ledger.admit(REQUEST, at(200)), Stand::Trial);
 }
 
-/// A request that was mended, or taken for the cause by mistake, would never be served.
+/// A request that was fixed, or blamed by mistake, must be served again.
 #[test]
-fn a_refusal_ends_and_a_trial_decides() {
+fn a_refusal_expires_and_a_trial_call_decides() {
     let mut ledger = refusing();
-    let Stand::Refused(after) = ledger.admit(ASKS, at(2100)) else {
+    let Stand::Refused(after) = ledger.admit(REQUEST, at(2100)) else {
         panic!("not refused");
     };
     let end = at(2100) + after;
-    assert_eq!(ledger.admit(ASKS, end), Stand::Trial);
-    ledger.answered(ASKS, end + Duration::from_millis(20));
+    assert_eq!(ledger.admit(REQUEST, end), Stand::Trial);
+    ledger.answered(REQUEST, end + Duration::from_millis(20));
     let later = end + Duration::from_millis(30);
-    assert_eq!(ledger.admit(ASKS, later), Stand::Free);
+    assert_eq!(ledger.admit(REQUEST, later), Stand::Free);
     ledger.forget(later + Duration::from_secs(3600));
     assert!(ledger.is_empty());
 }
 
-/// Leafs would end every two minutes for as long as the caller goes on.
+/// A caller that retries for ever must not crash a leaf every two minutes.
 #[test]
-fn each_trial_that_ends_a_leaf_makes_the_rest_longer() {
+fn each_failed_trial_call_lengthens_the_refusal() {
     let mut ledger = refusing();
     let (mut now, mut trials) = (at(2000), 0);
     let day = at(24 * 3600 * 1000);
     while now < day {
-        match ledger.admit(ASKS, now) {
+        match ledger.admit(REQUEST, now) {
             Stand::Refused(after) => now = now + after,
             _ => {
                 trials += 1;
-                ledger.ended(ASKS, &marks(100 + trials..101 + trials), now);
+                ledger.ended(REQUEST, &marks(100 + trials..101 + trials), now);
             }
         }
         ledger.forget(now);
     }
-    assert!(trials <= 14, "{trials} trials in a day");
+    assert!(trials <= 14, "{trials} trial calls in a day");
 }
 
-/// Leafs that start again under their ids would count once, however often they end.
+/// Crashes of a leaf that restarts under the same id must count separately.
 #[test]
-fn a_leaf_that_ends_again_counts_again() {
+fn repeated_crashes_of_a_leaf_count_again() {
     let mut ledger = Ledger::default();
     for second in 0..3 {
-        ledger.ended(ASKS, &marks(1..2), at(second * 3000));
+        ledger.ended(REQUEST, &marks(1..2), at(second * 3000));
     }
     assert!(is_refused(&ledger, at(6000)));
 }
 
-/// An entry that has just started would send on what the others refuse.
-/// It hears of strikes that are older than itself.
+/// A new entry must apply reported crashes that are older than itself.
 #[test]
-fn what_was_before_an_entry_started_counts() {
+fn crashes_before_the_start_of_an_entry_count() {
     let mut old = refusing();
     let mut new = Ledger::default();
     let reports = old.tell(4, 6, at(60_000));
     assert!(new.hear(&reports[0], at(10)));
     let (Stand::Refused(here), Stand::Refused(there)) =
-        (new.look(ASKS, at(10)), old.look(ASKS, at(60_000)))
+        (new.look(REQUEST, at(10)), old.look(REQUEST, at(60_000)))
     else {
-        panic!("not refused by both");
+        panic!("not refused by both entries");
     };
     assert_eq!(here, there);
 }
 
-/// The news of a case would be passed on for ever, or be lost on a few entries.
-/// A report that was heard is no news the second time, nor the other way round; and an
-/// answer that one entry saw holds for all.
+/// Reports must not circulate for ever, and an answer that one entry saw must reach all.
 #[test]
-fn reports_settle() {
+fn reports_converge() {
     let mut one = refusing();
     let mut two = Ledger::default();
     let report = one.tell(4, 6, at(3000)).remove(0);
@@ -175,11 +164,11 @@
     assert!(!two.hear(&report, at(3010)));
     let back = two.tell(4, 6, at(3100)).remove(0);
     assert!(!one.hear(&back, at(3110)));
-    assert!(two.answered(ASKS, at(5000)));
+    assert!(two.answered(REQUEST, at(5000)));
     let cleared = two.tell(4, 6, at(5000)).remove(0);
     assert!(one.hear(&cleared, at(5005)));
-    assert_eq!(one.look(ASKS, at(5010)), Stand::Free);
-    // What is told late by a third one is older than the answer.
+    assert_eq!(one.look(REQUEST, at(5010)), Stand::Free);
+    // A late report of a third entry is older than the answer.
     let late = Report {
         strikes: report
             .strikes
@@ -189,20 +178,20 @@
         ..report
     };
     assert!(!one.hear(&late, at(6000)));
-    assert_eq!(one.look(ASKS, at(6010)), Stand::Free);
+    assert_eq!(one.look(REQUEST, at(6010)), Stand::Free);
 }
 
-/// An entry's memory would grow with every request that was under way when a region
-/// failed, or the one that matters would be dropped for those.
+/// Records must not grow with every request that ran when a region failed, nor push out
+/// refused ones.
 #[rstest]
-#[case::told(true)]
-#[case::seen(false)]
-fn cases_are_bounded_and_the_refused_stay(#[case] told: bool) {
+#[case::reported(true)]
+#[case::observed(false)]
+fn records_are_bounded_and_refused_ones_stay(#[case] reported: bool) {
     let mut ledger = refusing();
     for number in 100..5000u64 {
         let what = Fingerprint(number);
         let now = at(3000 + number);
-        if told {
+        if reported {
             let report = Report {
                 what,
                 cleared: None,
@@ -220,26 +209,26 @@
     assert!(ledger.is_empty());
 }
 
-/// A crowd of harmless cases would keep the one that is refused from being told.
+/// Many harmless records must not keep a refused one from being reported.
 #[test]
-fn what_ended_most_is_told_first_and_what_is_refused_goes_on_being_told() {
+fn most_crashes_are_reported_first_and_refusals_repeatedly() {
     let mut ledger = refusing();
     for number in 100..200u64 {
         ledger.ended(Fingerprint(number), &marks(0..1), at(2100));
     }
     let first = ledger.tell(4, 6, at(2200));
-    assert_eq!(first[0].what, ASKS);
+    assert_eq!(first[0].what, REQUEST);
     for _ in 0..1000 {
         ledger.tell(4, 6, at(2400));
     }
-    let told = ledger.tell(4, 6, at(2500));
-    assert!(told.iter().any(|report| report.what == ASKS));
+    let reported = ledger.tell(4, 6, at(2500));
+    assert!(reported.iter().any(|report| report.what == REQUEST));
 }
 
-/// A case that is over would be told from entry to entry, and read from the store, for
-/// ever: each that forgets it hears it anew from one that has not yet.
+/// Expired records must not circulate for ever between entries that expire them at
+/// different times.
 #[test]
-fn what_is_over_is_no_news() {
+fn expired_reports_are_ignored() {
     let mut old = refusing();
     let report = old.tell(4, 6, at(3000)).remove(0);
     let mut new = Ledger::default();
@@ -247,30 +236,29 @@
     assert!(new.is_empty());
 }
 
-/// Callers of a request that was answered again are refused by an entry that heard of the
-/// strikes late, and of the answer not at all.
-/// Whoever hears from it tells of the answer once more.
+/// An entry that received the crashes late, but not the answer, must receive the answer
+/// from its peers.
 #[test]
-fn an_old_strike_is_answered_with_the_answer() {
+fn a_superseded_crash_is_answered_with_the_answer() {
     let mut one = refusing();
     let strikes = one.tell(4, 6, at(3000)).remove(0);
-    one.answered(ASKS, at(4000));
+    one.answered(REQUEST, at(4000));
     for _ in 0..100 {
         one.tell(4, 6, at(4100));
     }
     let mut late = Ledger::default();
     let strikes = strikes.aged(Duration::from_secs(2));
     assert!(late.hear(&strikes, at(5000)));
-    let told = late.tell(4, 6, at(5100)).remove(0);
-    one.hear(&told, at(5100));
+    let reported = late.tell(4, 6, at(5100)).remove(0);
+    one.hear(&reported, at(5100));
     let answer = one.tell(4, 6, at(5200)).remove(0);
     assert!(late.hear(&answer, at(5200)));
-    assert_eq!(late.look(ASKS, at(5200)), Stand::Free);
+    assert_eq!(late.look(REQUEST, at(5200)), Stand::Free);
 }
 
-/// What ended many leafs is told at once, a crowd of other news only now and then.
+/// Refusals must be pushed at once, and many other changes must not exceed the push rate.
 #[test]
-fn news_are_paced() {
+fn pushes_of_changes_are_rate_limited() {
     let mut ledger = Ledger::default();
     assert_eq!(ledger.tell_at(), None);
     let mut now = at(20_000);
@@ -278,17 +266,17 @@
         ledger.ended(Fingerprint(number), &marks(0..1), now);
     }
     let end = now + Duration::from_secs(10);
-    let mut tellings = 0;
+    let mut pushes = 0;
     while let Some(due) = ledger.tell_at().filter(|due| *due < end) {
         now = now.max(due);
         ledger.telling(now);
         ledger.tell(4, 6, now);
-        tellings += 1;
+        pushes += 1;
     }
-    assert_eq!(tellings, 8);
-    ledger.ended(ASKS, &marks(0..9), now - Duration::from_secs(2));
-    ledger.ended(ASKS, &marks(9..10), now);
+    assert_eq!(pushes, 8);
+    ledger.ended(REQUEST, &marks(0..9), now - Duration::from_secs(2));
+    ledger.ended(REQUEST, &marks(9..10), now);
     assert_eq!(ledger.tell_at(), Some(now + Duration::from_millis(100)));
     ledger.telling(now + Duration::from_millis(100));
-    assert_eq!(ledger.tell(1, 6, now)[0].what, ASKS);
+    assert_eq!(ledger.tell(1, 6, now)[0].what, REQUEST);
 }
