--- a/crates/once/src/keeper.rs
+++ b/crates/once/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper: what became of each ticket that this process minted.
+//! Keepers, which record the outcome of each submission under a ticket.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,37 +9,39 @@
 
 use crate::Ticket;
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A target did it; its answer.
+    /// A target ran it and gave this answer.
     Done(Vec<u8>),
     /// No target ran it, and none will under this ticket.
     NotRun(Reason),
-    /// It was sent and its fate can't be known. It is not sent again.
+    /// It was sent, but its outcome can't be known. It is not sent again.
     Unknown,
 }
 
-/// What a keeper says to a submission with a ticket.
+/// A keeper's decision on a submission with a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// Dispatch it, and tell the outcome with [`Keeper::settle`].
+    /// Dispatch it and record the outcome with [`Keeper::settle`].
     Run,
     /// It is being dispatched; wait for that outcome.
     Join,
-    /// It was settled before.
+    /// Its outcome is already recorded.
     Settled(Outcome),
     /// The ticket was used for another body. This body was not run.
     OtherBody,
-    /// The ticket expired unused, or is forged. It was not run.
+    /// The ticket expired unused or is forged. The submission was not run.
     Refused,
-    /// Nothing is remembered of the ticket: it is of another life of this
-    /// member, or expired long ago. It may have run.
+    /// The keeper has no record of the ticket: it belongs to another
+    /// incarnation of this member or expired long ago. The submission may
+    /// have run.
     Forgotten,
     /// The keeper is handing its tickets over; ask the successor.
     Moved,
 }
 
+/// State of a ticket. `body` is the hash of the submission's body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
     Minted,
@@ -47,14 +49,15 @@
     Settled { body: u64, outcome: Outcome },
 }
 
+/// A ticket's entry in the keeper, without its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Kept {
+struct TicketEntry {
     nonce: [u8; 16],
     expiry: Wall,
     state: State,
 }
 
-/// A ticket and its state, on its way to a successor.
+/// A ticket and its state, as handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handed {
     /// The ticket.
@@ -66,9 +69,9 @@
 /// Parameters of a keeper.
 #[derive(Clone, Copy, Debug)]
 pub struct KeeperConfig {
-    /// How long a ticket lives.
+    /// Time from minting to expiry of a ticket.
     pub life: Duration,
-    /// Most tickets that are kept; past it none is minted.
+    /// Maximum number of tickets kept; beyond it none is minted.
     pub most: usize,
 }
 
@@ -81,70 +84,74 @@
     }
 }
 
-/// Largest outcome that is kept for repeats. A longer answer is replaced by
-/// an empty one; the repeat still learns that it was done.
-const ANSWER_MAX: usize = 4096;
-/// How long after its expiry a ticket is still remembered, against clocks
-/// that differ between entries.
-const SKEW: Duration = Duration::from_secs(30);
+/// Longest answer, in bytes, that is kept for repeats. A longer one is
+/// replaced by an empty one; the repeat still learns that the submission was
+/// done.
+const MAX_ANSWER: usize = 4096;
+/// How long a ticket is kept after its expiry, to allow for clock skew
+/// between entries.
+const CLOCK_SKEW: Duration = Duration::from_secs(30);
 
-/// Number of a ticket: who minted it, in which life, and its place there.
-type Key = (MemberId, Incarnation, u64);
+/// Key of a ticket: the member and incarnation that minted it, and its
+/// sequence number.
+type TicketKey = (MemberId, Incarnation, u64);
 
-/// What became of each ticket that this process minted or took over.
+/// The state of each ticket that this process minted or took over.
 ///
-/// Only this process can dispatch these tickets, in this life, so a pause, a
-/// split or a change of views can't make two dispatch the same one. Its death
-/// loses the memory: repeats then end as unknown, never as a second dispatch.
+/// Only this incarnation of the process can dispatch these tickets, so a
+/// pause, a network partition or a membership change can't make two processes
+/// dispatch the same one. A crash loses the state: repeats then end as
+/// unknown, never as a second dispatch.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     own: MemberId,
     incarnation: Incarnation,
     config: KeeperConfig,
-    kept: BTreeMap<Key, Kept>,
-    expiries: BTreeSet<(Wall, Key)>,
+    tickets: BTreeMap<TicketKey, TicketEntry>,
+    expiries: BTreeSet<(Wall, TicketKey)>,
     next: u64,
-    open: Open,
+    phase: Phase,
 }
 
+/// Whether the keeper still mints and dispatches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Open {
-    Yes,
+enum Phase {
+    Open,
     Closed,
 }
 
 impl Keeper {
-    /// A keeper without tickets.
+    /// Creates a keeper without tickets.
     #[must_use]
     pub fn new(own: MemberId, incarnation: Incarnation, config: KeeperConfig) -> Self {
         Self {
             own,
             incarnation,
             config,
-            kept: BTreeMap::new(),
+            tickets: BTreeMap::new(),
             expiries: BTreeSet::new(),
             next: 0,
-            open: Open::Yes,
+            phase: Phase::Open,
         }
     }
 
-    /// Tickets that are kept.
+    /// Returns the number of tickets kept.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.tickets.len()
     }
 
-    /// Whether none is kept.
+    /// Returns whether no tickets are kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.tickets.is_empty()
     }
 
-    /// Mints a ticket from a random `nonce`. `None` while handing over, or
-    /// when too many are kept.
+    /// Mints a ticket from a random `nonce`. Returns `None` when the keeper
+    /// is closed or full.
     pub fn mint(&mut self, nonce: [u8; 16], wall: Wall) -> Option<Ticket> {
         self.expire(wall);
-        if self.open == Open::Closed || self.kept.len() >= self.config.most {
+        if self.phase == Phase::Closed || self.tickets.len() >= self.config.most {
             return None;
         }
         let ticket = Ticket {
@@ -155,24 +162,24 @@
             nonce,
         };
         self.next += 1;
-        self.keep(&ticket, State::Minted);
+        self.insert(&ticket, State::Minted);
         Some(ticket)
     }
 
     /// Decides on a submission with `ticket` whose body hashes to `body`.
     pub fn claim(&mut self, ticket: &Ticket, body: u64, wall: Wall) -> Claim {
         let key = key_of(ticket);
-        let Some(kept) = self.kept.get_mut(&key) else {
+        let Some(entry) = self.tickets.get_mut(&key) else {
             return Claim::Forgotten;
         };
-        if kept.nonce != ticket.nonce || kept.expiry != ticket.expiry {
+        if entry.nonce != ticket.nonce || entry.expiry != ticket.expiry {
             return Claim::Refused;
         }
-        match &kept.state {
-            State::Minted if self.open == Open::Closed => Claim::Moved,
-            State::Minted if wall >= kept.expiry => Claim::Refused,
+        match &entry.state {
+            State::Minted if self.phase == Phase::Closed => Claim::Moved,
+            State::Minted if wall >= entry.expiry => Claim::Refused,
             State::Minted => {
-                kept.state = State::Running { body };
+                entry.state = State::Running { body };
                 Claim::Run
             }
             State::Running { body: first } | State::Settled { body: first, .. }
@@ -185,102 +192,105 @@
         }
     }
 
-    /// Takes the outcome of a submission that was claimed. It is final: a
-    /// later use of the ticket gets the same, also after "not run", or a copy
-    /// of the request that was delayed on its way could run after its caller
-    /// was told that it was not run.
+    /// Records the final outcome of a claimed submission. It holds for later
+    /// uses of the ticket, also after "not run": otherwise a delayed copy of
+    /// the request could run after its caller was answered that it was not
+    /// run.
     pub fn settle(&mut self, ticket: &Ticket, mut outcome: Outcome) {
         if let Outcome::Done(answer) = &mut outcome
-            && answer.len() > ANSWER_MAX
+            && answer.len() > MAX_ANSWER
         {
             answer.clear();
         }
-        let Some(kept) = self.kept.get_mut(&key_of(ticket)) else {
+        let Some(entry) = self.tickets.get_mut(&key_of(ticket)) else {
             return;
         };
-        if let State::Running { body } = kept.state {
-            kept.state = State::Settled { body, outcome };
+        if let State::Running { body } = entry.state {
+            entry.state = State::Settled { body, outcome };
         }
     }
 
-    /// Drops tickets that expired a while ago.
+    /// Drops tickets whose expiry passed longer ago than the clock skew.
     pub fn expire(&mut self, wall: Wall) {
         while let Some((at, key)) = self.expiries.first().cloned() {
-            if wall < at + SKEW {
+            if wall < at + CLOCK_SKEW {
                 return;
             }
             self.expiries.remove(&(at, key.clone()));
-            self.kept.remove(&key);
+            self.tickets.remove(&key);
         }
     }
 
     /// Stops minting and dispatching, for a planned stop.
     pub fn close(&mut self) {
-        self.open = Open::Closed;
+        self.phase = Phase::Closed;
     }
 
-    /// Submissions that are being dispatched.
+    /// Returns the number of submissions being dispatched.
     #[must_use]
     pub fn running(&self) -> usize {
-        let running = |kept: &&Kept| matches!(kept.state, State::Running { .. });
-        self.kept.values().filter(running).count()
+        let running = |entry: &&TicketEntry| matches!(entry.state, State::Running { .. });
+        self.tickets.values().filter(running).count()
     }
 
-    /// The tickets that a successor takes over, once the keeper is closed.
-    /// Those still being dispatched are handed over as unknown: this process
-    /// has sent them and won't be there to tell how they ended.
+    /// Returns the tickets that a successor takes over, once the keeper is
+    /// closed. Those still being dispatched are handed over as unknown, since
+    /// this process stops before their outcome can be recorded.
     #[must_use]
     pub fn hand_over(&self) -> Vec<Handed> {
-        if self.open == Open::Yes {
+        if self.phase == Phase::Open {
             return Vec::new();
         }
-        self.kept
+        self.tickets
             .iter()
-            .map(|(key, kept)| handed(key, kept))
+            .map(|(key, entry)| to_handed(key, entry))
             .collect()
     }
 
-    /// Takes over tickets from a keeper that leaves. A ticket that is known
-    /// already keeps its state, so a repeated hand-over changes nothing.
+    /// Takes over tickets from a keeper that leaves. Known tickets keep their
+    /// state, so a repeated hand-over changes nothing.
     pub fn adopt(&mut self, tickets: Vec<Handed>) {
         for Handed { ticket, settled } in tickets {
-            if self.kept.contains_key(&key_of(&ticket)) {
+            if self.tickets.contains_key(&key_of(&ticket)) {
                 continue;
             }
             let state = match settled {
                 None => State::Minted,
                 Some((body, outcome)) => State::Settled { body, outcome },
             };
-            self.keep(&ticket, state);
+            self.insert(&ticket, state);
         }
     }
 
-    fn keep(&mut self, ticket: &Ticket, state: State) {
+    /// Stores a ticket and its expiry.
+    fn insert(&mut self, ticket: &Ticket, state: State) {
         let key = key_of(ticket);
-        let kept = Kept {
+        let entry = TicketEntry {
             nonce: ticket.nonce,
             expiry: ticket.expiry,
             state,
         };
         self.expiries.insert((ticket.expiry, key.clone()));
-        self.kept.insert(key, kept);
+        self.tickets.insert(key, entry);
     }
 }
 
-fn key_of(ticket: &Ticket) -> Key {
+/// Returns the key of a ticket.
+fn key_of(ticket: &Ticket) -> TicketKey {
     (ticket.keeper.clone(), ticket.incarnation, ticket.seq)
 }
 
-fn handed(key: &Key, kept: &Kept) -> Handed {
+/// Converts an entry to its hand-over form; a running one becomes unknown.
+fn to_handed(key: &TicketKey, entry: &TicketEntry) -> Handed {
     let (keeper, incarnation, seq) = key.clone();
     let ticket = Ticket {
         keeper,
         incarnation,
         seq,
-        expiry: kept.expiry,
-        nonce: kept.nonce,
+        expiry: entry.expiry,
+        nonce: entry.nonce,
     };
-    let settled = match &kept.state {
+    let settled = match &entry.state {
         State::Minted => None,
         State::Running { body } => Some((*body, Outcome::Unknown)),
         State::Settled { body, outcome } => Some((*body, outcome.clone())),
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,8 +1,9 @@
-//! Submissions that take effect at most once, without a store.
+//! At-most-once submissions without shared storage.
 //!
 //! A submission is dispatched by one process only: the keeper that its
-//! [`Ticket`] names. Repeats at any entry reach the same keeper, which answers
-//! them with the first outcome. See `docs/design/submissions.md`.
+//! [`Ticket`] (a one-time permit) names. Repeats at any entry are routed to
+//! the same keeper, which answers them with the first outcome. See
+//! `docs/design/submissions.md`.
 //!
 //! ```
 //! use chestnut_once::{Claim, Keeper, KeeperConfig};
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets of submissions.
+//! Tickets and their text form.
 
 use std::{fmt, str::FromStr};
 
@@ -6,12 +6,12 @@
 use chestnut_unit::{Incarnation, MemberId, Wall};
 use displaydoc::Display;
 
-/// Bytes of the fixed part: nonce, incarnation, sequence, expiry.
-const FIXED: usize = 16 + 8 + 8 + 8;
-/// Longest text that is looked at.
-const TEXT_MAX: usize = 256;
+/// Bytes of the fixed part: nonce, incarnation, sequence number, expiry.
+const FIXED_LEN: usize = 16 + 8 + 8 + 8;
+/// Longest text that is decoded, in bytes.
+const MAX_TEXT_LEN: usize = 256;
 
-/// Why a text is not a ticket.
+/// The error of parsing a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum TicketError {
     /// the text is not a ticket of this tier
@@ -20,25 +20,25 @@
 
 impl std::error::Error for TicketError {}
 
-/// A permit for one submission. The text of it is opaque to callers; the
-/// nonce makes it unguessable.
+/// A permit for one submission. Its text is opaque to callers, and the nonce
+/// makes it unguessable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The member that minted it.
     pub keeper: MemberId,
-    /// The life of that member's process.
+    /// The incarnation of that member which minted it.
     pub incarnation: Incarnation,
-    /// Its number in that life.
+    /// Its sequence number in that incarnation.
     pub seq: u64,
-    /// After this it is refused.
+    /// Time from which on it is refused, unless it was used before.
     pub expiry: Wall,
-    /// Random.
+    /// Random bytes that make the ticket unguessable.
     pub nonce: [u8; 16],
 }
 
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut bytes = Vec::with_capacity(FIXED + self.keeper.as_str().len());
+        let mut bytes = Vec::with_capacity(FIXED_LEN + self.keeper.as_str().len());
         bytes.extend_from_slice(&self.nonce);
         bytes.extend_from_slice(&self.incarnation.0.to_be_bytes());
         bytes.extend_from_slice(&self.seq.to_be_bytes());
@@ -52,16 +52,16 @@
     type Err = TicketError;
 
     fn from_str(text: &str) -> Result<Self, TicketError> {
-        if text.len() > TEXT_MAX {
+        if text.len() > MAX_TEXT_LEN {
             return Err(TicketError::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD
             .decode(text)
             .map_err(|_| TicketError::Malformed)?;
-        let (nonce, rest) = take::<16>(&bytes)?;
-        let (incarnation, rest) = take::<8>(rest)?;
-        let (seq, rest) = take::<8>(rest)?;
-        let (expiry, rest) = take::<8>(rest)?;
+        let (nonce, rest) = split_array::<16>(&bytes)?;
+        let (incarnation, rest) = split_array::<8>(rest)?;
+        let (seq, rest) = split_array::<8>(rest)?;
+        let (expiry, rest) = split_array::<8>(rest)?;
         let name = std::str::from_utf8(rest).map_err(|_| TicketError::Malformed)?;
         Ok(Self {
             keeper: MemberId::new(name).map_err(|_| TicketError::Malformed)?,
@@ -73,7 +73,8 @@
     }
 }
 
-fn take<const N: usize>(bytes: &[u8]) -> Result<([u8; N], &[u8]), TicketError> {
+/// Splits off the first `N` bytes.
+fn split_array<const N: usize>(bytes: &[u8]) -> Result<([u8; N], &[u8]), TicketError> {
     let (head, rest) = bytes
         .split_first_chunk::<N>()
         .ok_or(TicketError::Malformed)?;
--- a/crates/once/tests/ledger.rs
+++ b/crates/once/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Keepers against a naive ledger of what a target applied.
+//! Compares keepers with a model that counts what a target applied.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,28 @@
 use chestnut_unit::{Incarnation, MemberId, Reason, Wall};
 use proptest::{prelude::*, test_runner::RngSeed};
 
-/// What happens next.
+/// A step of a generated run.
 #[derive(Clone, Debug)]
 enum Step {
     Mint(usize),
-    /// A submission with a ticket reaches a keeper, here or by mistake.
+    /// A submission reaches a keeper, which may not own its ticket.
     Submit {
         ticket: usize,
         at: usize,
         body: u64,
     },
-    /// A dispatch ends: done, refused unrun, lost before or after it ran.
+    /// A dispatch ends: done, refused without running, or lost after or
+    /// before it ran.
     End {
         which: usize,
         how: u8,
     },
-    /// A keeper's process dies and another takes its name.
-    Die(usize),
-    /// A keeper stops in the planned way and hands over to another.
+    /// A keeper restarts without its state.
+    Restart(usize),
+    /// A keeper closes, hands over to another and restarts.
     HandOver(usize),
-    Pass(u64),
+    /// Time advances by this many milliseconds.
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -34,91 +36,92 @@
         6 => (0usize..6, 0usize..3, 0u64..2)
             .prop_map(|(ticket, at, body)| Step::Submit { ticket, at, body }),
         4 => (0usize..4, 0u8..4).prop_map(|(which, how)| Step::End { which, how }),
-        1 => (0usize..3).prop_map(Step::Die),
+        1 => (0usize..3).prop_map(Step::Restart),
         1 => (0usize..3).prop_map(Step::HandOver),
-        1 => (0u64..400_000).prop_map(Step::Pass),
+        1 => (0u64..400_000).prop_map(Step::Advance),
     ]
 }
 
-/// A dispatch under way: the keeper's life that does it, and its ticket.
-struct Flight {
+/// A dispatch in flight: the keeper, its incarnation and the ticket.
+struct Dispatch {
     keeper: usize,
-    life: u64,
+    incarnation: u64,
     ticket: usize,
 }
 
-struct Bench {
+/// Three keepers, with the submissions applied and the outcomes reported.
+struct Model {
     keepers: Vec<Keeper>,
-    lives: Vec<u64>,
-    next_life: u64,
+    incarnations: Vec<u64>,
+    next_incarnation: u64,
     tickets: Vec<Ticket>,
-    flights: Vec<Flight>,
+    dispatches: Vec<Dispatch>,
     applied: BTreeMap<usize, u64>,
-    told: BTreeMap<usize, Vec<Outcome>>,
+    outcomes: BTreeMap<usize, Vec<Outcome>>,
 }
 
-fn keeper(at: usize, life: u64) -> Keeper {
+fn keeper(at: usize, incarnation: u64) -> Keeper {
     let member = MemberId::new(format!("m{at}")).unwrap();
-    Keeper::new(member, Incarnation(life), KeeperConfig::default())
+    Keeper::new(member, Incarnation(incarnation), KeeperConfig::default())
 }
 
-impl Bench {
+impl Model {
     fn new() -> Self {
         Self {
             keepers: (0..3).map(|at| keeper(at, at as u64)).collect(),
-            lives: vec![0, 1, 2],
-            next_life: 3,
+            incarnations: vec![0, 1, 2],
+            next_incarnation: 3,
             tickets: Vec::new(),
-            flights: Vec::new(),
+            dispatches: Vec::new(),
             applied: BTreeMap::new(),
-            told: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
         }
     }
 
-    fn tell(&mut self, ticket: usize, outcome: Outcome) {
-        self.told.entry(ticket).or_default().push(outcome);
+    fn record(&mut self, ticket: usize, outcome: Outcome) {
+        self.outcomes.entry(ticket).or_default().push(outcome);
     }
 
-    fn submit(&mut self, number: usize, at: usize, body: u64, wall: Wall) {
-        let Some(ticket) = self.tickets.get(number) else {
+    fn submit(&mut self, index: usize, at: usize, body: u64, wall: Wall) {
+        let Some(ticket) = self.tickets.get(index) else {
             return;
         };
         match self.keepers[at].claim(ticket, body, wall) {
-            Claim::Run => self.flights.push(Flight {
+            Claim::Run => self.dispatches.push(Dispatch {
                 keeper: at,
-                life: self.lives[at],
-                ticket: number,
+                incarnation: self.incarnations[at],
+                ticket: index,
             }),
-            Claim::Settled(outcome) => self.tell(number, outcome),
+            Claim::Settled(outcome) => self.record(index, outcome),
             Claim::Join | Claim::OtherBody | Claim::Refused | Claim::Forgotten | Claim::Moved => {}
         }
     }
 
     fn end(&mut self, which: usize, how: u8) {
-        if which >= self.flights.len() {
+        if which >= self.dispatches.len() {
             return;
         }
-        let flight = self.flights.remove(which);
+        let dispatch = self.dispatches.remove(which);
         let outcome = match how {
             0 => Outcome::Done(b"ok".to_vec()),
             1 => Outcome::NotRun(Reason::TargetRefused),
             _ => Outcome::Unknown,
         };
-        // Lost after it ran, or done.
+        // Done, or lost after it ran.
         if how == 0 || how == 2 {
-            *self.applied.entry(flight.ticket).or_default() += 1;
+            *self.applied.entry(dispatch.ticket).or_default() += 1;
         }
-        if self.lives[flight.keeper] == flight.life {
-            let ticket = self.tickets[flight.ticket].clone();
-            self.keepers[flight.keeper].settle(&ticket, outcome.clone());
-            self.tell(flight.ticket, outcome);
+        if self.incarnations[dispatch.keeper] == dispatch.incarnation {
+            let ticket = self.tickets[dispatch.ticket].clone();
+            self.keepers[dispatch.keeper].settle(&ticket, outcome.clone());
+            self.record(dispatch.ticket, outcome);
         }
     }
 
-    fn replace(&mut self, at: usize) {
-        self.keepers[at] = keeper(at, self.next_life);
-        self.lives[at] = self.next_life;
-        self.next_life += 1;
+    fn restart(&mut self, at: usize) {
+        self.keepers[at] = keeper(at, self.next_incarnation);
+        self.incarnations[at] = self.next_incarnation;
+        self.next_incarnation += 1;
     }
 }
 
@@ -130,37 +133,36 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any order of sends, repeats, losses, deaths and hand-overs a ticket
-    /// is applied at most once; once if anybody was told done, never if
-    /// anybody was told not run.
+    /// No order of submissions, losses, restarts and hand-overs may apply a
+    /// ticket twice or contradict a reported outcome.
     #[test]
     fn a_ticket_is_applied_at_most_once(steps in prop::collection::vec(step(), 0..80)) {
-        let mut bench = Bench::new();
+        let mut model = Model::new();
         let mut wall = Wall(1_000_000);
         for step in steps {
             match step {
                 Step::Mint(at) => {
-                    let nonce = [bench.tickets.len() as u8; 16];
-                    bench.tickets.extend(bench.keepers[at].mint(nonce, wall));
+                    let nonce = [model.tickets.len() as u8; 16];
+                    model.tickets.extend(model.keepers[at].mint(nonce, wall));
                 }
-                Step::Submit { ticket, at, body } => bench.submit(ticket, at, body, wall),
-                Step::End { which, how } => bench.end(which, how),
-                Step::Die(at) => bench.replace(at),
+                Step::Submit { ticket, at, body } => model.submit(ticket, at, body, wall),
+                Step::End { which, how } => model.end(which, how),
+                Step::Restart(at) => model.restart(at),
                 Step::HandOver(at) => {
-                    bench.keepers[at].close();
-                    let handed: Vec<Handed> = bench.keepers[at].hand_over();
-                    bench.keepers[(at + 1) % 3].adopt(handed);
-                    bench.replace(at);
+                    model.keepers[at].close();
+                    let handed: Vec<Handed> = model.keepers[at].hand_over();
+                    model.keepers[(at + 1) % 3].adopt(handed);
+                    model.restart(at);
                 }
-                Step::Pass(ms) => wall = wall + std::time::Duration::from_millis(ms),
+                Step::Advance(ms) => wall = wall + std::time::Duration::from_millis(ms),
             }
         }
-        while !bench.flights.is_empty() {
-            bench.end(0, 2);
+        while !model.dispatches.is_empty() {
+            model.end(0, 2);
         }
-        for (ticket, told) in &bench.told {
-            let applied = bench.applied.get(ticket).copied().unwrap_or(0);
-            for outcome in told {
+        for (ticket, outcomes) in &model.outcomes {
+            let applied = model.applied.get(ticket).copied().unwrap_or(0);
+            for outcome in outcomes {
                 match outcome {
                     Outcome::Done(_) => prop_assert_eq!(applied, 1),
                     Outcome::NotRun(_) => prop_assert_eq!(applied, 0),
@@ -168,14 +170,14 @@
                 }
             }
         }
-        for applied in bench.applied.values() {
+        for applied in model.applied.values() {
             prop_assert!(*applied <= 1);
         }
     }
 
-    /// Any text is either a ticket that reads back the same, or an error.
+    /// Parsing must not accept a text that the ticket doesn't encode to.
     #[test]
-    fn any_text_is_a_ticket_or_an_error(text in ".{0,120}") {
+    fn parsed_tickets_encode_to_the_same_text(text in ".{0,120}") {
         if let Ok(ticket) = text.parse::<Ticket>() {
             prop_assert_eq!(ticket.to_string(), text);
         }
