--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps of back ends that are decided on together.
+//! Cells: groups of back ends that share one routing table and lock.
 
 use std::{collections::BTreeMap, sync::Mutex};
 
@@ -7,34 +7,35 @@
 use rand::Rng;
 use tokio::sync::oneshot;
 
-/// Number of a gate in its cell. Requests of one gate wait for each other; a
-/// cell has one gate until more are added.
+/// Index of a gate in its cell. A gate is an admission queue: requests of one
+/// gate wait for each other. A new cell has one gate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GateId(u32);
 
-/// The tables of a cell. `X` is what a face keeps beside them.
+/// The state of a cell. `X` is what a protocol front end keeps beside it.
 #[derive(Debug)]
 pub struct State<X> {
-    /// What is known of the back ends.
+    /// The routing table of the back ends.
     pub table: Table,
-    /// Which requests run, wait or are refused, by gate.
+    /// Admission state by gate.
     gates: Vec<Admission>,
-    /// What the face keeps.
+    /// State of the protocol front end.
     pub extra: X,
+    /// Channels on which queued requests receive their decision.
     pub(crate) waiting: BTreeMap<RequestId, oneshot::Sender<Decision>>,
 }
 
-/// Back ends that are decided on together, behind one lock.
+/// A group of back ends that share one routing table and lock.
 #[derive(Debug)]
 pub struct Cell<X> {
-    /// Its name, for logs and metrics.
+    /// Its name in logs and metrics.
     pub name: ServiceName,
-    /// Its tables. The lock is never held across an await.
+    /// Its state. The lock is never held across an await.
     pub state: Mutex<State<X>>,
 }
 
 impl<X> Cell<X> {
-    /// A cell with nothing running.
+    /// Creates a cell with no running requests and one gate.
     #[must_use]
     pub fn new(name: ServiceName, table: Table, admission: Admission, extra: X) -> Self {
         let state = State {
@@ -55,20 +56,20 @@
     ///
     /// # Panics
     ///
-    /// There are 2^32 gates already.
+    /// Panics if there are 2^32 gates already.
     pub fn add_gate(&mut self, admission: Admission) -> GateId {
         let id = GateId(u32::try_from(self.gates.len()).expect("fewer than 2^32 gates"));
         self.gates.push(admission);
         id
     }
 
-    /// Which requests of a gate run, wait or are refused.
+    /// Returns the admission state of a gate.
     pub fn gate(&mut self, id: GateId) -> &mut Admission {
         &mut self.gates[id.0 as usize]
     }
 
-    /// Tells waiting requests what became of them. One whose caller has gone
-    /// gives its place to the next.
+    /// Sends queued requests their decisions. If the caller of a released
+    /// request has gone, its capacity goes to the next one.
     pub(crate) fn deliver(
         &mut self,
         gate: GateId,
@@ -77,11 +78,11 @@
         rng: &mut dyn Rng,
     ) {
         while let Some(release) = releases.pop() {
-            let told = self
+            let delivered = self
                 .waiting
                 .remove(&release.id)
                 .is_some_and(|waiter| waiter.send(release.decision).is_ok());
-            if !told && release.decision == Decision::Run {
+            if !delivered && release.decision == Decision::Run {
                 self.gate(gate).give_back(now, rng, &mut releases);
             }
         }
--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -1,4 +1,4 @@
-//! Runs one [`Query`] over a face's calls.
+//! Runs one scatter-gather [`Query`] over the calls of a protocol front end.
 
 use std::{collections::BTreeMap, fmt::Display, sync::Arc, time::Duration};
 
@@ -17,69 +17,72 @@
 
 use crate::{Cell, Host, Trace, lock};
 
-/// What one call brought.
+/// The answer to one call.
 #[derive(Debug)]
 pub struct Parts<P> {
-    /// The index version that was read.
+    /// The index version that the back end read.
     pub version: IndexVersion,
-    /// Positions in the pinned routes, and what their shards contribute.
+    /// Positions in the query's routes, with the shards' parts of the answer.
     pub parts: Vec<(usize, P)>,
-    /// Whether the back end says that it is leaving.
+    /// Whether the back end reports that it is leaving.
     pub draining: bool,
 }
 
-/// A call to start.
+/// The parameters of a call to start.
 #[derive(Debug)]
 pub struct Start<'a> {
-    /// The back end.
+    /// The back end to call.
     pub to: Ix,
-    /// The routes that the query pinned.
+    /// The routes that the query pinned when it started.
     pub routes: &'a Routes,
-    /// Positions in them of the shards that are asked.
+    /// Positions in `routes` of the shards to ask.
     pub shards: Vec<usize>,
     /// Time left for the answer.
     pub left: Duration,
-    /// Why it is made.
+    /// Why the call is made.
     pub kind: CallKind,
 }
 
-/// A call under way.
+/// The future of a call in flight.
 pub type Flying<P> = BoxFuture<'static, Result<Parts<P>, Failure>>;
 
-/// How a face calls its back ends on behalf of one request.
+/// Calls to back ends on behalf of one request, as a protocol front end makes
+/// them.
 pub trait Calls {
-    /// What the face keeps in its cells.
+    /// State that the front end keeps in its cells.
     type Extra;
-    /// What a shard contributes.
+    /// A shard's part of the answer.
     type Part;
 
-    /// The name of the request in logs.
+    /// Returns the name of the request for logs.
     fn request(&self) -> &dyn Display;
 
     /// Starts a call. Dropping the future cancels it.
     fn call(&self, start: Start<'_>) -> Flying<Self::Part>;
 
-    /// Takes it that a back end was evicted.
+    /// Called when a back end was ejected as an outlier.
     fn evicted(&self, eviction: &Eviction);
 }
 
-type Call<P> = Abortable<BoxFuture<'static, (CallId, Result<Parts<P>, Failure>)>>;
+/// A call in flight that can be cancelled.
+type Cancellable<P> = Abortable<BoxFuture<'static, (CallId, Result<Parts<P>, Failure>)>>;
 
-struct Flight {
+/// A call in flight: its back end, its shards and the handle that cancels it.
+struct PendingCall {
     to: Ix,
     shards: Vec<usize>,
     abort: AbortHandle,
 }
 
-/// A query under way. Dropping it cancels its calls and gives back their
-/// counts, so a caller that hangs up costs the targets nothing more.
+/// A query in progress. Dropping it cancels its calls and releases their
+/// capacity, so a caller that hangs up costs the targets nothing more.
 struct Fanout<'a, C: Calls> {
     host: &'a Host,
     cell: &'a Cell<C::Extra>,
     calls: &'a C,
     query: Option<Query<C::Part>>,
-    flying: FuturesUnordered<Call<C::Part>>,
-    flights: BTreeMap<CallId, Flight>,
+    in_flight: FuturesUnordered<Cancellable<C::Part>>,
+    pending: BTreeMap<CallId, PendingCall>,
     actions: Vec<Action>,
     rng: ChaCha8Rng,
 }
@@ -101,8 +104,8 @@
         cell,
         calls,
         query: None,
-        flying: FuturesUnordered::new(),
-        flights: BTreeMap::new(),
+        in_flight: FuturesUnordered::new(),
+        pending: BTreeMap::new(),
         actions: Vec::new(),
         rng: host.rng(),
     };
@@ -114,6 +117,7 @@
 where
     C::Part: 'static,
 {
+    /// Starts the query, which queues its first calls.
     fn start(&mut self, routes: Arc<Routes>, subset: Option<&[usize]>, config: QueryConfig) {
         let now = self.host.now();
         let mut state = lock(&self.cell.state);
@@ -126,19 +130,20 @@
         self.query = Some(Query::start(routes, subset, config, &mut cx));
     }
 
+    /// Processes replies and timeouts until the query ends.
     async fn drive(mut self) -> Query<C::Part> {
         loop {
-            self.perform();
-            let query = self.query.as_ref().expect("started and not yet ended");
+            self.run_actions();
+            let query = self.query.as_ref().expect("the query is running");
             if query.end().is_some() {
-                return self.query.take().expect("just seen");
+                return self.query.take().expect("the query has ended");
             }
             let wake = self.host.clock.instant(query.wake());
             tokio::select! {
                 biased;
-                Some(reply) = self.flying.next(), if !self.flying.is_empty() => {
+                Some(reply) = self.in_flight.next(), if !self.in_flight.is_empty() => {
                     if let Ok((call, reply)) = reply {
-                        self.take(call, reply);
+                        self.handle_reply(call, reply);
                     }
                 }
                 () = sleep_until(wake) => self.with_query(|query, cx| query.tick(cx)),
@@ -146,12 +151,13 @@
         }
     }
 
-    fn perform(&mut self) {
+    /// Performs the actions that the query asked for.
+    fn run_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Cancel(call) => {
-                    if let Some(flight) = self.flights.remove(&call) {
-                        flight.abort.abort();
+                    if let Some(sent) = self.pending.remove(&call) {
+                        sent.abort.abort();
                     }
                 }
                 Action::Call {
@@ -165,6 +171,7 @@
         }
     }
 
+    /// Starts a call and tracks it.
     fn call(&mut self, id: CallId, to: Ix, shards: Vec<usize>, kind: CallKind, deadline: Time) {
         self.log_choice(to, shards.len(), kind);
         let query = self.query.as_ref().expect("calls belong to a query");
@@ -178,31 +185,32 @@
         let reply = self.calls.call(start);
         let future = async move { (id, reply.await) }.boxed();
         let (abort, registration) = AbortHandle::new_pair();
-        self.flying.push(Abortable::new(future, registration));
-        self.flights.insert(id, Flight { to, shards, abort });
+        self.in_flight.push(Abortable::new(future, registration));
+        self.pending.insert(id, PendingCall { to, shards, abort });
     }
 
-    fn take(&mut self, call: CallId, reply: Result<Parts<C::Part>, Failure>) {
-        let Some(flight) = self.flights.remove(&call) else {
+    /// Passes the reply of a call to the query.
+    fn handle_reply(&mut self, call: CallId, reply: Result<Parts<C::Part>, Failure>) {
+        let Some(sent) = self.pending.remove(&call) else {
             return;
         };
         match reply {
             Ok(answer) => {
                 if answer.draining {
-                    self.mark_draining(flight.to);
+                    self.mark_draining(sent.to);
                 }
-                let parts = self.positions(&flight.shards, answer.parts);
+                let parts = self.positions(&sent.shards, answer.parts);
                 let version = answer.version;
                 self.with_query(|query, cx| query.answer(call, version, parts, cx));
             }
             Err(failure) => {
-                self.log_failure(flight.to, failure);
+                self.log_failure(sent.to, failure);
                 self.with_query(|query, cx| query.fail(call, failure, cx));
             }
         }
     }
 
-    /// Turns positions in the routes into positions in the query. Parts of
+    /// Maps positions in the routes to positions in the query. Parts of
     /// shards that were not asked for are dropped.
     fn positions(&self, shards: &[usize], parts: Vec<(usize, C::Part)>) -> Vec<(usize, C::Part)> {
         let query = self.query.as_ref().expect("answers belong to a query");
@@ -216,6 +224,7 @@
             .collect()
     }
 
+    /// Records that a back end reported that it is leaving.
     fn mark_draining(&self, ix: Ix) {
         let now = self.host.now();
         let mut state = lock(&self.cell.state);
@@ -229,12 +238,13 @@
             "service" => %self.cell.name, "why" => "its own mark");
     }
 
+    /// Logs the back end chosen for a call, as the trace level asks.
     fn log_choice(&self, to: Ix, shards: usize, kind: CallKind) {
-        let wanted = match kind {
+        let level = match kind {
             CallKind::First => Trace::All,
             _ => Trace::Extra,
         };
-        if self.host.trace < wanted {
+        if self.host.trace < level {
             return;
         }
         let part = match kind {
@@ -247,6 +257,7 @@
             "request" => %self.calls.request(), "why" => kind.as_str());
     }
 
+    /// Logs a failed call, as the trace level asks.
     fn log_failure(&self, to: Ix, failure: Failure) {
         if self.host.trace < Trace::Extra {
             return;
@@ -258,7 +269,8 @@
 }
 
 impl<C: Calls> Fanout<'_, C> {
-    /// Passes an event to the query under the cell's lock.
+    /// Passes an event to the query under the cell's lock and logs the
+    /// resulting evictions.
     fn with_query(&mut self, event: impl FnOnce(&mut Query<C::Part>, &mut Context<'_>)) {
         let Some(query) = &mut self.query else {
             return;
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -1,4 +1,4 @@
-//! Admission of a request to a service, with waiting.
+//! Admission of requests to a service, with a wait queue.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,17 +9,16 @@
 
 use crate::{Cell, GateId, Host, lock};
 
-/// A request that runs. Dropping it, however that comes about, lets the next
-/// one run.
+/// An admitted request. Dropping it releases its capacity to the next one.
 #[derive(Debug)]
 pub struct Running<'a, X> {
     host: &'a Host,
     cell: Arc<Cell<X>>,
     gate: GateId,
     start: Time,
-    /// Calls that it made.
+    /// Calls that the request made.
     pub calls: u32,
-    /// Calls of it that targets shed.
+    /// Calls of the request that targets shed.
     pub sheds: u32,
 }
 
@@ -40,14 +39,14 @@
     }
 }
 
-/// A request that waits. Dropping it takes it out of the queue.
-struct Waiting<'a, X> {
+/// A queued request. Dropping it takes it out of the queue.
+struct QueueGuard<'a, X> {
     cell: &'a Cell<X>,
     gate: GateId,
     id: RequestId,
 }
 
-impl<X> Drop for Waiting<'_, X> {
+impl<X> Drop for QueueGuard<'_, X> {
     fn drop(&mut self) {
         let mut state = lock(&self.cell.state);
         if state.waiting.remove(&self.id).is_some() {
@@ -60,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// It is refused; the span says when to come back.
+/// Returns the reason and the time to wait before a retry if the request is
+/// refused.
 pub async fn admit<'a, X>(
     host: &'a Host,
     cell: &Arc<Cell<X>>,
@@ -70,7 +70,7 @@
     let mut rng = host.rng();
     let decision = match offer(host, cell, gate, order, &mut rng) {
         Ok(decision) => decision,
-        Err(waiter) => wait(host, cell, gate, order, waiter).await,
+        Err(receiver) => wait(host, cell, gate, order, receiver).await,
     };
     match decision {
         Decision::Run => Ok(Running {
@@ -82,11 +82,12 @@
             sheds: 0,
         }),
         Decision::Refuse { reason, after } => Err((reason, after)),
-        Decision::Wait => unreachable!("a waiting request is told to run or refused"),
+        Decision::Wait => unreachable!("a queued request runs or is refused"),
     }
 }
 
-/// The decision, or where to wait for it.
+/// Returns the decision, or the channel that delivers it if the request is
+/// queued.
 fn offer<X>(
     host: &Host,
     cell: &Cell<X>,
@@ -102,31 +103,32 @@
     if decision != Decision::Wait {
         return Ok(decision);
     }
-    let (waiter, told) = oneshot::channel();
-    state.waiting.insert(order.id, waiter);
-    Err(told)
+    let (sender, receiver) = oneshot::channel();
+    state.waiting.insert(order.id, sender);
+    Err(receiver)
 }
 
+/// Waits in the queue for the decision.
 async fn wait<X>(
     host: &Host,
     cell: &Cell<X>,
     gate: GateId,
     order: Order,
-    mut told: oneshot::Receiver<Decision>,
+    mut receiver: oneshot::Receiver<Decision>,
 ) -> Decision {
-    /// Shortest time between two looks at the queue.
-    const LOOK: Duration = Duration::from_millis(1);
-    let _waiting = Waiting {
+    /// Minimum time between two checks of the queue.
+    const MIN_RECHECK: Duration = Duration::from_millis(1);
+    let _guard = QueueGuard {
         cell,
         gate,
         id: order.id,
     };
     loop {
         let wake = lock(&cell.state).gate(gate).wake();
-        let wake = wake.unwrap_or(order.deadline).max(host.now() + LOOK);
+        let wake = wake.unwrap_or(order.deadline).max(host.now() + MIN_RECHECK);
         tokio::select! {
             biased;
-            decision = &mut told => {
+            decision = &mut receiver => {
                 return decision.unwrap_or(Decision::Refuse {
                     reason: Reason::NotReady,
                     after: Duration::from_secs(1),
@@ -137,6 +139,7 @@
     }
 }
 
+/// Expires overdue queued requests and delivers the decisions.
 fn expire<X>(host: &Host, cell: &Cell<X>, gate: GateId) {
     let now = host.now();
     let mut rng = host.rng();
--- a/crates/flow/src/host.rs
+++ b/crates/flow/src/host.rs
@@ -1,4 +1,4 @@
-//! What every task of an entry needs: log, clock and random draws.
+//! Shared services of an entry's tasks: log, clock and random numbers.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
@@ -10,15 +10,16 @@
 /// Which calls of requests are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trace {
-    /// None.
+    /// No calls.
     None,
-    /// Those beside the first of each shard, and those that failed.
+    /// Extra calls and failed calls. An extra call is any call after the
+    /// first of a shard.
     Extra,
-    /// All.
+    /// All calls.
     All,
 }
 
-/// Log, clock and random draws of one entry.
+/// Log, clock and random numbers of one entry.
 #[derive(Debug)]
 pub struct Host {
     /// The log.
@@ -32,7 +33,7 @@
 }
 
 impl Host {
-    /// A host whose random draws follow from `seed`.
+    /// Creates a host whose random numbers are derived from `seed`.
     #[must_use]
     pub fn new(log: Logger, trace: Trace, clock: Clock, seed: u64) -> Self {
         Self {
@@ -44,13 +45,14 @@
         }
     }
 
-    /// The present time.
+    /// Returns the present time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// A generator for one decision or request, from the entry's seed.
+    /// Returns a generator for one decision or request, derived from the
+    /// entry's seed.
     #[must_use]
     pub fn rng(&self) -> ChaCha8Rng {
         let draw = self.draws.fetch_add(1, Ordering::Relaxed);
@@ -58,12 +60,12 @@
     }
 }
 
-/// Counts a request while it is served.
+/// Guard that counts a request while it is served.
 #[derive(Debug)]
 pub struct InFlight<'a>(&'a AtomicU32);
 
 impl<'a> InFlight<'a> {
-    /// Counts one more in `count`, until it is dropped.
+    /// Increments `count` until the guard is dropped.
     pub fn enter(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,11 +1,12 @@
-//! The request path that every face of the tier shares.
+//! The request path shared by all protocol front ends of the tier.
 //!
-//! The decisions are in `chestnut-route`; this crate runs them. A request
-//! enters [`admit`], holds a [`Running`] while it is served, and is driven by
-//! [`run`] from its first call to its end. What a call is and what a shard
-//! contributes is up to the face, which implements [`Calls`].
+//! This crate executes the decisions of `chestnut-route`. [`admit`] admits a
+//! request and returns a [`Running`], which is held while the request is
+//! served; [`run`] drives it from its first call to its end. A front end
+//! implements [`Calls`], which defines what a call is and what a shard
+//! contributes.
 //!
-//! It is not for talking to anybody by itself: it has no socket.
+//! The crate opens no sockets: all network I/O is in the front end's calls.
 #![warn(clippy::unwrap_used)]
 
 mod cell;
