--- a/crates/audit/src/journal.rs
+++ b/crates/audit/src/journal.rs
@@ -1,4 +1,4 @@
-//! Refusal records on their way to the platform.
+//! Bounded queues of refusal records to be written to the platform.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,11 +11,12 @@
 /// Parameters of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalConfig {
-    /// Time between two batches.
+    /// Minimum time between two batches.
     pub interval: Duration,
-    /// Records that are kept while the platform is out.
+    /// Maximum number of records kept while the platform is unavailable.
     pub most: usize,
-    /// Records in one batch, so that its object stays below a megabyte.
+    /// Maximum number of records in a batch, which keeps its object below a
+    /// megabyte.
     pub batch: usize,
 }
 
@@ -29,46 +30,47 @@
     }
 }
 
-/// One refusal on record.
+/// The record of one refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The receipt that the caller got.
     pub receipt: String,
-    /// What the receipt has no room for: the detail of a bad request, the
-    /// shards that were missing.
+    /// Details that the receipt leaves out, such as what was wrong with the
+    /// request or which shards were missing.
     pub detail: String,
 }
 
-/// Records that were dropped because the platform was out for too long.
+/// Records that were dropped because the platform was unavailable for too
+/// long.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
-    /// When the first was dropped.
+    /// When the first record was dropped.
     pub since: Wall,
-    /// Records dropped, by reason.
+    /// Number of dropped records by reason.
     pub dropped: BTreeMap<Reason, u64>,
 }
 
 /// Records that are written as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Name of the object, unique to this life of the entry.
+    /// Name of the object, unique across entries and their incarnations.
     pub name: String,
     /// The records.
     pub records: Vec<Record>,
-    /// What was dropped before them.
+    /// Records that were dropped before this batch.
     pub gap: Option<Gap>,
 }
 
 /// Refusal records of one entry. A batch is kept until the platform has
-/// confirmed it; writing it again after a lost answer changes nothing, since
-/// its name and content stay the same.
+/// confirmed it; a repeated write changes nothing, since its name and content
+/// stay the same.
 #[derive(Clone, Debug)]
 pub struct Journal {
     config: JournalConfig,
     owner: (MemberId, Incarnation),
     waiting: VecDeque<(Reason, Record)>,
-    flying: Option<Batch>,
-    entrusted: VecDeque<Batch>,
+    in_flight: Option<Batch>,
+    replicated: VecDeque<Batch>,
     gap: Option<Gap>,
     dropped: u64,
     written: u64,
@@ -77,15 +79,15 @@
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     #[must_use]
     pub fn new(config: JournalConfig, member: MemberId, incarnation: Incarnation) -> Self {
         Self {
             config,
             owner: (member, incarnation),
             waiting: VecDeque::new(),
-            flying: None,
-            entrusted: VecDeque::new(),
+            in_flight: None,
+            replicated: VecDeque::new(),
             gap: None,
             dropped: 0,
             written: 0,
@@ -94,83 +96,85 @@
         }
     }
 
-    /// Records that the platform has not confirmed.
+    /// Returns the number of records that the platform has not confirmed.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        let batches = self.flying.iter().chain(&self.entrusted);
+        let batches = self.in_flight.iter().chain(&self.replicated);
         self.waiting.len() + batches.map(|batch| batch.records.len()).sum::<usize>()
     }
 
-    /// The detail of a record that still waits for the platform.
+    /// Returns the detail of a record that the platform has not confirmed.
     #[must_use]
     pub fn find(&self, receipt: &str) -> Option<String> {
-        let batches = self.flying.iter().chain(&self.entrusted);
-        let cut = batches.flat_map(|batch| &batch.records);
+        let batches = self.in_flight.iter().chain(&self.replicated);
+        let batched = batches.flat_map(|batch| &batch.records);
         let waiting = self.waiting.iter().map(|(_, record)| record);
-        cut.chain(waiting)
+        batched
+            .chain(waiting)
             .find(|record| record.receipt == receipt)
             .map(|record| record.detail.clone())
     }
 
-    /// Records dropped so far.
+    /// Returns the number of records dropped so far.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Records that the platform has confirmed.
+    /// Returns the number of records that the platform has confirmed.
     #[must_use]
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Adds a record, dropping the oldest waiting one if there are too many.
+    /// Adds a record, dropping the oldest queued one if there are too many.
     pub fn add(&mut self, reason: Reason, record: Record, wall: Wall) {
         if self.waiting() >= self.config.most
             && let Some((reason, _)) = self.waiting.pop_front()
         {
-            self.note_drop(reason, wall);
+            self.count_drop(reason, wall);
         }
         self.waiting.push_back((reason, record));
     }
 
-    /// The batch to write now, if one is due. A batch that failed comes again.
-    /// The interval grows with the number of entries, so that all together
-    /// write at a rate that the platform bears.
+    /// Returns the batch to write now, if one is due. A batch whose write
+    /// failed is returned again. The interval grows with the number of
+    /// entries, which bounds the write rate of all entries together.
     pub fn next_batch(&mut self, members: usize, now: Time) -> Option<Batch> {
         if now < self.due {
             return None;
         }
         let batch = self.last_batch()?;
-        let spread = WRITE_GAP * u32::try_from(members).unwrap_or(u32::MAX);
-        self.due = now + self.config.interval.max(spread);
+        let interval = WRITE_INTERVAL * u32::try_from(members).unwrap_or(u32::MAX);
+        self.due = now + self.config.interval.max(interval);
         Some(batch)
     }
 
-    /// The batch to write at a planned stop, due or not.
+    /// Returns the batch to write at a planned stop, due or not.
     pub fn last_batch(&mut self) -> Option<Batch> {
-        if self.flying.is_none() {
-            self.flying = self.cut().or_else(|| self.entrusted.pop_front());
+        if self.in_flight.is_none() {
+            self.in_flight = self.cut_batch().or_else(|| self.replicated.pop_front());
         }
-        self.flying.clone()
+        self.in_flight.clone()
     }
 
-    /// A peer has a copy of the batch under way, which the platform did not
-    /// take. It is written again later, by this entry or, if that dies first,
-    /// by the peer; the next records come first.
+    /// Records that a peer has a copy of the batch in flight, which the
+    /// platform did not accept. It is written again after newer records, by
+    /// this entry or, if this one crashes, by the peer.
     pub fn entrust(&mut self, name: &str) {
-        let batch = self.flying.take_if(|batch| batch.name == name);
-        self.entrusted.extend(batch);
+        let batch = self.in_flight.take_if(|batch| batch.name == name);
+        self.replicated.extend(batch);
     }
 
-    /// The platform confirmed a batch.
+    /// Records that the platform confirmed a batch.
     pub fn confirm(&mut self, name: &str) {
-        if let Some(batch) = self.flying.take_if(|batch| batch.name == name) {
+        if let Some(batch) = self.in_flight.take_if(|batch| batch.name == name) {
             self.written += batch.records.len() as u64;
         }
     }
 
-    fn cut(&mut self) -> Option<Batch> {
+    /// Makes a batch of the oldest queued records and the gap before them.
+    fn cut_batch(&mut self) -> Option<Batch> {
         if self.waiting.is_empty() && self.gap.is_none() {
             return None;
         }
@@ -186,7 +190,8 @@
         })
     }
 
-    fn note_drop(&mut self, reason: Reason, wall: Wall) {
+    /// Counts a dropped record in the gap.
+    fn count_drop(&mut self, reason: Reason, wall: Wall) {
         self.dropped += 1;
         let gap = self.gap.get_or_insert_with(|| Gap {
             since: wall,
@@ -196,11 +201,11 @@
     }
 }
 
-/// Least time between two writes of all entries together: 50 a second, a
-/// tenth of the platform's writes.
-const WRITE_GAP: Duration = Duration::from_millis(20);
+/// Minimum time between two writes of all entries together, which leaves most
+/// of the platform's write rate to others.
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Batches of other entries that this one keeps copies of.
+/// Copies of other entries' batches, to be written if those crash.
 #[derive(Clone, Debug)]
 pub struct Copies {
     batches: VecDeque<Batch>,
@@ -209,8 +214,8 @@
 }
 
 impl Copies {
-    /// Keeps at most `most` batches; more drop the oldest, which their own
-    /// entry still has while it lives.
+    /// Keeps at most `most` batches; beyond it the oldest is dropped, which
+    /// its own entry still has while it runs.
     #[must_use]
     pub fn new(most: usize) -> Self {
         Self {
@@ -220,9 +225,9 @@
         }
     }
 
-    /// Takes a copy.
+    /// Adds a copy of a batch unless there is one already.
     pub fn add(&mut self, batch: Batch) {
-        if self.batches.iter().any(|held| held.name == batch.name) {
+        if self.batches.iter().any(|kept| kept.name == batch.name) {
             return;
         }
         if self.batches.len() >= self.most {
@@ -232,19 +237,19 @@
         self.batches.push_back(batch);
     }
 
-    /// A batch to write. The platform takes each name once, so writing one
-    /// that its own entry has written changes nothing.
+    /// Returns the next batch to write. The platform stores each name once,
+    /// so writing a batch that its own entry has written changes nothing.
     #[must_use]
     pub fn next(&self) -> Option<Batch> {
         self.batches.front().cloned()
     }
 
-    /// The platform has a batch.
+    /// Drops the copy of a batch that the platform has stored.
     pub fn confirm(&mut self, name: &str) {
         self.batches.retain(|batch| batch.name != name);
     }
 
-    /// Copies dropped for want of room.
+    /// Returns the number of copies dropped for lack of space.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,9 +1,10 @@
-//! The truthful record of each refusal.
+//! Receipts and records of refused requests.
 //!
-//! A [`Receipt`] is the refusal itself in a short text with a check value: it
-//! tells why a request was not answered even if the entry died the next
-//! moment. The [`Journal`] keeps records for the platform, in batches and in
-//! bounded memory, and records what it had to drop.
+//! A [`Receipt`] encodes a refusal as a short text with a check value (a
+//! truncated MAC), which still says why a request was not answered if the
+//! entry crashes. A [`Journal`] keeps the records to be written to the
+//! platform, in batches and in bounded memory, and counts those that it
+//! drops.
 //!
 //! ```
 //! use chestnut_audit::{CheckKey, Receipt};
--- a/crates/audit/tests/records.rs
+++ b/crates/audit/tests/records.rs
@@ -1,4 +1,5 @@
-//! Receipts tell the truth or nothing; journals lose nothing unnoticed.
+//! Tests that receipts can't be altered and that journals count the records
+//! that they drop.
 
 use std::time::Duration;
 
@@ -34,17 +35,19 @@
         ..ProptestConfig::default()
     })]
 
+    /// A receipt must decode to what was encoded, and only with the same key.
     #[test]
-    fn a_receipt_reads_back_as_it_was(receipt in receipt()) {
+    fn receipts_round_trip(receipt in receipt()) {
         let key = CheckKey::from_secret("a");
         let text = receipt.encode(&key);
         prop_assert_eq!(Receipt::decode(&text, &key), Ok(receipt.clone()));
         prop_assert!(Receipt::decode(&text, &CheckKey::from_secret("b")).is_err());
     }
 
-    /// A receipt with any character changed is refused, never misread.
+    /// A receipt with an altered character must not decode to another
+    /// receipt.
     #[test]
-    fn an_altered_receipt_is_refused(
+    fn altered_receipts_are_rejected(
         receipt in receipt(),
         at in any::<prop::sample::Index>(),
         letter in prop::char::range('a', 'z'),
@@ -52,11 +55,11 @@
         let key = CheckKey::from_secret("a");
         let text = receipt.encode(&key);
         let mut chars: Vec<char> = text.chars().collect();
-        let place = at.index(chars.len());
-        chars[place] = letter;
+        let index = at.index(chars.len());
+        chars[index] = letter;
         let altered: String = chars.into_iter().collect();
-        let read = Receipt::decode(&altered, &key);
-        prop_assert!(read.is_err() || read == Ok(receipt.clone()));
+        let decoded = Receipt::decode(&altered, &key);
+        prop_assert!(decoded.is_err() || decoded == Ok(receipt.clone()));
     }
 }
 
@@ -76,10 +79,10 @@
     }
 }
 
-/// The platform is out for long: records are dropped, oldest first, and the
-/// next batch that is written says how many of each reason are missing.
+/// Records dropped while the platform is unavailable must be counted in the
+/// next batch.
 #[test]
-fn what_is_dropped_is_counted_and_recorded() {
+fn dropped_records_are_counted_in_the_next_batch() {
     let mut journal = journal(20);
     for n in 0..50 {
         journal.add(Reason::Overload, record(n), Wall(n));
@@ -89,7 +92,7 @@
     let gap = batch.gap.clone().unwrap();
     assert_eq!(gap.dropped[&Reason::Overload], 30);
     assert_eq!(batch.records[0], record(30));
-    // A lost answer: the same batch comes again, under the same name.
+    // After a lost answer the same batch is written again.
     let again = journal.next_batch(7, Time::from_millis(60_000)).unwrap();
     assert_eq!(again, batch);
     journal.confirm(&batch.name);
@@ -97,9 +100,9 @@
     assert_eq!(journal.waiting(), 10);
 }
 
-/// All entries together write at most fifty batches a second.
+/// Many entries must not exceed the common write rate to the platform.
 #[test]
-fn the_interval_grows_with_the_fleet() {
+fn the_interval_grows_with_the_number_of_entries() {
     let mut journal = journal(1000);
     journal.add(Reason::Overload, record(0), Wall(0));
     let batch = journal
