--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -22,7 +22,7 @@
 pub struct Parts<P> {
     /// The index version that the back end read.
     pub version: IndexVersion,
-    /// Positions in the query's routes, with the shards' parts of the answer.
+    /// Positions in the pinned routes, with the shards' parts of the answer.
     pub parts: Vec<(usize, P)>,
     /// Whether the back end reports that it is leaving.
     pub draining: bool,
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -17,13 +17,13 @@
 const SENDS_PER_DIGIT: u32 = 4;
 /// Time between two pushes of changes, which batches those that come together.
 const PUSH_INTERVAL: Duration = Duration::from_millis(100);
-/// Pushes in a window for changes that neither start nor end a refusal: a region that
-/// fails makes thousands of requests suspect, few of them at fault.
+/// Pushes per window for changes that neither start nor end a refusal. Limited, since a
+/// region that fails makes thousands of requests suspect, few of them at fault.
 const PUSH_BURST: u32 = 8;
 /// Length of the window in which pushes are counted.
 const PUSH_WINDOW: Duration = Duration::from_secs(10);
 /// Time after the start of a trial call in which this entry starts no other one for the
-/// request.
+/// request. A leaf that takes longer to answer is not waited for.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Added to all times, so that crashes from before this entry's start have a time too.
@@ -124,7 +124,7 @@
         suspect.is_some_and(|suspect| suspect.record.refused_until().is_some())
     }
 
-    /// Returns a report of a request that counts as the cause of crashes.
+    /// Returns the report of a request, if it counts as the cause of the crashes under it.
     #[must_use]
     pub fn verdict(&self, key: Fingerprint, now: Time) -> Option<Report> {
         let suspect = self.suspects.get(&key).filter(|_| self.blames(key))?;
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -241,14 +241,14 @@
 #[test]
 fn a_superseded_crash_is_answered_with_the_answer() {
     let mut one = refusing();
-    let strikes = one.tell(4, 6, at(3000)).remove(0);
+    let report = one.tell(4, 6, at(3000)).remove(0);
     one.answered(REQUEST, at(4000));
     for _ in 0..100 {
         one.tell(4, 6, at(4100));
     }
     let mut late = Ledger::default();
-    let strikes = strikes.aged(Duration::from_secs(2));
-    assert!(late.hear(&strikes, at(5000)));
+    let report = report.aged(Duration::from_secs(2));
+    assert!(late.hear(&report, at(5000)));
     let reported = late.tell(4, 6, at(5100)).remove(0);
     one.hear(&reported, at(5100));
     let answer = one.tell(4, 6, at(5200)).remove(0);
