--- a/crates/tier/src/admin.rs
+++ b/crates/tier/src/admin.rs
@@ -1,4 +1,4 @@
-//! HTTP towards operators: metrics, health, status and edits.
+//! HTTP handlers for operators: metrics, health, status and edits.
 
 use chestnut_audit::{Batch, Receipt};
 use chestnut_conf::{Kind, ObjectKey, Stored};
@@ -21,7 +21,7 @@
     web::{self, Reply, WebLimits},
 };
 
-/// Body of an edit.
+/// JSON body of an edit request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EditBody {
@@ -32,7 +32,7 @@
     by: String,
 }
 
-/// Answers one operator's request.
+/// Handles one HTTP request of an operator.
 pub(crate) async fn handle(tier: Tier, limits: WebLimits, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -41,32 +41,33 @@
         (Method::GET, ["healthz"]) => web::json(StatusCode::OK, r#"{"alive":true}"#),
         (Method::GET, ["readyz"]) => ready(&tier),
         (Method::GET, ["status"]) => web::json(StatusCode::OK, json!(tier.status()).to_string()),
-        (Method::GET, ["entries"]) => edge::entries(&tier, request.uri().query()),
+        (Method::GET, ["entries"]) => edge::list_entries(&tier, request.uri().query()),
         (Method::GET, ["targets"]) => web::json(
             StatusCode::OK,
             json!(status::targets(&tier.shared)).to_string(),
         ),
-        (Method::GET, ["objects", kind]) => list(&tier, kind),
-        (Method::GET, ["objects", kind, name]) => get(&tier, kind, name),
+        (Method::GET, ["objects", kind]) => list_objects(&tier, kind),
+        (Method::GET, ["objects", kind, name]) => get_object(&tier, kind, name),
         (Method::PUT, ["objects", kind, name]) => {
-            put(&tier, &limits, kind, name, request, Mode::Write).await
+            edit_object(&tier, &limits, kind, name, request, Mode::Write).await
         }
         (Method::POST, ["check", kind, name]) => {
-            put(&tier, &limits, kind, name, request, Mode::Check).await
+            edit_object(&tier, &limits, kind, name, request, Mode::Check).await
         }
-        (Method::GET, ["why", receipt]) => why(&tier, receipt).await,
+        (Method::GET, ["why", receipt]) => explain_refusal(&tier, receipt).await,
         (Method::POST, ["drain"]) => drain(&tier),
         _ => web::error(StatusCode::NOT_FOUND, "no such path or method"),
     }
 }
 
-/// Whether an edit is written or only checked.
+/// Whether an edit is only validated or also written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mode {
     Check,
     Write,
 }
 
+/// Refreshes the gauges and returns all metrics.
 fn metrics(tier: &Tier) -> Reply {
     let shared = &tier.shared;
     let metrics = &shared.metrics;
@@ -93,6 +94,7 @@
     reply
 }
 
+/// Reports whether this entry is ready to serve callers.
 fn ready(tier: &Tier) -> Reply {
     let phase = tier.status().phase;
     let status = if tier.is_ready() {
@@ -106,13 +108,14 @@
     )
 }
 
-fn kind_of(word: &str) -> Result<Kind, Reply> {
-    word.parse::<Kind>()
+fn parse_kind(text: &str) -> Result<Kind, Reply> {
+    text.parse::<Kind>()
         .map_err(|error| web::error(StatusCode::NOT_FOUND, &error))
 }
 
-fn list(tier: &Tier, kind: &str) -> Reply {
-    let kind = match kind_of(kind) {
+/// Returns the names and versions of the objects of one kind.
+fn list_objects(tier: &Tier, kind: &str) -> Reply {
+    let kind = match parse_kind(kind) {
         Ok(kind) => kind,
         Err(reply) => return reply,
     };
@@ -120,25 +123,27 @@
     web::json(StatusCode::OK, json!(versions).to_string())
 }
 
-fn get(tier: &Tier, kind: &str, name: &str) -> Reply {
-    let kind = match kind_of(kind) {
+/// Returns one object with its version and edit history.
+fn get_object(tier: &Tier, kind: &str, name: &str) -> Reply {
+    let kind = match parse_kind(kind) {
         Ok(kind) => kind,
         Err(reply) => return reply,
     };
-    let held = lock(&tier.shared.conf).book.get(kind, name).cloned();
-    let Some(held) = held else {
+    let object = lock(&tier.shared.conf).book.get(kind, name).cloned();
+    let Some(object) = object else {
         return web::error(StatusCode::NOT_FOUND, &format!("no {kind} named {name}"));
     };
-    let body = match serde_json::from_value::<Stored>(held.value.clone()) {
+    let body = match serde_json::from_value::<Stored>(object.value.clone()) {
         Ok(stored) => json!({
-            "version": held.version, "spec": stored.spec, "edits": stored.edits,
+            "version": object.version, "spec": stored.spec, "edits": stored.edits,
         }),
-        Err(_) => json!({ "version": held.version, "spec": held.value, "edits": [] }),
+        Err(_) => json!({ "version": object.version, "spec": object.value, "edits": [] }),
     };
     web::json(StatusCode::OK, body.to_string())
 }
 
-async fn put(
+/// Validates an edit and, in [`Mode::Write`], writes it.
+async fn edit_object(
     tier: &Tier,
     limits: &WebLimits,
     kind: &str,
@@ -146,31 +151,32 @@
     request: Request<Incoming>,
     mode: Mode,
 ) -> Reply {
-    let ask = match edit_of(tier, limits, kind, name, request).await {
-        Ok(ask) => ask,
+    let edit = match read_edit(tier, limits, kind, name, request).await {
+        Ok(edit) => edit,
         Err(reply) => return reply,
     };
     let result = match mode {
-        Mode::Check => edit::check(&tier.shared, &ask).map(|()| json!({ "valid": true })),
-        Mode::Write => edit::put(&tier.shared, ask)
+        Mode::Check => edit::check(&tier.shared, &edit).map(|()| json!({ "valid": true })),
+        Mode::Write => edit::put(&tier.shared, edit)
             .await
             .map(|reply| json!({ "version": reply.version, "edit": reply.id })),
     };
     match result {
         Ok(body) => web::json(StatusCode::OK, body.to_string()),
-        Err(error) => edit_error(&error),
+        Err(error) => edit_error_reply(&error),
     }
 }
 
-async fn edit_of(
+/// Parses an edit request from the path and the body.
+async fn read_edit(
     tier: &Tier,
     limits: &WebLimits,
     kind: &str,
     name: &str,
     request: Request<Incoming>,
 ) -> Result<EditRequest, Reply> {
-    let kind = kind_of(kind)?;
-    // Names become metric labels and log fields, and parts of paths.
+    let kind = parse_kind(kind)?;
+    // Names are used in metric labels, log fields and URL paths.
     if let Err(error) = chestnut_unit::OrgName::new(name) {
         return Err(web::error(StatusCode::BAD_REQUEST, &error.to_string()));
     }
@@ -191,7 +197,7 @@
     })
 }
 
-fn edit_error(error: &EditError) -> Reply {
+fn edit_error_reply(error: &EditError) -> Reply {
     let status = match error {
         EditError::Check(_) => StatusCode::UNPROCESSABLE_ENTITY,
         EditError::Conflict { .. } => StatusCode::CONFLICT,
@@ -207,58 +213,63 @@
     web::json(status, body.to_string())
 }
 
-/// Explains a refusal: from its receipt alone, and with the record's detail
-/// where one can be found in memory or in the platform.
-async fn why(tier: &Tier, text: &str) -> Reply {
+/// Decodes a receipt, and adds the detail of the refusal's record if the record
+/// is still in memory or on the platform.
+async fn explain_refusal(tier: &Tier, text: &str) -> Reply {
     let shared = &tier.shared;
     let receipt = match Receipt::decode(text, &shared.check) {
         Ok(receipt) => receipt,
         Err(error) => return web::error(StatusCode::NOT_FOUND, &error.to_string()),
     };
-    let waiting = lock(&shared.journal).find(text);
-    let (recorded, detail) = match waiting {
+    let buffered = lock(&shared.journal).find(text);
+    let (source, detail) = match buffered {
         Some(detail) => ("waiting", Some(detail)),
         None => match find_record(tier, &receipt, text).await {
-            Found::Record(detail) => ("platform", Some(detail)),
-            Found::Nothing => ("not yet or dropped", None),
-            Found::Outage => ("the platform can't be reached", None),
+            RecordLookup::Found(detail) => ("platform", Some(detail)),
+            RecordLookup::Missing => ("not yet or dropped", None),
+            RecordLookup::Unavailable => ("the platform can't be reached", None),
         },
     };
     let mut body = json!(receipt);
     body["sentence"] = receipt.reason.sentence().into();
-    body["record"] = recorded.into();
+    body["record"] = source.into();
     body["detail"] = json!(detail);
     web::json(StatusCode::OK, body.to_string())
 }
 
-enum Found {
-    Record(String),
-    Nothing,
-    Outage,
+/// Result of a search for a refusal record on the platform.
+enum RecordLookup {
+    /// The detail of the record.
+    Found(String),
+    /// No batch contains the record.
+    Missing,
+    /// The platform can't be reached.
+    Unavailable,
 }
 
-async fn find_record(tier: &Tier, receipt: &Receipt, text: &str) -> Found {
+/// Searches the batches that the refusing entry wrote to the platform.
+async fn find_record(tier: &Tier, receipt: &Receipt, text: &str) -> RecordLookup {
     let Ok(listing) = tier.shared.platform.list(Kind::Refusal).await else {
-        return Found::Outage;
+        return RecordLookup::Unavailable;
     };
-    let by_entry = format!("{}.", receipt.entry);
-    let mine = listing
+    let prefix = format!("{}.", receipt.entry);
+    let batches = listing
         .objects
         .into_iter()
-        .filter(|object| object.key.name.starts_with(&by_entry));
-    for object in mine {
+        .filter(|object| object.key.name.starts_with(&prefix));
+    for object in batches {
         let Ok(batch) = serde_json::from_value::<Batch>(object.value) else {
             continue;
         };
         let record = batch.records.into_iter().find(|r| r.receipt == text);
         if let Some(record) = record {
-            return Found::Record(record.detail);
+            return RecordLookup::Found(record.detail);
         }
     }
-    Found::Nothing
+    RecordLookup::Missing
 }
 
-/// Starts a planned stop; the daemon ends when it is over.
+/// Starts a graceful shutdown; the daemon exits once it is complete.
 fn drain(tier: &Tier) -> Reply {
     tier.shared.drain.notify_one();
     web::json(StatusCode::ACCEPTED, r#"{"draining":true}"#)
--- a/crates/tier/src/api.rs
+++ b/crates/tier/src/api.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask of an entry and what they get.
+//! Request and response types of an entry.
 
 use std::time::Duration;
 
@@ -10,94 +10,96 @@
 };
 use displaydoc::Display;
 
-/// A query of a caller.
+/// A query from a caller.
 #[derive(Clone, Debug)]
 pub struct QueryRequest {
-    /// The organisation that asks.
+    /// The organisation of the caller.
     pub organisation: OrgName,
-    /// The service.
+    /// The service to call.
     pub service: ServiceName,
     /// The call type.
     pub call: CallType,
-    /// Time in which the caller wants the answer; the template's if none.
+    /// Time within which the caller wants the answer; `None` for the template's
+    /// default.
     pub deadline: Option<Duration>,
-    /// The query, JSON, passed to the leafs as it is.
+    /// The query as JSON, passed to the leafs unchanged.
     pub body: Bytes,
 }
 
-/// A submission of a caller.
+/// A submission from a caller.
 #[derive(Clone, Debug)]
 pub struct SubmitRequest {
-    /// Its ticket. Without one it runs once for this request, and nothing is
-    /// promised about repeats.
+    /// The ticket that deduplicates repeats. Without one, the submission
+    /// runs once for this request, but a repeat may run again.
     pub ticket: Option<Ticket>,
-    /// The organisation that submits.
+    /// The organisation of the caller.
     pub organisation: OrgName,
-    /// The service.
+    /// The service to call.
     pub service: ServiceName,
     /// The call type.
     pub call: CallType,
-    /// Time in which the caller wants the answer; the template's if none.
+    /// Time within which the caller wants the answer; `None` for the template's
+    /// default.
     pub deadline: Option<Duration>,
-    /// The submission, JSON, passed to the target as it is.
+    /// The submission as JSON, passed to the target unchanged.
     pub body: Bytes,
 }
 
-/// Which settings an answer was made under.
+/// Versions and age of the settings that an answer was computed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsUsed {
     /// Version of the template object.
     pub template: u64,
     /// Version of the organisation object.
     pub organisation: u64,
-    /// How long ago the settings were confirmed.
+    /// Time since the settings were last confirmed to be current.
     pub confirmed: Duration,
 }
 
 /// An answer to a query.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The request at this entry.
+    /// The id of the request at this entry.
     pub request: RequestId,
-    /// The entry.
+    /// The entry that answered.
     pub entry: MemberId,
     /// The snapshot that every row comes from.
     pub snapshot: Snapshot,
-    /// What the rows cover.
+    /// How many shards were asked and answered, and which are missing.
     pub coverage: Coverage,
-    /// The settings in force.
+    /// The settings that applied.
     pub settings: SettingsUsed,
-    /// The rows, one JSON array.
+    /// The rows as one JSON array.
     pub rows: Bytes,
 }
 
-/// A refusal.
+/// A refusal of a request.
 #[derive(Clone, Debug)]
 pub struct Refused {
-    /// The receipt, which tells the truth about it for good.
+    /// The encoded receipt, which can be decoded later without any stored state.
     pub receipt: String,
-    /// Why.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// What is wrong in this case.
+    /// What was wrong with this request, for people to read.
     pub detail: String,
-    /// What was run.
+    /// Whether a target ran any part of the request.
     pub run: Run,
-    /// When to come back; `None` if coming back won't help.
+    /// Delay before a retry; `None` if a retry won't help.
     pub after: Option<Duration>,
     /// Other entries to try.
     pub entries: Vec<Entry>,
 }
 
-/// How a submission ended, if it was not refused.
+/// The result of a submission that was not refused.
 #[derive(Clone, Debug)]
 pub struct SubmitOutcome {
-    /// The request at this entry.
+    /// The id of the request at this entry.
     pub request: RequestId,
-    /// The target's answer, JSON.
+    /// The target's answer as JSON.
     pub answer: Bytes,
 }
 
-/// A ticket for one submission.
+/// A newly issued ticket for one submission.
 #[derive(Clone, Debug)]
 pub struct TicketReply {
     /// The ticket.
@@ -111,7 +113,7 @@
 pub struct EntryList {
     /// The entries, in order of preference.
     pub entries: Vec<Entry>,
-    /// How long the list may be kept.
+    /// How long callers may cache the list.
     pub ttl: Duration,
 }
 
@@ -139,8 +141,8 @@
 /// An accepted edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditReply {
-    /// The version that it made.
+    /// The version of the object after the edit.
     pub version: u64,
-    /// Its id.
+    /// The id of the edit.
     pub id: String,
 }
--- a/crates/tier/src/edge.rs
+++ b/crates/tier/src/edge.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers. The forms are in `docs/INTERFACES.md`.
+//! HTTP handlers for callers. The formats are in `docs/INTERFACES.md`.
 
 use std::time::Duration;
 
@@ -23,6 +23,7 @@
     web::{self, BodyError, Reply, WebLimits},
 };
 
+/// JSON body of a query.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct QueryBody<'a> {
@@ -34,6 +35,7 @@
     query: Option<&'a RawValue>,
 }
 
+/// JSON body of a submission.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmitBody<'a> {
@@ -46,17 +48,17 @@
     body: Option<&'a RawValue>,
 }
 
-/// Answers one caller's request.
+/// Handles one HTTP request of a caller.
 pub(crate) async fn handle(tier: Tier, limits: WebLimits, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     let mut reply = match (method, path.as_str()) {
-        (Method::GET, "/v1/entries") => entries(&tier, request.uri().query()),
+        (Method::GET, "/v1/entries") => list_entries(&tier, request.uri().query()),
         (Method::POST, "/v1/query") => query(&tier, &limits, request).await,
-        (Method::POST, "/v1/tickets") => ticket(&tier),
+        (Method::POST, "/v1/tickets") => issue_ticket(&tier),
         (Method::POST, "/v1/submit") => submit(&tier, &limits, request).await,
-        (Method::GET, path) if path.starts_with(REFUSALS) => {
-            explain(&tier, &path[REFUSALS.len()..])
+        (Method::GET, path) if path.starts_with(REFUSALS_PATH) => {
+            explain(&tier, &path[REFUSALS_PATH.len()..])
         }
         (_, "/v1/entries" | "/v1/query" | "/v1/tickets" | "/v1/submit") => web::error(
             StatusCode::METHOD_NOT_ALLOWED,
@@ -64,8 +66,8 @@
         ),
         _ => web::error(StatusCode::NOT_FOUND, "no such path; see the reference"),
     };
-    // A caller that keeps its connection open would never come to ask for the
-    // entries again, and be cut off when this one stops.
+    // Otherwise a caller with a persistent connection would not fetch the list of
+    // entries again, and its connection would be reset when this entry stops.
     if tier.shared.phase() == Phase::Leaving {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
@@ -73,10 +75,11 @@
     reply
 }
 
-const REFUSALS: &str = "/v1/refusals/";
+/// Path prefix of receipts.
+const REFUSALS_PATH: &str = "/v1/refusals/";
 
-/// The entries that callers should use.
-pub(crate) fn entries(tier: &Tier, query: Option<&str>) -> Reply {
+/// Returns the entries that callers should use, in order of preference.
+pub(crate) fn list_entries(tier: &Tier, query: Option<&str>) -> Reply {
     let domain = web::param(query, "domain").and_then(|name| DomainName::new(name).ok());
     let list = tier.entries(domain.as_ref());
     let body = json!({
@@ -86,6 +89,7 @@
     web::json(StatusCode::OK, body.to_string())
 }
 
+/// Parses and runs a query.
 async fn query(tier: &Tier, limits: &WebLimits, request: Request<Incoming>) -> Reply {
     let body = match web::read_body(request.into_body(), limits).await {
         Ok(body) => body,
@@ -95,24 +99,25 @@
         Ok(parsed) => parsed,
         Err(error) => return bad_request(tier, error.to_string()),
     };
-    let deadline = match deadline(tier, parsed.deadline_ms) {
+    let deadline = match parse_deadline(tier, parsed.deadline_ms) {
         Ok(deadline) => deadline,
         Err(detail) => return bad_request(tier, detail),
     };
-    let ask = QueryRequest {
+    let request = QueryRequest {
         organisation: parsed.organisation,
         service: parsed.service,
         call: parsed.call,
         deadline,
-        body: raw(parsed.query),
+        body: raw_bytes(parsed.query),
     };
-    match tier.query(ask).await {
+    match tier.query(request).await {
         Ok(answer) => web::json(StatusCode::OK, answer_json(&answer)),
-        Err(refused) => refusal(&refused),
+        Err(refused) => refusal_reply(&refused),
     }
 }
 
-fn ticket(tier: &Tier) -> Reply {
+/// Issues a ticket.
+fn issue_ticket(tier: &Tier) -> Reply {
     match tier.ticket() {
         Ok(reply) => {
             let body = json!({
@@ -121,10 +126,11 @@
             });
             web::json(StatusCode::OK, body.to_string())
         }
-        Err(refused) => refusal(&refused),
+        Err(refused) => refusal_reply(&refused),
     }
 }
 
+/// Parses and runs a submission.
 async fn submit(tier: &Tier, limits: &WebLimits, request: Request<Incoming>) -> Reply {
     let body = match web::read_body(request.into_body(), limits).await {
         Ok(body) => body,
@@ -134,29 +140,29 @@
         Ok(parsed) => parsed,
         Err(error) => return bad_request(tier, error.to_string()),
     };
-    let deadline = match deadline(tier, parsed.deadline_ms) {
+    let deadline = match parse_deadline(tier, parsed.deadline_ms) {
         Ok(deadline) => deadline,
         Err(detail) => return bad_request(tier, detail),
     };
     let ticket = match parsed.ticket.map(|text| text.parse::<Ticket>()).transpose() {
         Ok(ticket) => ticket,
-        Err(error) => return refuse_plain(tier, Reason::BadTicket, error.to_string()),
+        Err(error) => return refuse_unparsed(tier, Reason::BadTicket, error.to_string()),
     };
-    let ask = SubmitRequest {
+    let request = SubmitRequest {
         ticket,
         organisation: parsed.organisation,
         service: parsed.service,
         call: parsed.call,
         deadline,
-        body: raw(parsed.body),
+        body: raw_bytes(parsed.body),
     };
-    match tier.submit(ask).await {
+    match tier.submit(request).await {
         Ok(outcome) => web::json(StatusCode::OK, outcome_json(&outcome)),
-        Err(refused) => refusal(&refused),
+        Err(refused) => refusal_reply(&refused),
     }
 }
 
-/// Reads a receipt back. No store is asked: the receipt carries the truth.
+/// Decodes a receipt, which contains the whole refusal, so no store is read.
 fn explain(tier: &Tier, text: &str) -> Reply {
     match Receipt::decode(text, &tier.shared.check) {
         Ok(receipt) => {
@@ -169,46 +175,51 @@
     }
 }
 
-fn raw(value: Option<&RawValue>) -> Bytes {
+/// Copies raw JSON; an absent value becomes an empty object.
+fn raw_bytes(value: Option<&RawValue>) -> Bytes {
     value.map_or(EMPTY, |raw| Bytes::copy_from_slice(raw.get().as_bytes()))
 }
 
-fn deadline(tier: &Tier, ms: Option<u64>) -> Result<Option<Duration>, String> {
-    let most = tier.shared.settings.limits.deadline;
+/// Checks that a deadline is positive and within the configured limit.
+fn parse_deadline(tier: &Tier, ms: Option<u64>) -> Result<Option<Duration>, String> {
+    let max = tier.shared.settings.limits.deadline;
     let Some(ms) = ms else {
         return Ok(None);
     };
     let span = Duration::from_millis(ms);
-    if span.is_zero() || span > most {
-        let most = most.as_millis();
-        return Err(format!("deadline_ms: {ms} is not from 1 to {most}"));
+    if span.is_zero() || span > max {
+        let max = max.as_millis();
+        return Err(format!("deadline_ms: {ms} is not from 1 to {max}"));
     }
     Ok(Some(span))
 }
 
 fn bad_request(tier: &Tier, detail: String) -> Reply {
-    refuse_plain(tier, Reason::BadRequest, detail)
+    refuse_unparsed(tier, Reason::BadRequest, detail)
 }
 
+/// Refuses a request whose body could not be read.
 fn bad_body(tier: &Tier, error: BodyError) -> Reply {
     let mut reply = bad_request(tier, error.text().to_owned());
     *reply.status_mut() = error.status();
     reply
 }
 
-/// Refuses a request that could not even be read.
-fn refuse_plain(tier: &Tier, reason: Reason, detail: String) -> Reply {
+/// Refuses a request that could not be parsed; the refusal names no organisation
+/// or service.
+fn refuse_unparsed(tier: &Tier, reason: Reason, detail: String) -> Reply {
     let subject = Subject {
         request: tier.shared.next_request(),
         ..Subject::default()
     };
-    refusal(&refuse(
+    refusal_reply(&refuse(
         &tier.shared,
         &subject,
         Why::not_run(reason, detail),
     ))
 }
 
+/// Encodes an answer to a query.
 fn answer_json(answer: &Answer) -> String {
     let head = json!({
         "request": answer.request,
@@ -227,11 +238,12 @@
         },
     })
     .to_string();
-    // The rows came as JSON and go out as they came.
+    // The rows are already JSON and are passed through unparsed.
     let rows = String::from_utf8_lossy(&answer.rows);
     format!(r#"{},"rows":{rows}}}"#, &head[..head.len() - 1])
 }
 
+/// Encodes the result of a submission.
 fn outcome_json(outcome: &SubmitOutcome) -> String {
     let answer = if outcome.answer.is_empty() {
         "null".into()
@@ -250,8 +262,8 @@
     })
 }
 
-/// The reply to a refused request.
-fn refusal(refused: &Refused) -> Reply {
+/// Builds the HTTP reply to a refused request.
+fn refusal_reply(refused: &Refused) -> Reply {
     let body = json!({
         "refused": true,
         "receipt": refused.receipt,
@@ -262,7 +274,7 @@
         "retry_after_ms": refused.after.map(|span| span.as_millis() as u64),
         "entries": refused.entries.iter().map(entry_json).collect::<Vec<_>>(),
     });
-    let mut reply = web::json(status_of(refused.reason), body.to_string());
+    let mut reply = web::json(http_status(refused.reason), body.to_string());
     if let Some(after) = refused.after {
         // Whole seconds, rounded up; the body has the milliseconds.
         let seconds = after.as_millis().div_ceil(1000) as u64;
@@ -273,8 +285,8 @@
     reply
 }
 
-/// The HTTP status that fits a reason.
-fn status_of(reason: Reason) -> StatusCode {
+/// The HTTP status for a reason.
+fn http_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadRequest => StatusCode::BAD_REQUEST,
         Reason::UnknownOrg => StatusCode::NOT_FOUND,
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -1,9 +1,9 @@
-//! Edits of templates and organisations.
+//! Edits of templates, organisations and evacuations.
 //!
-//! Accepted means that the conditional update took effect. A write whose
-//! answer was lost is settled by repeating it with the same expected version:
-//! either it takes effect now, or the conflict shows whether the object
-//! already carries this edit's id.
+//! An edit is accepted once the conditional write of the object succeeds. An
+//! object lists the ids of its edits, so an attempt whose response was lost can
+//! be repeated: it takes effect now, conflicts with another edit, or finds that
+//! it already took effect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,114 +20,125 @@
     spread,
 };
 
-/// Times that a write without an answer is repeated.
-const TRIES: u32 = 5;
-/// Rest between two tries.
-const REST: Duration = Duration::from_millis(200);
+/// Attempts to write an edit before it is reported as failed.
+const MAX_ATTEMPTS: u32 = 5;
+/// Delay after an attempt that failed.
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// An edit that an operator asks for.
+/// An edit requested by an operator.
 #[derive(Clone, Debug)]
 pub(crate) struct EditRequest {
+    /// The object to edit.
     pub(crate) key: ObjectKey,
-    /// The version that the operator read; `None` edits whatever is there.
+    /// The version that the operator read; `None` overwrites any version.
     pub(crate) expected: Option<u64>,
+    /// The new content of the object.
     pub(crate) spec: serde_json::Value,
-    /// The id of the edit; repeating an id repeats the edit, never doubles it.
+    /// The id of the edit; a request that repeats an id is idempotent.
     pub(crate) id: String,
+    /// The operator, for the edit history.
     pub(crate) by: String,
 }
 
-/// Checks an edit, writes it, and puts it in force here and at the peers.
-pub(crate) async fn put(shared: &Arc<Shared>, ask: EditRequest) -> Result<EditReply, EditError> {
-    check(shared, &ask)?;
-    let mut asked = false;
-    for _ in 0..TRIES {
-        match try_once(shared, &ask).await {
+/// Validates an edit, writes it to the platform with retries, and applies it
+/// here and at the peers.
+pub(crate) async fn put(
+    shared: &Arc<Shared>,
+    request: EditRequest,
+) -> Result<EditReply, EditError> {
+    check(shared, &request)?;
+    let mut sent = false;
+    for _ in 0..MAX_ATTEMPTS {
+        match attempt(shared, &request).await {
             Ok(reply) => return Ok(reply),
-            Err(Try::Final(error)) => return Err(error),
-            Err(Try::Unread) => {}
-            Err(Try::Unanswered) => asked = true,
+            Err(Attempt::Final(error)) => return Err(error),
+            Err(Attempt::ReadFailed) => {}
+            Err(Attempt::Unknown) => sent = true,
         }
-        sleep(REST).await;
+        sleep(RETRY_BACKOFF).await;
     }
-    warn!(shared.host.log, "conf: edit of {} got no answer", ask.key; "edit" => &ask.id);
-    if asked {
-        Err(EditError::Unsettled { id: ask.id })
+    warn!(shared.host.log, "conf: gave up on the edit of {}: no answer from the platform",
+        request.key; "edit" => &request.id);
+    if sent {
+        Err(EditError::Unsettled { id: request.id })
     } else {
         Err(EditError::Outage)
     }
 }
 
-/// Why one try of an edit did not settle it.
-enum Try {
-    /// It is settled, as an error.
+/// Why an attempt to write an edit did not succeed.
+enum Attempt {
+    /// The edit failed; it is not retried.
     Final(EditError),
     /// The object could not be read, so nothing was written.
-    Unread,
-    /// The write got no answer and may have taken effect.
-    Unanswered,
+    ReadFailed,
+    /// The write conflicted or got no response; it may have taken effect.
+    Unknown,
 }
 
-async fn try_once(shared: &Arc<Shared>, ask: &EditRequest) -> Result<EditReply, Try> {
-    let current = match shared.platform.get(ask.key.clone()).await {
+/// Reads the object and writes the edit once, unless it already took effect.
+async fn attempt(shared: &Arc<Shared>, request: &EditRequest) -> Result<EditReply, Attempt> {
+    let current = match shared.platform.get(request.key.clone()).await {
         Ok(current) => current,
-        Err(PlatformError::Unavailable) => return Err(Try::Unread),
-        Err(error) => return Err(Try::Final(EditError::Check(error.to_string()))),
+        Err(PlatformError::Unavailable) => return Err(Attempt::ReadFailed),
+        Err(error) => return Err(Attempt::Final(EditError::Check(error.to_string()))),
     };
     let version = current.as_ref().map_or(0, |object| object.version);
-    let stored = current.as_ref().and_then(stored_of);
-    if let Some(done) = stored.as_ref().and_then(|s| find(s, &ask.id)) {
+    let stored = current.as_ref().and_then(parse_stored);
+    if let Some(applied) = stored.as_ref().and_then(|s| find_edit(s, &request.id)) {
         if let Some(object) = current {
-            accept(shared, ask, object);
+            apply_edit(shared, request, object);
         }
-        return Ok(done);
+        return Ok(applied);
     }
-    if ask.expected.is_some_and(|expected| expected != version) {
-        return Err(Try::Final(EditError::Conflict { current: version }));
+    if request.expected.is_some_and(|expected| expected != version) {
+        return Err(Attempt::Final(EditError::Conflict { current: version }));
     }
     let edit = Edit {
-        id: ask.id.clone(),
+        id: request.id.clone(),
         version: version + 1,
-        by: ask.by.clone(),
+        by: request.by.clone(),
         at: shared.host.clock.wall(),
     };
-    let next = Stored::next(stored.as_ref(), ask.spec.clone(), edit);
-    let value = serde_json::to_value(next).expect("stored objects are plain JSON");
+    let next = Stored::next(stored.as_ref(), request.spec.clone(), edit);
+    let value = serde_json::to_value(next).expect("stored objects serialize to JSON");
     let written = shared
         .platform
-        .put(ask.key.clone(), version, value.clone())
+        .put(request.key.clone(), version, value.clone())
         .await;
     match written {
         Ok(version) => {
             let object = Object {
-                key: ask.key.clone(),
+                key: request.key.clone(),
                 version,
                 value,
             };
-            accept(shared, ask, object);
+            apply_edit(shared, request, object);
             Ok(EditReply {
                 version,
-                id: ask.id.clone(),
+                id: request.id.clone(),
             })
         }
-        // Somebody else's edit came first, or this one's earlier try did; the
-        // next read tells.
-        Err(PlatformError::Conflict { .. } | PlatformError::Unavailable) => Err(Try::Unanswered),
-        Err(error) => Err(Try::Final(EditError::Check(error.to_string()))),
+        // A conflict comes from another edit or from an earlier attempt of this
+        // one; the next read shows which.
+        Err(PlatformError::Conflict { .. } | PlatformError::Unavailable) => Err(Attempt::Unknown),
+        Err(error) => Err(Attempt::Final(EditError::Check(error.to_string()))),
     }
 }
 
-fn accept(shared: &Arc<Shared>, ask: &EditRequest, object: Object) {
-    info!(shared.host.log, "conf: accepted {} version {}", ask.key, object.version;
-        "edit" => &ask.id, "by" => &ask.by);
+/// Logs an accepted edit, applies it here and sends it to the peers.
+fn apply_edit(shared: &Arc<Shared>, request: &EditRequest, object: Object) {
+    info!(shared.host.log, "conf: accepted {} version {}", request.key, object.version;
+        "edit" => &request.id, "by" => &request.by);
     spread::take(shared, vec![object], "an edit here");
 }
 
-fn stored_of(object: &Object) -> Option<Stored> {
+fn parse_stored(object: &Object) -> Option<Stored> {
     serde_json::from_value(object.value.clone()).ok()
 }
 
-fn find(stored: &Stored, id: &str) -> Option<EditReply> {
+/// Finds an edit by id in the history of an object.
+fn find_edit(stored: &Stored, id: &str) -> Option<EditReply> {
     stored
         .edits
         .iter()
@@ -138,25 +149,26 @@
         })
 }
 
-/// Checks the form of an object, and an organisation against its template.
-pub(crate) fn check(shared: &Shared, ask: &EditRequest) -> Result<(), EditError> {
-    match ask.key.kind {
+/// Validates the content of an edit; an organisation is also checked against
+/// its template.
+pub(crate) fn check(shared: &Shared, request: &EditRequest) -> Result<(), EditError> {
+    match request.key.kind {
         Kind::Template => {
-            let template: Template = parse(&ask.spec)?;
-            template.check().map_err(wrong)
+            let template: Template = parse(&request.spec)?;
+            template.check().map_err(check_error)
         }
         Kind::Organisation => {
-            let org: Organisation = parse(&ask.spec)?;
+            let org: Organisation = parse(&request.spec)?;
             let conf = lock(&shared.conf);
             let Some((_, template)) = conf.book.template(&org.template) else {
                 let problem = format!("template: {} does not exist", org.template);
                 return Err(EditError::Check(problem));
             };
-            org.check(&template).map_err(wrong)
+            org.check(&template).map_err(check_error)
         }
         Kind::Evacuation => {
-            let _: Evacuation = parse(&ask.spec)?;
-            let name = DomainName::new(&ask.key.name);
+            let _: Evacuation = parse(&request.spec)?;
+            let name = DomainName::new(&request.key.name);
             name.map(drop)
                 .map_err(|error| EditError::Check(error.to_string()))
         }
@@ -171,6 +183,6 @@
     T::deserialize(spec).map_err(|error| EditError::Check(error.to_string()))
 }
 
-fn wrong(error: chestnut_conf::CheckError) -> EditError {
+fn check_error(error: chestnut_conf::CheckError) -> EditError {
     EditError::Check(error.to_string())
 }
--- a/crates/tier/src/front.rs
+++ b/crates/tier/src/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP sides of an entry.
+//! The HTTP servers of an entry.
 
 use std::{io, net::SocketAddr};
 
@@ -10,26 +10,26 @@
     web::{self, WebLimits},
 };
 
-/// Connections that operators may have open.
-const OPERATOR_CONNECTIONS: usize = 256;
-/// Largest edit: the platform's objects hold up to a megabyte.
-const EDIT_MAX: usize = 1 << 20;
+/// Maximum number of open operator connections.
+const MAX_OPERATOR_CONNECTIONS: usize = 256;
+/// Largest body of an edit in bytes, the size limit of the platform's objects.
+const MAX_EDIT_BYTES: usize = 1 << 20;
 
-/// HTTP before a [`Tier`]. Dropping it closes at once; [`Front::close`] lets
-/// each connection finish.
+/// The HTTP servers of a [`Tier`], for callers and operators. Dropping it closes
+/// all connections at once; [`Front::close`] lets each finish its request.
 pub struct Front {
     callers: SocketAddr,
     operators: SocketAddr,
-    closing: watch::Sender<bool>,
-    sides: Vec<JoinHandle<()>>,
+    shutdown: watch::Sender<bool>,
+    servers: Vec<JoinHandle<()>>,
 }
 
 impl Front {
-    /// Binds the addresses in the tier's settings and serves them.
+    /// Binds the addresses in the tier's settings and starts the servers.
     ///
     /// # Errors
     ///
-    /// An address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn bind(tier: &Tier) -> io::Result<Self> {
         let settings = &tier.shared.settings;
         let callers = web::bind(settings.listen.callers).await?;
@@ -41,37 +41,37 @@
             connections: settings.limits.connections,
         };
         let operator_limits = WebLimits {
-            body: EDIT_MAX,
-            connections: OPERATOR_CONNECTIONS,
+            body: MAX_EDIT_BYTES,
+            connections: MAX_OPERATOR_CONNECTIONS,
             ..limits
         };
-        let (closing, closed) = watch::channel(false);
+        let (shutdown, shutdown_rx) = watch::channel(false);
         let mut front = Self {
             callers: callers.local_addr()?,
             operators: operators.local_addr()?,
-            closing,
-            sides: Vec::new(),
+            shutdown,
+            servers: Vec::new(),
         };
         let edge_tier = tier.clone();
-        let edge = web::serve(callers, limits, closed.clone(), move |request| {
+        let edge = web::serve(callers, limits, shutdown_rx.clone(), move |request| {
             edge::handle(edge_tier.clone(), limits, request)
         });
-        front.sides.push(tokio::spawn(edge));
+        front.servers.push(tokio::spawn(edge));
         let admin_tier = tier.clone();
-        let admin = web::serve(operators, operator_limits, closed, move |request| {
+        let admin = web::serve(operators, operator_limits, shutdown_rx, move |request| {
             admin::handle(admin_tier.clone(), operator_limits, request)
         });
-        front.sides.push(tokio::spawn(admin));
+        front.servers.push(tokio::spawn(admin));
         Ok(front)
     }
 
-    /// Where callers connect.
+    /// The bound address for callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators connect.
+    /// The bound address for operators.
     #[must_use]
     pub fn operators(&self) -> SocketAddr {
         self.operators
@@ -79,18 +79,18 @@
 
     /// Stops accepting and lets each connection finish its request.
     pub async fn close(mut self) {
-        self.closing.send_replace(true);
-        for side in std::mem::take(&mut self.sides) {
-            // A side that panicked has nothing left to close.
-            let _ = side.await;
+        self.shutdown.send_replace(true);
+        for server in std::mem::take(&mut self.servers) {
+            // A server that panicked has no connections left to close.
+            let _ = server.await;
         }
     }
 }
 
 impl Drop for Front {
     fn drop(&mut self) {
-        for side in &self.sides {
-            side.abort();
+        for server in &self.servers {
+            server.abort();
         }
     }
 }
