--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/boot.rs
@@ -1,4 +1,4 @@
-//! How a new entry gets its first configuration and its first members.
+//! Startup: fetches the first configuration and the initial members.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,11 +15,11 @@
     spread,
 };
 
-/// Time between two tries to get a first configuration.
-const RETRY: Duration = Duration::from_millis(250);
+/// Delay between attempts to fetch the first configuration.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Gets configuration from the platform, or from peers if it is out, and lets
-/// the entry serve once it is confirmed.
+/// Fetches the configuration from the platform, or from peers if the platform
+/// can't be reached, and starts serving once the configuration is confirmed.
 pub(crate) async fn run(shared: Arc<Shared>) {
     while shared.phase() == Phase::Starting {
         if read_platform(&shared).await {
@@ -29,7 +29,7 @@
         if lock(&shared.conf).confirm.age(shared.now()).is_some() {
             break;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_INTERVAL).await;
     }
     place::place_all(&shared);
     shared.phase.send_if_modified(|phase| {
@@ -43,35 +43,38 @@
     info!(shared.host.log, "fleet: {} serves", shared.own.id);
 }
 
-/// Reads everything from the platform; tells whether all of it came.
+/// Reads all configuration from the platform, then the VMs; returns whether the
+/// configuration was read completely.
 pub(crate) async fn read_platform(shared: &Arc<Shared>) -> bool {
-    let read = list_all(shared).await.is_some();
-    if read {
+    let complete = list_all(shared).await.is_some();
+    if complete {
         read_vms(shared).await;
     }
-    read
+    complete
 }
 
-/// Lists every kind and returns the revisions to watch from.
+/// Lists every replicated kind and returns the revisions to watch from; `None`
+/// if a list failed.
 pub(crate) async fn list_all(shared: &Arc<Shared>) -> Option<Vec<u64>> {
     let mut revisions = Vec::new();
     for kind in Kind::SPREAD {
-        // A list was true when it was asked for, not when it came.
-        let asked = shared.now();
+        // A list is only known to be current as of its request.
+        let requested = shared.now();
         let listing = shared.platform.list(kind).await.ok()?;
         spread::take(shared, listing.objects, "the platform");
-        lock(&shared.conf).note_read(kind, listing.revision, asked);
+        lock(&shared.conf).note_read(kind, listing.revision, requested);
         revisions.push(listing.revision);
     }
     Some(revisions)
 }
 
-/// Reads the platform's list of VMs.
+/// Reads the platform's list of VMs, updates members and leafs from it, and
+/// reports newly leaving leafs to some peers.
 pub(crate) async fn read_vms(shared: &Arc<Shared>) {
     let Ok(vms) = shared.platform.vms().await else {
         return;
     };
-    let members: Vec<Member> = vms.iter().filter_map(member_of).collect();
+    let members: Vec<Member> = vms.iter().filter_map(member_from_vm).collect();
     let live = members.iter().map(|member| member.id.clone()).collect();
     {
         let mut swim = lock(&shared.swim);
@@ -82,12 +85,12 @@
         swim.introduce(&unknown, shared.now());
         swim.view.dismiss_absent(&live);
     }
-    gossip::take_changes(shared);
-    let leaving = leafs::take_list(shared, &vms);
+    gossip::apply_member_changes(shared);
+    let leaving = leafs::apply_vm_list(shared, &vms);
     if leaving.is_empty() {
         return;
     }
-    for (_, address) in shared.some_peers(PEERS_TOLD) {
+    for (_, address) in shared.some_peers(LEAVING_FANOUT) {
         let (shared, leaving) = (shared.clone(), leaving.clone());
         tokio::spawn(async move {
             let _ = shared.peers().leaving(address, leaving).await;
@@ -95,13 +98,13 @@
     }
 }
 
-/// Peers that a watcher tells of leafs that leave. Holders also see the leaf's
-/// own mark, so this only shortens the time.
-const PEERS_TOLD: usize = 16;
+/// Number of peers that are sent newly leaving leafs. Entries connected to a
+/// leaf also poll its state, so this only shortens the delay.
+const LEAVING_FANOUT: usize = 16;
 
-/// A member as the list introduces it: its life is not known, so anything it
-/// says of itself overrides this.
-fn member_of(vm: &Vm) -> Option<Member> {
+/// Builds a member from the list of VMs, unless the VM is leaving. Its
+/// incarnation is unknown, so any message from the member overrides this.
+fn member_from_vm(vm: &Vm) -> Option<Member> {
     let [callers, operators, peers] = vm.addresses?;
     let id: MemberId = vm.member()?;
     let addresses = Addresses {
@@ -113,7 +116,7 @@
     (!vm.leaving).then_some(member)
 }
 
-/// Reads configuration and members from known peers and the seeds.
+/// Reads configuration and members from the seeds and known peers.
 async fn read_peers(shared: &Arc<Shared>) {
     let mut addresses: Vec<SocketAddr> = shared.settings.control.seeds.clone();
     addresses.extend(shared.some_peers(2).into_iter().map(|(_, address)| address));
@@ -122,9 +125,9 @@
             continue;
         };
         lock(&shared.swim).introduce(&members, shared.now());
-        gossip::take_changes(shared);
-        let have = lock(&shared.conf).book.keys();
-        if let Ok(objects) = shared.peers().objects(address, have).await {
+        gossip::apply_member_changes(shared);
+        let versions = lock(&shared.conf).book.keys();
+        if let Ok(objects) = shared.peers().objects(address, versions).await {
             spread::take(shared, objects, "a peer at start");
         }
     }
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Runs the failure detector over the port for probes.
+//! Runs the SWIM failure detector, which exchanges probes with the other members.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::shared::{Differs, Shared, lock};
 
-/// Probes, and answers probes, until the entry stops.
+/// Sends and answers probes until the entry stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let wake = shared.host.clock.instant(lock(&shared.swim).wake());
@@ -19,17 +19,19 @@
             () = sleep_until(wake) => tick(&shared, &mut out),
         }
         send_all(&shared, out).await;
-        take_changes(&shared);
+        apply_member_changes(&shared);
     }
 }
 
-/// Sends messages of the detector.
+/// Sends messages of the failure detector.
 pub(crate) async fn send_all(shared: &Shared, out: Vec<Send>) {
     for Send { to, probe } in out {
         shared.probes.send(to, probe).await;
     }
 }
 
+/// Runs the timers of the failure detector, and updates the confirmation of the
+/// configuration from the members that are present.
 fn tick(shared: &Shared, out: &mut Vec<Send>) {
     let now = shared.now();
     let status = shared.status();
@@ -44,6 +46,8 @@
     conf.confirm.outage(present.iter(), status.digest, now);
 }
 
+/// Handles a probe; a different configuration digest is queued for
+/// reconciliation with the sender.
 fn receive(shared: &Shared, probe: &Probe, from: SocketAddr, out: &mut Vec<Send>) {
     let now = shared.now();
     let status = shared.status();
@@ -54,30 +58,31 @@
             peer: probe.from.addresses.peers,
             digest: probe.digest,
         };
-        // When the queue is full the next probe says it again.
+        // If the queue is full, the next probe from this peer reports it again.
         let _ = shared.differs.try_send(differs);
     }
 }
 
-/// Acts on changes of the members.
-pub(crate) fn take_changes(shared: &Shared) {
+/// Logs membership changes, and requests a new placement unless members were
+/// only suspected.
+pub(crate) fn apply_member_changes(shared: &Shared) {
     let changes = lock(&shared.swim).take_changes();
-    let mut moved = false;
+    let mut changed = false;
     for (id, change) in changes {
-        let word = match change {
+        let event = match change {
             Change::Joined => "joined",
             Change::Suspected => "is suspected",
             Change::Leaving => "is leaving",
             Change::Gone => "is gone",
             Change::None => continue,
         };
-        info!(shared.host.log, "fleet: {id} {word}");
-        moved |= change != Change::Suspected;
+        info!(shared.host.log, "fleet: {id} {event}");
+        changed |= change != Change::Suspected;
         if change == Change::Gone {
             lock(&shared.conf).confirm.forget(&id);
         }
     }
-    if moved {
+    if changed {
         shared.place.notify_one();
     }
 }
--- a/crates/tier/src/leafs.rs
+++ b/crates/tier/src/leafs.rs
@@ -1,4 +1,5 @@
-//! What leafs say of themselves, and what is said of them.
+//! Health, load and draining state of leafs, from their own endpoint, the
+//! platform and peers.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -13,83 +14,84 @@
     shared::{Shared, lock},
 };
 
-/// Time between two readings of a leaf's health and load endpoint. A leaf
-/// that is leaving is known to its holders within this time of its own mark.
-const READ_EVERY: Duration = Duration::from_secs(1);
-/// Factor by which a leaf that calls itself sick looks worse. It may lie, so
-/// it is passed over only while others are free.
-const SICK: f64 = 2.0;
+/// Interval between polls of a leaf's health and load endpoint; bounds the delay
+/// until a draining leaf gets no new work.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Cost factor of a leaf that reports itself unhealthy. The report may be wrong,
+/// so the leaf is only ranked lower, not excluded.
+const UNHEALTHY_FACTOR: f64 = 2.0;
 
-/// Reads the endpoints of all held leafs again and again.
+/// Polls the state of all leafs that this entry connects to, without end.
 pub(crate) async fn watch(shared: Arc<Shared>) {
     loop {
-        sleep(READ_EVERY).await;
+        sleep(POLL_INTERVAL).await;
         for service in shared.services() {
-            let reads = held(&service).into_iter().map(|(_, id, address)| {
+            let polls = held(&service).into_iter().map(|(_, id, address)| {
                 let targets = shared.targets.clone();
                 async move { (id.clone(), targets.state(id, address).await) }
             });
-            for (id, state) in join_all(reads).await {
+            for (id, state) in join_all(polls).await {
                 if let Some(state) = state {
-                    note(&shared, &service, &id, &state);
+                    apply_report(&shared, &service, &id, &state);
                 }
             }
         }
     }
 }
 
-fn note(shared: &Shared, service: &Service, id: &LeafId, said: &LeafState) {
+/// Updates the leaving mark and the cost factor of a leaf from its own report.
+fn apply_report(shared: &Shared, service: &Service, id: &LeafId, report: &LeafState) {
     let now = shared.now();
     let listed = lock(&shared.leaving).contains(id);
-    if mark_leaving(service, id, said.draining || listed, now) {
-        let word = if said.draining || listed {
+    if mark_leaving(service, id, report.draining || listed, now) {
+        let event = if report.draining || listed {
             "leaving"
         } else {
             "back"
         };
-        info!(shared.host.log, "hold: leaf {id} is {word}";
+        info!(shared.host.log, "hold: leaf {id} is {event}";
             "service" => %service.name, "why" => "its own mark");
     }
     let mut state = lock(&service.state);
     let Some(ix) = state.table.find(&chestnut_route::Backend::Leaf(id.clone())) else {
         return;
     };
-    let factor = if said.healthy {
-        1.0 + said.load.max(0.0)
+    let factor = if report.healthy {
+        1.0 + report.load.max(0.0)
     } else {
-        SICK
+        UNHEALTHY_FACTOR
     };
     state.table.set_hint(ix, factor);
 }
 
-/// Takes the platform's list of VMs: leafs on it that are leaving get no new
-/// work. A leaf that was listed as leaving stays so until the list no longer
-/// names it: the list lags, and an older copy of it must not bring the leaf
-/// back into use while it drains.
-pub(crate) fn take_list(shared: &Shared, vms: &[Vm]) -> Vec<LeafId> {
-    let named: BTreeSet<LeafId> = vms
+/// Marks the leafs that the platform's list of VMs shows as leaving, so that they
+/// get no new work; returns those newly marked. A leaf stays marked until the
+/// list no longer contains it, since a stale copy of the list must not bring a
+/// draining leaf back into use.
+pub(crate) fn apply_vm_list(shared: &Shared, vms: &[Vm]) -> Vec<LeafId> {
+    let listed: BTreeSet<LeafId> = vms
         .iter()
         .filter(|vm| vm.role == VmRole::Leaf)
         .filter_map(|vm| LeafId::new(&vm.name).ok())
         .collect();
-    lock(&shared.leaving).retain(|id| named.contains(id));
+    lock(&shared.leaving).retain(|id| listed.contains(id));
     let leaving: Vec<LeafId> = vms
         .iter()
         .filter(|vm| vm.role == VmRole::Leaf && vm.leaving)
         .filter_map(|vm| LeafId::new(&vm.name).ok())
         .collect();
-    mark_listed(shared, &leaving, "the platform's list")
+    record_leaving(shared, &leaving, "the platform's list")
 }
 
-/// Marks leafs as leaving; returns those that were not yet.
-pub(crate) fn mark_listed(shared: &Shared, named: &[LeafId], why: &'static str) -> Vec<LeafId> {
+/// Marks leafs as leaving; returns those newly marked. `why` is logged.
+pub(crate) fn record_leaving(shared: &Shared, ids: &[LeafId], why: &'static str) -> Vec<LeafId> {
     let now = shared.now();
-    let mut new = Vec::new();
-    for id in named {
+    let mut added = Vec::new();
+    for id in ids {
         if !lock(&shared.leaving).insert(id.clone()) {
             continue;
         }
-        new.push(id.clone());
+        added.push(id.clone());
         for service in shared.services() {
             if mark_leaving(&service, id, true, now) {
                 info!(shared.host.log, "hold: leaf {id} is leaving";
@@ -97,5 +99,5 @@
             }
         }
     }
-    new
+    added
 }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this entry does for its peers.
+//! Handlers of requests from peers.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -18,27 +18,27 @@
     spread, submit,
 };
 
-/// The service that the port to peers calls.
+/// Implements [`PeerService`] on the tables of the entry.
 pub(crate) struct Served(pub(crate) Arc<Shared>);
 
 impl PeerService for Served {
-    fn query(&self, ask: SubQuery) -> BoxFuture<'static, SubAnswer> {
+    fn query(&self, request: SubQuery) -> BoxFuture<'static, SubAnswer> {
         let shared = self.0.clone();
-        async move { query::serve_part(&shared, ask).await }.boxed()
+        async move { query::serve_part(&shared, request).await }.boxed()
     }
 
-    fn submit(&self, ask: Submission) -> BoxFuture<'static, SubmitReply> {
+    fn submit(&self, request: Submission) -> BoxFuture<'static, SubmitReply> {
         let shared = self.0.clone();
-        async move { submit::keep(&shared, ask).await }.boxed()
+        async move { submit::keep(&shared, request).await }.boxed()
     }
 
-    fn dispatch(&self, ask: Dispatch) -> BoxFuture<'static, Result<Bytes, Failure>> {
+    fn dispatch(&self, request: Dispatch) -> BoxFuture<'static, Result<Bytes, Failure>> {
         let shared = self.0.clone();
-        async move { submit::dispatch_here(&shared, ask).await }.boxed()
+        async move { submit::dispatch_here(&shared, request).await }.boxed()
     }
 
-    fn leaving(&self, named: Vec<LeafId>) {
-        leafs::mark_listed(&self.0, &named, "a peer's word");
+    fn leaving(&self, ids: Vec<LeafId>) {
+        leafs::record_leaving(&self.0, &ids, "a peer's word");
     }
 
     fn members(&self) -> Vec<Member> {
@@ -56,7 +56,7 @@
     fn records(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
             Ok(batch) => lock(&self.0.copies).add(batch),
-            Err(_) => slog::warn!(self.0.host.log, "refuse: a peer's records can't be read"),
+            Err(_) => slog::warn!(self.0.host.log, "refuse: invalid records from a peer"),
         }
     }
 
