--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of one request to the leafs held here and to peers.
+//! Calls of one query to leafs that this entry connects to, and to peers.
 
 use std::{fmt::Display, net::SocketAddr};
 
@@ -14,15 +14,20 @@
     shared::Shared,
 };
 
-/// What a query asks, and of whom.
+/// One query and the service that it is sent to; issues its calls.
 pub(crate) struct Ask<'a> {
+    /// The tables of the entry.
     pub(crate) shared: &'a Shared,
+    /// The service that is queried.
     pub(crate) service: &'a Service,
+    /// The id of the query.
     pub(crate) request: RequestId,
+    /// The query as JSON.
     pub(crate) body: Bytes,
 }
 
-type Reply = BoxFuture<'static, Result<Parts<Bytes>, Failure>>;
+/// The pending result of one call.
+type CallFuture = BoxFuture<'static, Result<Parts<Bytes>, Failure>>;
 
 impl Calls for Ask<'_> {
     type Extra = Placed;
@@ -32,7 +37,7 @@
         &self.request
     }
 
-    fn call(&self, start: Start<'_>) -> Reply {
+    fn call(&self, start: Start<'_>) -> CallFuture {
         self.shared.metrics.count_call(start.kind);
         let place = lock(&self.service.state)
             .extra
@@ -52,45 +57,49 @@
 }
 
 impl Ask<'_> {
-    fn call_leaf(&self, leaf: LeafId, address: SocketAddr, start: &Start<'_>) -> Reply {
-        let named = named(start.routes, &start.shards);
+    /// Sends the shards of a call to a leaf.
+    fn call_leaf(&self, leaf: LeafId, address: SocketAddr, start: &Start<'_>) -> CallFuture {
+        let names = shard_names(start.routes, &start.shards);
         let call = LeafQuery {
             leaf,
             address,
             request: self.request,
             service: self.service.name.clone(),
             version: start.routes.snapshot.version,
-            shards: named.iter().map(|(name, _)| name.clone()).collect(),
+            shards: names.iter().map(|(name, _)| name.clone()).collect(),
             body: self.body.clone(),
             deadline: start.left,
         };
         let targets = self.shared.targets.clone();
-        async move { Ok(leaf_parts(&named, targets.query(call).await?)) }.boxed()
+        async move { Ok(parts_of_leaf(&names, targets.query(call).await?)) }.boxed()
     }
 
-    fn call_peer(&self, address: SocketAddr, start: &Start<'_>) -> Reply {
-        let ask = SubQuery {
+    /// Sends the shards of a call to a peer that connects to their leafs.
+    fn call_peer(&self, address: SocketAddr, start: &Start<'_>) -> CallFuture {
+        let query = SubQuery {
             request: self.request,
             service: self.service.name.clone(),
             index: start.routes.snapshot.version,
-            shards: start.shards.iter().map(|at| *at as u32).collect(),
+            shards: start.shards.iter().map(|ix| *ix as u32).collect(),
             body: self.body.clone(),
             deadline: start.left,
         };
         let peers = self.shared.peers().clone();
-        async move { peer_parts(peers.query(address, ask).await) }.boxed()
+        async move { parts_of_peer(peers.query(address, query).await) }.boxed()
     }
 }
 
-fn named(routes: &Routes, shards: &[usize]) -> Vec<(ShardName, usize)> {
-    let name = |at: &usize| (routes.shards[*at].name.clone(), *at);
+/// The names of shards, each with its index in the routes.
+fn shard_names(routes: &Routes, shards: &[usize]) -> Vec<(ShardName, usize)> {
+    let name = |ix: &usize| (routes.shards[*ix].name.clone(), *ix);
     shards.iter().map(name).collect()
 }
 
-fn leaf_parts(named: &[(ShardName, usize)], answer: LeafAnswer) -> Parts<Bytes> {
+/// Maps a leaf's answer to shard indices; drops shards that were not asked for.
+fn parts_of_leaf(names: &[(ShardName, usize)], answer: LeafAnswer) -> Parts<Bytes> {
     let position = |name: &ShardName| {
-        let here = |(asked, _): &&(ShardName, usize)| asked == name;
-        named.iter().find(here).map(|(_, at)| *at)
+        let is_named = |(shard, _): &&(ShardName, usize)| shard == name;
+        names.iter().find(is_named).map(|(_, ix)| *ix)
     };
     Parts {
         version: answer.version,
@@ -103,14 +112,15 @@
     }
 }
 
-fn peer_parts(answer: Result<SubAnswer, PeerError>) -> Result<Parts<Bytes>, Failure> {
+/// Converts a peer's answer, and maps a transport error to a failure.
+fn parts_of_peer(answer: Result<SubAnswer, PeerError>) -> Result<Parts<Bytes>, Failure> {
     match answer {
         Ok(SubAnswer::Parts { index, parts }) => Ok(Parts {
             version: index,
             draining: false,
             parts: parts
                 .into_iter()
-                .map(|(at, rows)| (at as usize, rows))
+                .map(|(ix, rows)| (ix as usize, rows))
                 .collect(),
         }),
         Ok(SubAnswer::Failed(failure)) => Err(failure),
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,12 +1,24 @@
 //! The query tier as a library.
 //!
-//! [`Tier::spawn`] starts one entry over the ports that it is given and
-//! returns its handle; [`Front::bind`] puts HTTP for callers and operators
-//! before it. The decisions are in the crates below; this one runs them.
+//! [`Tier::spawn`] starts one entry on the given ports and returns its handle;
+//! [`Front::bind`] serves HTTP for callers and operators on top of it. This
+//! crate runs the tasks and does the I/O; the algorithms are in the crates that
+//! it depends on.
 //!
-//! Shared tables are locked one at a time. Where two are needed the order is:
-//! configuration, members, services, one service, gates, keeper, journal. No
-//! lock is held across an await.
+//! Terms:
+//!
+//! - An *entry* is a process of this tier that callers connect to; the entries
+//!   are each other's peers.
+//! - A *leaf* is a back end (target) that stores shards of a service's data.
+//! - A *snapshot* is one version of a service's data; all rows of an answer
+//!   come from the same snapshot.
+//! - A *ticket* identifies a submission, so that a repeat does not run twice.
+//!   The entry that stores the outcome of a ticket is its *keeper*.
+//! - A *receipt* is the text that a refused caller gets; it encodes the reason.
+//!
+//! Shared tables are locked one at a time. Code that needs two takes them in
+//! this order: configuration, members, services, one service, gates, keeper,
+//! journal. No lock is held across an await.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/tier/src/metrics.rs
+++ b/crates/tier/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, in the text form that Prometheus reads.
+//! Metrics of an entry, in the OpenMetrics text format.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 };
 
 /// Upper bound of the first latency bucket, in seconds.
-const BUCKET_FIRST: f64 = 0.001;
-/// Ratio of one bucket's bound to the one before.
+const FIRST_BUCKET: f64 = 0.001;
+/// Ratio of the bounds of successive buckets.
 const BUCKET_RATIO: f64 = 1.5;
-/// Buckets: the last bound is about 38 s.
+/// Number of latency buckets; the last bound is about 38 s.
 const BUCKETS: u16 = 27;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -47,34 +47,46 @@
 pub(crate) struct Metrics {
     registry: Registry,
     latency: Family<ServiceLabels, Histogram>,
-    asked: Counter,
-    answered: Counter,
-    whole: Counter,
+    shards_asked: Counter,
+    shards_answered: Counter,
+    complete: Counter,
     calls: Family<KindLabels, Counter>,
     refusals: Family<ReasonLabels, Counter>,
     connections: Family<LeafLabels, Gauge>,
+    /// Connection limit of this entry per leaf.
     pub(crate) share: Gauge,
+    /// Back ends evicted as outliers.
     pub(crate) evictions: Counter,
+    /// Received objects dropped because their version is old.
     pub(crate) stale: Counter,
+    /// Members that are present.
     pub(crate) members: Gauge,
+    /// Time since the configuration was confirmed, in milliseconds; -1 if it never
+    /// was.
     pub(crate) confirmed: Gauge,
+    /// Digest of the configuration.
     pub(crate) digest: Gauge,
+    /// Bytes of membership traffic.
     pub(crate) probe_bytes: Gauge,
+    /// Refusal records not yet written to the platform.
     pub(crate) records: Gauge,
+    /// Requests in progress.
     pub(crate) in_flight: Gauge,
+    /// Processor time of the process in milliseconds.
     pub(crate) cpu: Gauge,
 }
 
 impl Metrics {
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Self {
         let new_histogram =
-            || Histogram::new(exponential_buckets(BUCKET_FIRST, BUCKET_RATIO, BUCKETS));
+            || Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_RATIO, BUCKETS));
         let mut metrics = Self {
             registry: Registry::with_prefix("chestnut"),
             latency: Family::new_with_constructor(new_histogram),
-            asked: Counter::default(),
-            answered: Counter::default(),
-            whole: Counter::default(),
+            shards_asked: Counter::default(),
+            shards_answered: Counter::default(),
+            complete: Counter::default(),
             calls: Family::default(),
             refusals: Family::default(),
             connections: Family::default(),
@@ -97,12 +109,16 @@
         let r = &mut self.registry;
         let latency = self.latency.clone();
         r.register("latency_seconds", "Time to answer a query", latency);
-        r.register("shards_asked", "Shards asked", self.asked.clone());
-        r.register("shards_answered", "Shards answered", self.answered.clone());
+        r.register("shards_asked", "Shards asked", self.shards_asked.clone());
+        r.register(
+            "shards_answered",
+            "Shards answered",
+            self.shards_answered.clone(),
+        );
         r.register(
             "answers_whole",
             "Answers that cover all",
-            self.whole.clone(),
+            self.complete.clone(),
         );
         r.register("calls", "Calls to back ends by kind", self.calls.clone());
         r.register("refusals", "Refusals by reason", self.refusals.clone());
@@ -136,6 +152,7 @@
         r.register("cpu_ms", "Processor time of the process", self.cpu.clone());
     }
 
+    /// Records the latency and coverage of an answered query.
     pub(crate) fn observe(
         &self,
         service: &ServiceName,
@@ -150,13 +167,14 @@
         self.latency
             .get_or_create(&labels)
             .observe(span.as_secs_f64());
-        self.asked.inc_by(coverage.asked as u64);
-        self.answered.inc_by(coverage.answered as u64);
+        self.shards_asked.inc_by(coverage.asked as u64);
+        self.shards_answered.inc_by(coverage.answered as u64);
         if coverage.is_complete() {
-            self.whole.inc();
+            self.complete.inc();
         }
     }
 
+    /// Counts a call to a back end.
     pub(crate) fn count_call(&self, kind: CallKind) {
         let labels = KindLabels {
             kind: kind.as_str(),
@@ -164,6 +182,7 @@
         self.calls.get_or_create(&labels).inc();
     }
 
+    /// Counts a refusal.
     pub(crate) fn count_refusal(&self, reason: Reason) {
         let labels = ReasonLabels {
             reason: reason.as_str(),
@@ -171,29 +190,30 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
+    /// Sets the number of open connections to a leaf.
     pub(crate) fn set_connections(&self, leaf: String, open: usize) {
         let labels = LeafLabels { leaf };
         self.connections.get_or_create(&labels).set(open as i64);
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("writing to a string does not fail");
+        encode(&mut text, &self.registry).expect("writing to a String cannot fail");
         text
     }
 }
 
-/// Milliseconds of processor time that the process has used, as the system
-/// counts it; zero where it can't be read.
+/// Processor time used by the process in milliseconds, read from
+/// `/proc/self/stat`; zero if that can't be read.
 pub(crate) fn cpu_ms() -> i64 {
-    /// Length of a tick of the system's accounts.
+    /// Length of a clock tick in that file (`USER_HZ` is 100).
     const TICK_MS: i64 = 10;
-    /// User and system time, counted after the name in parentheses.
-    const FIELDS: [usize; 2] = [11, 12];
+    /// Indices of user and system time among the fields after the process name.
+    const CPU_FIELDS: [usize; 2] = [11, 12];
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = FIELDS.map(|at| fields.get(at).and_then(|f| f.parse::<i64>().ok()));
+    let ticks = CPU_FIELDS.map(|at| fields.get(at).and_then(|f| f.parse::<i64>().ok()));
     ticks.into_iter().flatten().sum::<i64>() * TICK_MS
 }
