--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -1,4 +1,7 @@
-//! Queries of callers, and the parts of queries that peers ask for.
+//! Scatter-gather of callers' queries, and of the parts that peers request.
+//!
+//! A query is sent to one replica of each shard of a snapshot, which is one
+//! version of the index, and the rows that they return are joined.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -21,35 +24,40 @@
     shared::{Phase, Shared, lock},
 };
 
-/// Times that a query may start over because its snapshot went away.
-const RESTARTS: usize = 3;
-/// Requests at once past which parts for peers are shed, to bound memory.
-const SUB_QUERIES_MAX: u32 = 4096;
+/// Times that a query is restarted after its snapshot was removed.
+const MAX_RESTARTS: usize = 3;
+/// Requests in flight at which parts for peers are shed, to bound memory.
+const MAX_IN_FLIGHT: u32 = 4096;
 
-/// A request that is let in under its organisation's limit.
-struct OrgPass<'a> {
+/// Admission under an organisation's limit, released on drop.
+struct OrgPermit<'a> {
     shared: &'a Shared,
     org: chestnut_unit::OrgName,
 }
 
-impl Drop for OrgPass<'_> {
+impl Drop for OrgPermit<'_> {
     fn drop(&mut self) {
         lock(&self.shared.gates).leave(&self.org);
     }
 }
 
-/// The policy and settings that a request is decided under.
-pub(crate) struct Ground {
+/// The policy that applies to a request, and the versions that it comes from.
+pub(crate) struct EffectivePolicy {
     pub(crate) policy: Arc<OrgPolicy>,
     pub(crate) settings: SettingsUsed,
 }
 
-/// Finds the policy of an organisation, if this entry may decide on it now.
-pub(crate) fn ground(
+/// Finds the policy of an organisation and records its versions in `subject`.
+///
+/// # Errors
+///
+/// The entry has no settings yet, the organisation is unknown, or the settings
+/// were confirmed too long ago.
+pub(crate) fn effective_policy(
     shared: &Shared,
     org: &chestnut_unit::OrgName,
     subject: &mut Subject,
-) -> Result<Ground, Why> {
+) -> Result<EffectivePolicy, Why> {
     let phase = shared.phase();
     if phase == Phase::Starting || phase == Phase::Stopped {
         let detail = "this entry has no confirmed settings yet";
@@ -66,9 +74,9 @@
             format!("no organisation {org}"),
         ));
     };
-    subject.under(&policy);
+    subject.set_versions(&policy);
     match age {
-        Some(confirmed) if confirmed <= policy.unconfirmed => Ok(Ground {
+        Some(confirmed) if confirmed <= policy.unconfirmed => Ok(EffectivePolicy {
             settings: SettingsUsed {
                 template: policy.template,
                 organisation: policy.organisation,
@@ -83,24 +91,25 @@
     }
 }
 
-/// Checks the call against the policy, and the organisation's limit.
-pub(crate) fn permit<'a>(
-    ground: &'a Ground,
+/// Finds the policy of the call, or refuses a call that it doesn't allow.
+pub(crate) fn call_policy<'a>(
+    effective: &'a EffectivePolicy,
     kind: CallKind,
     service: &chestnut_unit::ServiceName,
     call: &chestnut_unit::CallType,
 ) -> Result<&'a CallPolicy, Why> {
-    ground
+    effective
         .policy
         .call(call, kind, service)
         .map_err(|error| Why::not_run(error.reason(), error.to_string()))
 }
 
-/// Takes a request under its organisation's limit.
-pub(crate) fn pass<'a>(
+/// Admits a request under its organisation's limit, unless its policy forbids
+/// refusals for that reason.
+pub(crate) fn org_permit<'a>(
     shared: &'a Shared,
     org: &chestnut_unit::OrgName,
-    ground: &Ground,
+    effective: &EffectivePolicy,
     policy: &CallPolicy,
 ) -> Result<Option<impl Drop + 'a + use<'a>>, Why> {
     if !policy.may_refuse(Reason::OrgLimit) {
@@ -108,21 +117,21 @@
     }
     let entries = lock(&shared.swim).view.working().count();
     let now = shared.now();
-    let entered = lock(&shared.gates).enter(org, &ground.policy.limits, entries, now);
+    let entered = lock(&shared.gates).enter(org, &effective.policy.limits, entries, now);
     match entered {
-        Ok(()) => Ok(Some(OrgPass {
+        Ok(()) => Ok(Some(OrgPermit {
             shared,
             org: org.clone(),
         })),
         Err(after) => Err(Why::not_run(
             Reason::OrgLimit,
-            format!("limit {}", ground.policy.limits.rate),
+            format!("limit {}", effective.policy.limits.rate),
         )
         .after(after)),
     }
 }
 
-/// The order for admission of one request.
+/// Builds the admission order of a request.
 pub(crate) fn order(subject: &Subject, policy: &CallPolicy, deadline: Time) -> Order {
     Order {
         id: subject.request,
@@ -136,106 +145,107 @@
     }
 }
 
-/// The deadline of a request: its own, or the template's, within the limit.
-pub(crate) fn deadline(shared: &Shared, own: Option<Duration>, policy: &CallPolicy) -> Time {
-    let span = own.unwrap_or(policy.deadline);
-    shared.now() + span.min(shared.settings.limits.deadline)
+/// The requested deadline or that of the policy, capped by the settings.
+pub(crate) fn deadline(shared: &Shared, requested: Option<Duration>, policy: &CallPolicy) -> Time {
+    let allowed = requested.unwrap_or(policy.deadline);
+    shared.now() + allowed.min(shared.settings.limits.deadline)
 }
 
 /// Answers a caller's query.
-pub(crate) async fn answer(shared: &Shared, ask: QueryRequest) -> Result<Answer, Refused> {
+pub(crate) async fn answer(shared: &Shared, request: QueryRequest) -> Result<Answer, Refused> {
     let _flight = InFlight::enter(&shared.in_flight);
     let start = shared.now();
     let mut subject = Subject {
         request: shared.next_request(),
-        organisation: Some(ask.organisation.clone()),
-        service: Some(ask.service.clone()),
-        call: Some(ask.call.clone()),
+        organisation: Some(request.organisation.clone()),
+        service: Some(request.service.clone()),
+        call: Some(request.call.clone()),
         versions: (0, 0),
     };
-    let result = decide(shared, &ask, &mut subject).await;
+    let result = decide(shared, &request, &mut subject).await;
     let span = shared.now().since(start);
     result
         .inspect(|(answer, urgency)| {
             shared
                 .metrics
-                .observe(&ask.service, *urgency, span, &answer.coverage);
+                .observe(&request.service, *urgency, span, &answer.coverage);
         })
         .map(|(answer, _)| answer)
         .map_err(|why| refuse(shared, &subject, why))
 }
 
+/// Admits and runs a query; the error says why it is refused.
 async fn decide(
     shared: &Shared,
-    ask: &QueryRequest,
+    request: &QueryRequest,
     subject: &mut Subject,
 ) -> Result<(Answer, chestnut_unit::Urgency), Why> {
-    let ground = ground(shared, &ask.organisation, subject)?;
-    let policy = permit(&ground, CallKind::Query, &ask.service, &ask.call)?;
+    let effective = effective_policy(shared, &request.organisation, subject)?;
+    let policy = call_policy(&effective, CallKind::Query, &request.service, &request.call)?;
     let service = shared
-        .service(&ask.service)
+        .service(&request.service)
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "the platform lists no such service"))?;
-    let _pass = pass(shared, &ask.organisation, &ground, policy)?;
-    let deadline = deadline(shared, ask.deadline, policy);
+    let _permit = org_permit(shared, &request.organisation, &effective, policy)?;
+    let deadline = deadline(shared, request.deadline, policy);
     let order = order(subject, policy, deadline);
     let mut running = admit(&shared.host, &service, GateId::default(), order)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     if shared.host.trace > Trace::None {
-        debug!(shared.host.log, "admit: {} runs", ask.service;
+        debug!(shared.host.log, "admit: query of {} admitted", request.service;
             "request" => subject.request.0, "why" => policy.urgency.as_str());
     }
     let config = QueryConfig::new(deadline, policy.least);
-    let Fanned { query, run } =
-        fan_out(shared, &service, ask, subject, config, &mut running).await?;
+    let FanOut { query, run } =
+        fan_out(shared, &service, request, subject, config, &mut running).await?;
     drop(running);
     let coverage = query.coverage();
     if !coverage.reaches(policy.least) {
-        return Err(why_short(&query, run));
+        return Err(coverage_refusal(&query, run));
     }
     let answer = Answer {
         request: subject.request,
         entry: shared.own.id.clone(),
         snapshot: query.routes().snapshot.clone(),
         coverage,
-        settings: ground.settings,
+        settings: effective.settings,
         rows: join_rows(query.into_parts().map(|(_, rows)| rows)),
     };
     Ok((answer, policy.urgency))
 }
 
-/// The best query of a request, and what ran of all that it made. A later one
-/// that made no call must not hide what an earlier one ran.
-struct Fanned {
+/// The best run of a query, and whether a call of any of its runs may have been
+/// executed. A later run without calls must not hide those of an earlier one.
+struct FanOut {
     query: Query<Bytes>,
     run: Run,
 }
 
-/// Runs the query, on another snapshot if the pinned one goes away.
+/// Runs the query, and restarts it if the pinned snapshot is removed.
 async fn fan_out(
     shared: &Shared,
     service: &Arc<Service>,
-    ask: &QueryRequest,
+    request: &QueryRequest,
     subject: &Subject,
     config: QueryConfig,
     running: &mut Running<'_, Placed>,
-) -> Result<Fanned, Why> {
+) -> Result<FanOut, Why> {
     let asked = Ask {
         shared,
         service,
         request: subject.request,
-        body: ask.body.clone(),
+        body: request.body.clone(),
     };
     let mut best: Option<Query<Bytes>> = None;
-    let mut unrun = true;
-    for _ in 0..=RESTARTS {
-        let Some(routes) = pin(shared, service) else {
+    let mut none_ran = true;
+    for _ in 0..=MAX_RESTARTS {
+        let Some(routes) = pin_snapshot(shared, service) else {
             break;
         };
         let query = run(&shared.host, service, &asked, routes, None, config).await;
         running.calls += query.calls() as u32;
         running.sheds += query.sheds();
-        unrun &= query.not_run().is_some();
+        none_ran &= query.not_run().is_some();
         let lost = query.end() == Some(End::Partial(Give::SnapshotLost));
         let better = best
             .as_ref()
@@ -246,23 +256,24 @@
         if !lost {
             break;
         }
-        debug!(shared.host.log, "retry: the snapshot is gone, starting over";
+        debug!(shared.host.log, "retry: the snapshot is gone, restarting the query";
             "request" => subject.request.0);
     }
     let query =
         best.ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no index version has a live leaf"))?;
-    let run = if unrun { Run::NotRun } else { Run::Partial };
-    Ok(Fanned { query, run })
+    let run = if none_ran { Run::NotRun } else { Run::Partial };
+    Ok(FanOut { query, run })
 }
 
-fn pin(shared: &Shared, service: &Service) -> Option<Arc<Routes>> {
+/// Pins a snapshot with live leafs, so that all shards answer from it.
+fn pin_snapshot(shared: &Shared, service: &Service) -> Option<Arc<Routes>> {
     let now = shared.now();
     let state = lock(&service.state);
     state.extra.versions.pin(&state.table, now)
 }
 
-/// Why an answer does not cover enough.
-fn why_short(query: &Query<Bytes>, run: Run) -> Why {
+/// Builds the refusal of a query that is below its minimum coverage.
+fn coverage_refusal(query: &Query<Bytes>, run: Run) -> Why {
     let coverage = query.coverage();
     let reason = match query.end() {
         Some(End::Partial(Give::Deadline)) => Reason::Deadline,
@@ -272,7 +283,7 @@
     let missing: Vec<&str> = coverage
         .missing
         .iter()
-        .take(MISSING_NAMED)
+        .take(MAX_MISSING)
         .map(|name| name.as_str())
         .collect();
     let detail = format!(
@@ -285,10 +296,10 @@
     Why::not_run(reason, detail).run(run)
 }
 
-/// Missing shards named in a refusal's detail.
-const MISSING_NAMED: usize = 20;
+/// Maximum number of missing shards listed in a refusal.
+const MAX_MISSING: usize = 20;
 
-/// Joins JSON arrays into one.
+/// Concatenates JSON arrays without parsing them.
 fn join_rows(parts: impl Iterator<Item = Bytes>) -> Bytes {
     let mut joined = BytesMut::new();
     joined.put_u8(b'[');
@@ -306,18 +317,18 @@
     joined.freeze()
 }
 
-/// Serves the part of a query that a peer asks this entry for, from the leafs
-/// that it holds.
-pub(crate) async fn serve_part(shared: &Shared, ask: SubQuery) -> SubAnswer {
+/// Serves the part of a query that a peer requests, using only leafs that this
+/// entry holds.
+pub(crate) async fn serve_part(shared: &Shared, part: SubQuery) -> SubAnswer {
     let running = shared.in_flight.load(Ordering::Relaxed);
-    if running >= SUB_QUERIES_MAX {
+    if running >= MAX_IN_FLIGHT {
         return SubAnswer::Failed(Failure::Refused(Refusal::Shed));
     }
     let _flight = InFlight::enter(&shared.in_flight);
-    let Some(service) = shared.service(&ask.service) else {
+    let Some(service) = shared.service(&part.service) else {
         return SubAnswer::Failed(Failure::Refused(Refusal::NoSnapshot));
     };
-    let Some(routes) = lock(&service.state).extra.local.get(ask.index) else {
+    let Some(routes) = lock(&service.state).extra.local.get(part.index) else {
         return SubAnswer::Failed(Failure::Refused(Refusal::NoSnapshot));
     };
     let held = |at: &usize| {
@@ -326,22 +337,22 @@
             .get(*at)
             .is_some_and(|s| !s.replicas.is_empty())
     };
-    let subset: Vec<usize> = ask
+    let subset: Vec<usize> = part
         .shards
         .iter()
         .map(|at| *at as usize)
         .filter(held)
         .collect();
     if subset.is_empty() {
-        // Views differ: the asker still takes us for a holder. Nothing ran.
+        // The peer's view differs and has this entry as a holder. Nothing ran.
         return SubAnswer::Failed(Failure::Refused(Refusal::Connections));
     }
-    let config = QueryConfig::new(shared.now() + ask.deadline, Share::from_permille(0));
+    let config = QueryConfig::new(shared.now() + part.deadline, Share::from_permille(0));
     let asked = Ask {
         shared,
         service: &service,
-        request: ask.request,
-        body: ask.body,
+        request: part.request,
+        body: part.body,
     };
     let query = run(
         &shared.host,
@@ -361,7 +372,7 @@
         });
     }
     SubAnswer::Parts {
-        index: ask.index,
+        index: part.index,
         parts: query
             .into_parts()
             .map(|(route, rows)| (route as u32, rows))
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -1,4 +1,7 @@
-//! Makes refusals: receipt, record, log line and count in one place.
+//! Builds refusals: the receipt, its record, the log line and the metric.
+//!
+//! A receipt is a text with a keyed check value that identifies a refusal; its
+//! record is stored on the platform.
 
 use std::time::Duration;
 
@@ -13,33 +16,35 @@
     shared::{Shared, lock},
 };
 
-/// What a request that may be refused is about.
+/// The attributes of a request that go into its receipt if it is refused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Subject {
     pub(crate) request: RequestId,
     pub(crate) organisation: Option<OrgName>,
     pub(crate) service: Option<ServiceName>,
     pub(crate) call: Option<CallType>,
+    /// Versions of the template and of the organisation, 0 if unknown.
     pub(crate) versions: (u64, u64),
 }
 
 impl Subject {
-    /// Notes the versions of the settings that decide on the request.
-    pub(crate) fn under(&mut self, policy: &OrgPolicy) {
+    /// Records the versions of the template and organisation that apply.
+    pub(crate) fn set_versions(&mut self, policy: &OrgPolicy) {
         self.versions = (policy.template, policy.organisation);
     }
 }
 
-/// Why a request is refused.
+/// The reason of a refusal, before its receipt is made.
 pub(crate) struct Why {
     pub(crate) reason: Reason,
     pub(crate) run: Run,
     pub(crate) detail: String,
+    /// Time after which the caller may retry.
     pub(crate) after: Option<Duration>,
 }
 
 impl Why {
-    /// A refusal before anything was sent.
+    /// A refusal of a request of which nothing was sent.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -49,25 +54,26 @@
         }
     }
 
+    /// Sets how much of the request may have run.
     pub(crate) fn run(mut self, run: Run) -> Self {
         self.run = run;
         self
     }
 
+    /// Sets the time after which the caller may retry.
     pub(crate) fn after(mut self, after: Duration) -> Self {
         self.after = Some(after);
         self
     }
 }
 
-/// Time after which callers are asked back when a fault, not load, is the
-/// cause: routing has changed by then.
-const FAULT_BACK: Duration = Duration::from_millis(200);
+/// Mean retry delay when a fault, not load, is the cause: routing avoids the
+/// fault by then.
+const FAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// When to come back after a refusal that states no time of its own: at random
-/// around a fixed time, so that callers refused together don't return
-/// together. `None` if the same request would be refused again.
-fn come_back(reason: Reason, rng: &mut dyn Rng) -> Option<Duration> {
+/// The retry delay of a refusal that sets none, with jitter so that callers
+/// don't retry in step. `None` if the same request would be refused again.
+fn default_retry_delay(reason: Reason, rng: &mut dyn Rng) -> Option<Duration> {
     match reason {
         Reason::BadRequest
         | Reason::UnknownOrg
@@ -77,13 +83,13 @@
         | Reason::FateUnknown
         | Reason::KeeperGone => None,
         _ => {
-            let spread = 0.5 + rng.next_u64() as f64 / u64::MAX as f64;
-            Some(FAULT_BACK.mul_f64(spread))
+            let jitter = 0.5 + rng.next_u64() as f64 / u64::MAX as f64;
+            Some(FAULT_RETRY_DELAY.mul_f64(jitter))
         }
     }
 }
 
-/// Refuses a request.
+/// Makes the receipt of a refusal, then logs, counts and records it.
 pub(crate) fn refuse(shared: &Shared, subject: &Subject, why: Why) -> Refused {
     let wall = shared.host.clock.wall();
     let receipt = Receipt {
@@ -115,7 +121,7 @@
         run: why.run,
         after: why
             .after
-            .or_else(|| come_back(why.reason, &mut shared.rng())),
+            .or_else(|| default_retry_delay(why.reason, &mut shared.rng())),
         entries: shared.other_entries(),
     }
 }
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -1,4 +1,8 @@
-//! Submissions: tickets, keepers and the one dispatch.
+//! Submissions, which run at most once for each ticket.
+//!
+//! A ticket names its keeper, the entry that minted it. Every use of a ticket
+//! goes to its keeper, or to the successor of a keeper that has left, which
+//! dispatches the first use and answers the others with its outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,10 +25,10 @@
     shared::{Shared, lock},
 };
 
-/// Time beyond its deadline that a submission passed to its keeper may take.
-const KEEPER_SLACK: Duration = Duration::from_millis(5);
+/// Time added to the deadline of a submission that is forwarded.
+const FORWARD_MARGIN: Duration = Duration::from_millis(5);
 
-/// Mints a ticket.
+/// Mints a ticket, whose keeper is this entry.
 pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refused> {
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
@@ -47,32 +51,32 @@
 /// Answers a caller's submission.
 pub(crate) async fn submit(
     shared: &Arc<Shared>,
-    ask: SubmitRequest,
+    request: SubmitRequest,
 ) -> Result<SubmitOutcome, Refused> {
     let _flight = InFlight::enter(&shared.in_flight);
     let mut subject = Subject {
         request: shared.next_request(),
-        organisation: Some(ask.organisation.clone()),
-        service: Some(ask.service.clone()),
-        call: Some(ask.call.clone()),
+        organisation: Some(request.organisation.clone()),
+        service: Some(request.service.clone()),
+        call: Some(request.call.clone()),
         versions: (0, 0),
     };
-    let ticket = match ask.ticket.clone() {
+    let ticket = match request.ticket.clone() {
         Some(ticket) => ticket,
         None => mint(shared)?.ticket,
     };
-    if let Some(policy) = lock(&shared.conf).policy(&ask.organisation) {
-        subject.under(&policy);
+    if let Some(policy) = lock(&shared.conf).policy(&request.organisation) {
+        subject.set_versions(&policy);
     }
     let submission = Submission {
         ticket,
-        organisation: ask.organisation,
-        service: ask.service,
-        call: ask.call,
-        body: ask.body,
-        deadline: ask.deadline.unwrap_or(DEADLINE),
+        organisation: request.organisation,
+        service: request.service,
+        call: request.call,
+        body: request.body,
+        deadline: request.deadline.unwrap_or(DEFAULT_DEADLINE),
     };
-    let why = match through_keeper(shared, submission).await {
+    let why = match send_to_keeper(shared, submission).await {
         SubmitReply::Done(answer) => {
             return Ok(SubmitOutcome {
                 request: subject.request,
@@ -87,14 +91,14 @@
     Err(refuse(shared, &subject, why))
 }
 
-/// Deadline of a submission whose caller states none.
-const DEADLINE: Duration = Duration::from_secs(5);
+/// Deadline of a submission whose caller sets none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
 
-/// Brings a submission to the keeper of its ticket, here or elsewhere.
-async fn through_keeper(shared: &Arc<Shared>, ask: Submission) -> SubmitReply {
+/// Sends a submission to the keeper of its ticket, which may be this entry.
+async fn send_to_keeper(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let keeper = {
         let swim = lock(&shared.swim);
-        let ticket = &ask.ticket;
+        let ticket = &submission.ticket;
         swim.view
             .keeper_of(&ticket.keeper, ticket.incarnation)
             .cloned()
@@ -103,58 +107,64 @@
         return SubmitReply::Unknown(Reason::KeeperGone);
     };
     if keeper.id == shared.own.id {
-        return keep(shared, ask).await;
+        return keep(shared, submission).await;
     }
-    debug!(shared.host.log, "keep: passing ticket to {}", keeper.id);
-    pass_on(shared, keeper.addresses.peers, ask).await
+    debug!(
+        shared.host.log,
+        "keep: forwarding submission to {}", keeper.id
+    );
+    forward(shared, keeper.addresses.peers, submission).await
 }
 
-async fn pass_on(
+/// Forwards a submission to another entry.
+async fn forward(
     shared: &Shared,
     address: std::net::SocketAddr,
-    mut ask: Submission,
+    mut submission: Submission,
 ) -> SubmitReply {
-    ask.deadline += KEEPER_SLACK;
-    match shared.peers().submit(address, ask).await {
+    submission.deadline += FORWARD_MARGIN;
+    match shared.peers().submit(address, submission).await {
         Ok(reply) => reply,
-        // Also when the call was never sent: an earlier use of the ticket may
-        // have run, and only its keeper knows.
+        // Even if this call was not sent, an earlier use of the ticket may
+        // have run, and only the keeper knows.
         Err(PeerError::NotSent | PeerError::Lost) => SubmitReply::Unknown(Reason::KeeperGone),
     }
 }
 
-/// Decides on a submission whose ticket this entry keeps.
-pub(crate) async fn keep(shared: &Arc<Shared>, ask: Submission) -> SubmitReply {
+/// Runs a submission whose ticket this entry keeps, or replies with the outcome
+/// of an earlier use.
+pub(crate) async fn keep(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let wall = shared.host.clock.wall();
-    let body = body_hash(&ask);
-    let claim = lock(&shared.keeper).claim(&ask.ticket, body, wall);
+    let body = body_hash(&submission);
+    let claim = lock(&shared.keeper).claim(&submission.ticket, body, wall);
     match claim {
-        Claim::Run => dispatch_once(shared, ask).await,
-        Claim::Join => join(shared, &ask).await,
+        Claim::Run => dispatch_once(shared, submission).await,
+        Claim::Join => await_dispatch(shared, &submission).await,
         Claim::Settled(outcome) => reply_of(outcome),
         Claim::OtherBody | Claim::Refused => SubmitReply::NotRun(Reason::BadTicket),
         Claim::Forgotten => SubmitReply::Unknown(Reason::KeeperGone),
-        Claim::Moved => moved(shared, ask).await,
+        Claim::Moved => forward_moved(shared, submission).await,
     }
 }
 
-/// Hash that tells two uses of one ticket apart.
-fn body_hash(ask: &Submission) -> u64 {
+/// Hashes a submission, to reject a ticket that is reused for another one.
+fn body_hash(submission: &Submission) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for text in [
-        ask.organisation.as_str(),
-        ask.service.as_str(),
-        ask.call.as_str(),
+        submission.organisation.as_str(),
+        submission.service.as_str(),
+        submission.call.as_str(),
     ] {
         hasher.update(text.as_bytes());
         hasher.update(&[0]);
     }
-    hasher.update(&ask.body);
+    hasher.update(&submission.body);
     let mut first = [0; 8];
     first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     u64::from_le_bytes(first)
 }
 
+/// Converts an outcome to the reply for the caller.
 fn reply_of(outcome: Outcome) -> SubmitReply {
     match outcome {
         Outcome::Done(answer) => SubmitReply::Done(Bytes::from(answer)),
@@ -163,29 +173,29 @@
     }
 }
 
-/// Passes on a ticket that this entry has handed over.
-async fn moved(shared: &Shared, ask: Submission) -> SubmitReply {
-    let heir = {
+/// Forwards a submission whose ticket was handed over to a successor.
+async fn forward_moved(shared: &Shared, submission: Submission) -> SubmitReply {
+    let successor = {
         let swim = lock(&shared.swim);
         let own = swim.view.own();
-        let heir = own.heirs.get(&own.incarnation);
-        heir.and_then(|heir| swim.view.get(&heir.member).cloned())
+        let successor = own.heirs.get(&own.incarnation);
+        successor.and_then(|successor| swim.view.get(&successor.member).cloned())
     };
-    match heir {
-        Some(member) => pass_on(shared, member.addresses.peers, ask).await,
-        // Closed and not yet handed over: it has not run, and the caller may
-        // use the ticket again in a moment; nothing is sealed.
+    match successor {
+        Some(member) => forward(shared, member.addresses.peers, submission).await,
+        // The handover is in progress. The submission has not run, and the
+        // caller may use the ticket again afterwards.
         None => SubmitReply::Unknown(Reason::NotReady),
     }
 }
 
-/// Waits for the outcome of the dispatch that an earlier use started.
-async fn join(shared: &Shared, ask: &Submission) -> SubmitReply {
-    let key = ask.ticket.to_string();
-    let Some(mut told) = lock(&shared.dispatches).get(&key).cloned() else {
+/// Waits for the reply to an earlier use that is still being dispatched.
+async fn await_dispatch(shared: &Shared, submission: &Submission) -> SubmitReply {
+    let key = submission.ticket.to_string();
+    let Some(mut reply_rx) = lock(&shared.dispatches).get(&key).cloned() else {
         return SubmitReply::Unknown(Reason::FateUnknown);
     };
-    let reply = timeout(ask.deadline, told.wait_for(Option::is_some)).await;
+    let reply = timeout(submission.deadline, reply_rx.wait_for(Option::is_some)).await;
     match reply {
         Ok(Ok(reply)) => reply
             .clone()
@@ -194,25 +204,25 @@
     }
 }
 
-/// Dispatches a claimed submission in a task of its own, so that its outcome
-/// reaches the keeper also when the caller hangs up.
-async fn dispatch_once(shared: &Arc<Shared>, ask: Submission) -> SubmitReply {
-    let (tell, mut told) = watch::channel(None);
-    let key = ask.ticket.to_string();
-    lock(&shared.dispatches).insert(key.clone(), told.clone());
+/// Dispatches a claimed submission in its own task, so that its outcome is
+/// recorded even if the caller disconnects.
+async fn dispatch_once(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
+    let (reply_tx, mut reply_rx) = watch::channel(None);
+    let key = submission.ticket.to_string();
+    lock(&shared.dispatches).insert(key.clone(), reply_rx.clone());
     let task = {
         let shared = shared.clone();
         async move {
-            let ticket = ask.ticket.clone();
-            let outcome = run_claimed(&shared, ask).await;
+            let ticket = submission.ticket.clone();
+            let outcome = run_claimed(&shared, submission).await;
             lock(&shared.keeper).settle(&ticket, outcome.clone());
-            // Repeats find it settled from here on; those that wait are told.
-            let _ = tell.send(Some(reply_of(outcome)));
+            // New repeats find the outcome; those that wait get the reply.
+            let _ = reply_tx.send(Some(reply_of(outcome)));
             lock(&shared.dispatches).remove(&key);
         }
     };
     tokio::spawn(task);
-    let reply = told.wait_for(Option::is_some).await;
+    let reply = reply_rx.wait_for(Option::is_some).await;
     match reply {
         Ok(reply) => reply
             .clone()
@@ -221,27 +231,37 @@
     }
 }
 
-/// Decides on and dispatches a claimed submission.
-async fn run_claimed(shared: &Shared, ask: Submission) -> Outcome {
+/// Runs a claimed submission; a refusal becomes an outcome.
+async fn run_claimed(shared: &Shared, submission: Submission) -> Outcome {
     let mut subject = Subject {
         request: shared.next_request(),
         ..Subject::default()
     };
-    match decide(shared, &ask, &mut subject).await {
+    match decide(shared, &submission, &mut subject).await {
         Ok(outcome) => outcome,
         Err(why) => Outcome::NotRun(why.reason),
     }
 }
 
-/// An error is a refusal before anything was sent.
-async fn decide(shared: &Shared, ask: &Submission, subject: &mut Subject) -> Result<Outcome, Why> {
-    let ground = query::ground(shared, &ask.organisation, subject)?;
-    let policy = query::permit(&ground, CallKind::Submit, &ask.service, &ask.call)?;
+/// Admits a submission and tries it at the replicas of a random shard. An error
+/// is a refusal before anything was sent.
+async fn decide(
+    shared: &Shared,
+    submission: &Submission,
+    subject: &mut Subject,
+) -> Result<Outcome, Why> {
+    let effective = query::effective_policy(shared, &submission.organisation, subject)?;
+    let policy = query::call_policy(
+        &effective,
+        CallKind::Submit,
+        &submission.service,
+        &submission.call,
+    )?;
     let service = shared
-        .service(&ask.service)
+        .service(&submission.service)
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no such service"))?;
-    let _pass = query::pass(shared, &ask.organisation, &ground, policy)?;
-    let deadline = query::deadline(shared, Some(ask.deadline), policy);
+    let _permit = query::org_permit(shared, &submission.organisation, &effective, policy)?;
+    let deadline = query::deadline(shared, Some(submission.deadline), policy);
     let order = query::order(subject, policy, deadline);
     let _running = admit(&shared.host, &service, GateId::default(), order)
         .await
@@ -253,32 +273,33 @@
     };
     let routes = routes.ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no live leaf"))?;
     let shard = (shared.rng().next_u64() % routes.shards.len().max(1) as u64) as usize;
-    let one = One {
+    let params = CallParams {
         request: subject.request,
-        call: ask.call.clone(),
-        body: ask.body.clone(),
+        call: submission.call.clone(),
+        body: submission.body.clone(),
         deadline,
     };
-    let attempts = try_replicas(shared, &service, &routes, shard, &one).await;
-    Ok(settle(attempts))
+    let attempts = try_replicas(shared, &service, &routes, shard, &params).await;
+    Ok(outcome_of(attempts))
 }
 
-/// What one submission brings to each replica that it is tried at.
-pub(crate) struct One {
+/// The parameters that all attempts of one submission share.
+pub(crate) struct CallParams {
     request: RequestId,
     call: chestnut_unit::CallType,
     body: Bytes,
     deadline: Time,
 }
 
-/// The attempts of a submission: how each ended, and the answer of the last.
+/// The attempts of a submission: how each ended, and the answer, if any.
 struct Attempts {
     ends: Vec<Ended>,
     answer: Option<Bytes>,
     last: Failure,
 }
 
-fn settle(attempts: Attempts) -> Outcome {
+/// Derives the outcome; it is unknown if any attempt may have run unanswered.
+fn outcome_of(attempts: Attempts) -> Outcome {
     if let Some(answer) = attempts.answer {
         return Outcome::Done(answer.to_vec());
     }
@@ -291,14 +312,14 @@
     }
 }
 
-/// Tries the replicas of a shard one after the other, going on only after
-/// proof that the attempt before did not run.
+/// Tries the replicas of a shard in turn. The next attempt is made only if the
+/// previous one provably did not run.
 async fn try_replicas(
     shared: &Shared,
     service: &Service,
     routes: &Arc<Routes>,
     shard: usize,
-    one: &One,
+    params: &CallParams,
 ) -> Attempts {
     let mut attempts = Attempts {
         ends: Vec::new(),
@@ -308,18 +329,18 @@
     let mut tried = Vec::new();
     loop {
         let now = shared.now();
-        if now >= one.deadline {
+        if now >= params.deadline {
             attempts.last = Failure::Refused(Refusal::Deadline);
             return attempts;
         }
         let Some((to, place)) = next_replica(shared, service, routes, shard, &tried) else {
             return attempts;
         };
-        log_choice(shared, &place, one, tried.len());
+        log_choice(shared, &place, params, tried.len());
         tried.push(to);
         let attempt = Attempt::plan(to).queue().send(now);
-        let result = send(shared, service, routes, shard, place, one).await;
-        count(shared, service, to, now, &result);
+        let result = send(shared, service, routes, shard, place, params).await;
+        record_result(shared, service, to, now, &result);
         match result {
             Ok(answer) => {
                 attempts.ends.push(attempt.answer());
@@ -343,17 +364,18 @@
     }
 }
 
-/// Logs which replica a submission goes to, and at which attempt.
-fn log_choice(shared: &Shared, place: &Place, one: &One, earlier: usize) {
+/// Logs the replica that was chosen and the number of the attempt.
+fn log_choice(shared: &Shared, place: &Place, params: &CallParams, earlier: usize) {
     if shared.host.trace == Trace::None {
         return;
     }
     let (Place::Leaf(_, address) | Place::Peer(_, address)) = place;
     let part = if earlier == 0 { "choose" } else { "retry" };
     debug!(shared.host.log, "{part}: {address} for a submission";
-        "request" => one.request.0, "why" => format!("attempt {}", earlier + 1));
+        "request" => params.request.0, "why" => format!("attempt {}", earlier + 1));
 }
 
+/// Chooses a replica that was not tried yet and counts a call to it.
 fn next_replica(
     shared: &Shared,
     service: &Service,
@@ -371,7 +393,14 @@
     Some((to, state.extra.places.get(&to)?.clone()))
 }
 
-fn count(shared: &Shared, service: &Service, to: Ix, sent: Time, result: &Result<Bytes, Failure>) {
+/// Records the result and the latency of an attempt in the table.
+fn record_result(
+    shared: &Shared,
+    service: &Service,
+    to: Ix,
+    sent: Time,
+    result: &Result<Bytes, Failure>,
+) {
     let now = shared.now();
     let mut state = lock(&service.state);
     match result {
@@ -380,67 +409,68 @@
     }
 }
 
+/// Calls a leaf, or a peer that holds it, until the deadline.
 async fn send(
     shared: &Shared,
     service: &Service,
     routes: &Routes,
     shard: usize,
     place: Place,
-    one: &One,
+    params: &CallParams,
 ) -> Result<Bytes, Failure> {
-    let left = one.deadline.since(shared.now());
+    let left = params.deadline.since(shared.now());
     let call = async {
         match place {
             Place::Leaf(leaf, address) => {
                 let submit = LeafSubmit {
                     leaf,
                     address,
-                    request: one.request,
+                    request: params.request,
                     service: service.name.clone(),
-                    call: one.call.clone(),
-                    body: one.body.clone(),
+                    call: params.call.clone(),
+                    body: params.body.clone(),
                     deadline: left,
                 };
                 shared.targets.submit(submit).await
             }
             Place::Peer(_, address) => {
-                let ask = Dispatch {
-                    request: one.request,
+                let dispatch = Dispatch {
+                    request: params.request,
                     service: service.name.clone(),
-                    call: one.call.clone(),
+                    call: params.call.clone(),
                     index: routes.snapshot.version,
                     shard: shard as u32,
-                    body: one.body.clone(),
+                    body: params.body.clone(),
                     deadline: left,
                 };
-                shared.peers().dispatch(address, ask).await
+                shared.peers().dispatch(address, dispatch).await
             }
         }
     };
-    // What was sent and has not answered in time may still run.
+    // A call that timed out may still run.
     timeout(left, call).await.unwrap_or(Err(Failure::Lost))
 }
 
-/// Passes a keeper's submission to a leaf that this entry holds.
-pub(crate) async fn dispatch_here(shared: &Shared, ask: Dispatch) -> Result<Bytes, Failure> {
-    let unrun = Failure::Refused(Refusal::Connections);
-    let service = shared.service(&ask.service).ok_or(unrun)?;
+/// Dispatches a keeper's submission to a leaf that this entry holds.
+pub(crate) async fn dispatch_here(shared: &Shared, dispatch: Dispatch) -> Result<Bytes, Failure> {
+    let not_run = Failure::Refused(Refusal::Connections);
+    let service = shared.service(&dispatch.service).ok_or(not_run)?;
     let routes = lock(&service.state)
         .extra
         .local
-        .get(ask.index)
-        .ok_or(unrun)?;
-    let one = One {
-        request: ask.request,
-        call: ask.call,
-        body: ask.body,
-        deadline: shared.now() + ask.deadline,
+        .get(dispatch.index)
+        .ok_or(not_run)?;
+    let params = CallParams {
+        request: dispatch.request,
+        call: dispatch.call,
+        body: dispatch.body,
+        deadline: shared.now() + dispatch.deadline,
     };
-    let shard = ask.shard as usize;
-    let attempts = try_replicas(shared, &service, &routes, shard, &one).await;
+    let shard = dispatch.shard as usize;
+    let attempts = try_replicas(shared, &service, &routes, shard, &params).await;
     match (attempts.answer, NotRun::prove(&attempts.ends)) {
         (Some(answer), _) => Ok(answer),
-        (None, Some(_)) if attempts.ends.is_empty() => Err(unrun),
+        (None, Some(_)) if attempts.ends.is_empty() => Err(not_run),
         (None, Some(_)) => Err(attempts.last),
         (None, None) => Err(Failure::Lost),
     }
