--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -1,4 +1,8 @@
-//! Placement: which leafs this entry holds and how it reaches the others.
+//! Assigns leafs to entries and builds the routes to them.
+//!
+//! A leaf is one server of an index shard. Only its holders, a few entries
+//! that are chosen by a hash of its group, open connections to it; the other
+//! entries reach it through a holder.
 
 use std::{collections::BTreeMap, collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -14,31 +18,30 @@
     shared::{Phase, Shared, lock},
 };
 
-/// Parts of queries that a peer is taken to run at once.
-const PEER_SLOTS: u32 = 64;
-/// How long a new holder keeps a single connection to a leaf. The old holder
-/// hears of the change within a probe round and closes its own; until then
-/// both together must stay within the leaf's limit.
-const HAND_OVER: Duration = Duration::from_secs(3);
-/// Time between placements without cause, in case one was missed.
-const AGAIN: Duration = Duration::from_secs(60);
+/// Assumed capacity of a peer, in concurrent parts of queries.
+const PEER_CAPACITY: u32 = 64;
+/// Time for which a new holder keeps a single connection to a leaf. Until the
+/// old holder closes its own, both together must stay within the leaf's limit.
+const HANDOVER_DELAY: Duration = Duration::from_secs(3);
+/// Interval of the periodic placement, in case a notification was missed.
+const PLACE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Places again whenever members or services change.
+/// Recomputes the placement whenever members or services change.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut held = BTreeSet::new();
     loop {
         tokio::select! {
             biased;
             () = shared.place.notified() => {}
-            () = sleep(AGAIN) => {}
+            () = sleep(PLACE_INTERVAL) => {}
         }
-        // An entry that starts knows no others yet and would hold every leaf;
-        // its first placement is made when it has read who they are.
+        // An entry that knows no other members would hold every leaf. The
+        // first placement is made at start, once the members are known.
         if shared.phase() == Phase::Starting {
             continue;
         }
-        // An entry that leaves keeps what it holds until it stops: peers that
-        // have not heard yet still ask it for parts.
+        // A leaving entry keeps its leafs until it stops: peers that have not
+        // yet received the update still send it parts of queries.
         if shared.phase() >= Phase::Leaving {
             continue;
         }
@@ -50,7 +53,7 @@
         let fewer = held.difference(&now_held).count();
         info!(
             shared.host.log,
-            "hold: {} leafs, {more} new, {fewer} given up",
+            "hold: {} leafs, {more} added, {fewer} released",
             now_held.len()
         );
         let list: Vec<_> = now_held.iter().cloned().collect();
@@ -58,47 +61,49 @@
         held = now_held;
         let (shared, pool) = (shared.clone(), shared.settings.route.pool);
         tokio::spawn(async move {
-            sleep(HAND_OVER).await;
+            sleep(HANDOVER_DELAY).await;
             shared.targets.hold(list, pool);
         });
     }
 }
 
-type Held = BTreeSet<(LeafId, std::net::SocketAddr)>;
+/// The leafs that this entry connects to, with their addresses.
+type HeldLeafs = BTreeSet<(LeafId, std::net::SocketAddr)>;
 
-/// Computes the back ends of every service and returns the leafs held here.
-pub(crate) fn place_all(shared: &Shared) -> Held {
-    let (services, layouts) = objects(shared);
+/// Computes the routes of every service and returns the leafs held here.
+pub(crate) fn place_all(shared: &Shared) -> HeldLeafs {
+    let (services, layouts) = read_objects(shared);
     let evacuated = lock(&shared.conf).book.evacuated();
     let members: Vec<Member> = lock(&shared.swim).view.working().cloned().collect();
     let names: BTreeSet<ServiceName> = services.keys().cloned().collect();
     shared.drop_services(&names);
-    let mut held = Held::new();
+    let mut held = HeldLeafs::new();
     for (name, object) in &services {
         let share = shared.settings.control.share;
         let plan = HolderPlan::new(name, object, &members, share);
-        let cell = shared.service_or_new(name);
+        let service = shared.service_or_new(name);
         let layouts = layouts.get(name).map_or(&[][..], Vec::as_slice);
-        let placing = Placing {
+        let placement = Placement {
             shared,
             object,
             plan: &plan,
             members: &members,
             evacuated: &evacuated,
         };
-        placing.place(&cell, layouts, &mut held);
+        placement.place(&service, layouts, &mut held);
     }
     held
 }
 
+/// The services, and the layouts of each.
 type Objects = (
     BTreeMap<ServiceName, ServiceObject>,
     BTreeMap<ServiceName, Vec<Layout>>,
 );
 
-/// Services and layouts in force. Objects that don't parse are passed over:
-/// the platform writes them, and one bad object must not stop the others.
-fn objects(shared: &Shared) -> Objects {
+/// Reads the services and layouts in force. Invalid objects are logged and
+/// skipped, so that one of them doesn't stop the placement of the others.
+fn read_objects(shared: &Shared) -> Objects {
     let conf = lock(&shared.conf);
     let mut services = BTreeMap::new();
     for (name, held) in conf.book.list(Kind::Service) {
@@ -107,7 +112,10 @@
             (Ok(name), Ok(object)) if object.check().is_ok() => {
                 services.insert(name, object);
             }
-            _ => slog::warn!(shared.host.log, "hold: service object {name} can't be read"),
+            _ => slog::warn!(
+                shared.host.log,
+                "hold: skipped invalid service object {name}"
+            ),
         }
     }
     let mut layouts: BTreeMap<ServiceName, Vec<Layout>> = BTreeMap::new();
@@ -117,33 +125,38 @@
                 let service = layout.snapshot.service.clone();
                 layouts.entry(service).or_default().push(layout);
             }
-            Err(_) => slog::warn!(shared.host.log, "hold: layout object {name} can't be read"),
+            Err(_) => slog::warn!(
+                shared.host.log,
+                "hold: skipped invalid layout object {name}"
+            ),
         }
     }
     (services, layouts)
 }
 
-/// The placement of one service.
-struct Placing<'a> {
+/// Inputs to the placement of one service.
+struct Placement<'a> {
     shared: &'a Shared,
     object: &'a ServiceObject,
     plan: &'a HolderPlan,
     members: &'a [Member],
-    /// Domains whose leafs get no calls, from here or by way of a peer.
+    /// Failure domains whose leafs get no calls, directly or through a peer.
     evacuated: &'a BTreeSet<DomainName>,
 }
 
-impl Placing<'_> {
-    fn place(&self, cell: &Service, layouts: &[Layout], held: &mut Held) {
-        let mut state = lock(&cell.state);
+impl Placement<'_> {
+    /// Updates the back ends and routes of the service, and adds its leafs that
+    /// this entry holds to `held`.
+    fn place(&self, service: &Service, layouts: &[Layout], held: &mut HeldLeafs) {
+        let mut state = lock(&service.state);
         let mut backends: BTreeMap<&LeafId, Vec<Ix>> = BTreeMap::new();
         let mut places = BTreeMap::new();
         for (id, leaf) in &self.object.leafs {
             let holders = self.plan.of(leaf.group);
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
-                let barred = self.evacuated.contains(&leaf.domain);
-                state.table.set_barred(ix, barred, self.shared.now());
+                let excluded = self.evacuated.contains(&leaf.domain);
+                state.table.set_barred(ix, excluded, self.shared.now());
                 places.insert(ix, Place::Leaf(id.clone(), leaf.address));
                 held.insert((id.clone(), leaf.address));
                 backends.insert(id, vec![ix]);
@@ -156,22 +169,24 @@
         state.extra.local.retain(current);
         for layout in layouts {
             if current(layout.snapshot.version) {
-                self.route(&mut state, layout, &backends, &places);
+                self.add_routes(&mut state, layout, &backends, &places);
             }
         }
         state.extra.places = places;
     }
 
+    /// Whether the leaf is listed and its failure domain is not evacuated.
     fn is_open(&self, id: &LeafId) -> bool {
         let leaf = self.object.leafs.get(id);
         leaf.is_some_and(|leaf| !self.evacuated.contains(&leaf.domain))
     }
 
+    /// Adds a leaf that this entry holds to the table of back ends.
     fn add_leaf(&self, state: &mut State, id: &LeafId, slots: u32) -> Ix {
         let now = self.shared.now();
         let backend = Backend::Leaf(id.clone());
-        // Leafs known from the start are warm as far as anybody can tell; those
-        // that come later have just started.
+        // Leafs of the first placement count as warm, since their age is
+        // unknown; leafs that are added later have just started.
         let since = if state.extra.places.is_empty() {
             chestnut_unit::Time::ZERO
         } else {
@@ -184,6 +199,7 @@
         ix
     }
 
+    /// Adds the holders of a leaf to the table of back ends.
     fn add_peers(
         &self,
         state: &mut State,
@@ -198,7 +214,7 @@
             let backend = Backend::Peer(holder.clone());
             let ix = state
                 .table
-                .add(backend, PEER_SLOTS, chestnut_unit::Time::ZERO);
+                .add(backend, PEER_CAPACITY, chestnut_unit::Time::ZERO);
             let address = member.addresses.peers;
             places.insert(ix, Place::Peer(holder.clone(), address));
             list.push(ix);
@@ -206,16 +222,16 @@
         list
     }
 
-    /// Builds the routes of one layout: for queries that enter here, and for
-    /// parts that peers ask for, which are served from held leafs alone.
-    fn route(
+    /// Builds two sets of routes for one layout: for queries of callers, and
+    /// for parts that peers request, which only use leafs held here.
+    fn add_routes(
         &self,
         state: &mut State,
         layout: &Layout,
         backends: &BTreeMap<&LeafId, Vec<Ix>>,
         places: &BTreeMap<Ix, Place>,
     ) {
-        let here = |ix: &Ix| matches!(places.get(ix), Some(Place::Leaf(..)));
+        let is_local = |ix: &Ix| matches!(places.get(ix), Some(Place::Leaf(..)));
         let mut all = Vec::with_capacity(layout.shards.len());
         let mut local = Vec::with_capacity(layout.shards.len());
         for shard in &layout.shards {
@@ -228,7 +244,7 @@
             }
             local.push(Route {
                 name: shard.name.clone(),
-                replicas: replicas.iter().copied().filter(here).collect(),
+                replicas: replicas.iter().copied().filter(is_local).collect(),
                 purse: PurseId::default(),
             });
             all.push(Route {
--- a/crates/tier/src/ports.rs
+++ b/crates/tier/src/ports.rs
@@ -1,4 +1,4 @@
-//! The ports that a tier runs over.
+//! Injected interfaces to the network, the platform and the clock.
 
 use std::{io, sync::Arc};
 
@@ -9,30 +9,30 @@
 };
 use futures::{FutureExt, future::BoxFuture};
 
-/// Makes the port to peers once the service that answers them exists.
+/// Binds the port for calls between entries to the service that answers them.
 pub type PeerBinder =
     Box<dyn FnOnce(Arc<dyn PeerService>) -> BoxFuture<'static, io::Result<Arc<dyn Peers>>> + Send>;
 
-/// The ports that a tier runs over, and the clock that they share.
+/// External interfaces of one entry, which tests can replace.
 pub struct Ports {
-    /// Targets.
+    /// Calls to targets, the back ends that hold the leafs of a service.
     pub targets: Arc<dyn Targets>,
-    /// The platform.
+    /// Stored configuration, the list of VMs and refusal records.
     pub platform: Arc<dyn Platform>,
-    /// Probes between entries.
+    /// Datagrams of the failure detector between entries.
     pub probes: Arc<dyn Probes>,
-    /// Calls between entries.
+    /// Binder of the port for calls between entries.
     pub peers: PeerBinder,
-    /// The clock.
+    /// Source of time for all ports.
     pub clock: Clock,
 }
 
 impl Ports {
-    /// The real adapters, as the settings say.
+    /// Opens the network adapters that the settings describe.
     ///
     /// # Errors
     ///
-    /// The address for peers can't be bound.
+    /// The address of the probe socket can't be bound.
     pub async fn open(settings: &Settings) -> io::Result<Self> {
         let clock = Clock::start();
         let config = TargetsConfig {
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -1,4 +1,4 @@
-//! Refusal records on their way to the platform, and copies of peers' records.
+//! Writes refusal records, its own and copies for peers, to the platform.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,17 +11,17 @@
 
 use crate::shared::{Shared, lock};
 
-/// Time between two looks at what has to be written.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which pending batches are written.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Writes refusal records, batch by batch, and copies that peers left here.
+/// Writes pending batches of this entry and copies that peers stored here.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        sleep(LOOK).await;
+        sleep(WRITE_INTERVAL).await;
         let members = lock(&shared.swim).view.present().count();
         let batch = lock(&shared.journal).next_batch(members, shared.now());
         if let Some(batch) = batch {
-            write_own(&shared, batch).await;
+            write_or_copy(&shared, batch).await;
         }
         let copy = lock(&shared.copies).next();
         if let Some(copy) = copy
@@ -32,20 +32,20 @@
     }
 }
 
-/// Writes all records of this entry, at a planned stop.
+/// Writes all pending records of this entry before it stops.
 pub(crate) async fn write_last(shared: &Shared) {
     loop {
         let batch = lock(&shared.journal).last_batch();
         let Some(batch) = batch else {
             return;
         };
-        write_own(shared, batch).await;
+        write_or_copy(shared, batch).await;
     }
 }
 
-/// Writes a batch, or leaves a copy of it with a peer while the platform is
-/// out: the refusals would otherwise be lost if this entry died meanwhile.
-async fn write_own(shared: &Shared, batch: Batch) {
+/// Writes a batch. While the platform is unavailable, stores a copy at a peer,
+/// so that the records survive a crash of this entry.
+async fn write_or_copy(shared: &Shared, batch: Batch) {
     if write(shared, &batch).await {
         lock(&shared.journal).confirm(&batch.name);
         return;
@@ -54,19 +54,19 @@
         return;
     };
     let copy = serde_json::to_vec(&batch).expect("records are plain JSON");
-    let left = shared.peers().records(address, Bytes::from(copy)).await;
-    if left.is_ok() {
+    let copied = shared.peers().records(address, Bytes::from(copy)).await;
+    if copied.is_ok() {
         info!(
             shared.host.log,
-            "refuse: left {} records with {peer}",
+            "refuse: copied {} records to {peer}",
             batch.records.len()
         );
         lock(&shared.journal).entrust(&batch.name);
     }
 }
 
-/// Whether the platform has the batch now. A conflict means that an earlier
-/// try of it, here or at the peer that has the copy, took effect.
+/// Writes a batch and returns whether the platform has it. A conflict means
+/// that an earlier write, by this entry or by a peer, succeeded.
 async fn write(shared: &Shared, batch: &Batch) -> bool {
     let key = ObjectKey {
         kind: Kind::Refusal,
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps of one service.
+//! The routing state of one service.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -7,31 +7,32 @@
 use chestnut_route::{Admission, AdmitConfig, Backend, Choice, Ix, Table, TableConfig, Versions};
 use chestnut_unit::{LeafId, MemberId, ServiceName, Time};
 
-/// Where a back end is called.
+/// The address of a back end, and whether it is called directly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Place {
     /// A leaf that this entry holds.
     Leaf(LeafId, SocketAddr),
-    /// A peer.
+    /// A peer that holds leafs which this entry doesn't.
     Peer(MemberId, SocketAddr),
 }
 
-/// Where the shards of a service are found.
+/// The routes of a service and the addresses of its back ends.
 #[derive(Default)]
 pub(crate) struct Placed {
-    /// Back ends for queries that enter here.
+    /// Routes for queries of callers, by index version.
     pub(crate) versions: Versions,
-    /// Leafs held here, for parts that peers ask for.
+    /// Routes over leafs held here, for parts that peers request.
     pub(crate) local: Versions,
+    /// The address of each back end.
     pub(crate) places: BTreeMap<Ix, Place>,
 }
 
-/// One service.
+/// A service with its table of back ends, admission queue and routes.
 pub(crate) type Service = Cell<Placed>;
-/// The tables of one service.
+/// The part of a [`Service`] behind its lock.
 pub(crate) type State = FlowState<Placed>;
 
-/// A service of which nothing is known yet.
+/// Creates a service without back ends or routes.
 pub(crate) fn new(name: ServiceName, route: &RouteSettings) -> Service {
     let choice = match route.choice {
         ReplicaChoice::PeakEwma => Choice::PeakEwma,
@@ -52,7 +53,7 @@
     Cell::new(name, Table::new(table), admission, Placed::default())
 }
 
-/// The leafs of a service that are held here, with their numbers.
+/// The leafs of a service that this entry holds, with their table indexes.
 pub(crate) fn held(service: &Service) -> Vec<(Ix, LeafId, SocketAddr)> {
     lock(&service.state)
         .extra
@@ -65,7 +66,7 @@
         .collect()
 }
 
-/// Marks a leaf as leaving or back; returns whether that is new.
+/// Marks a held leaf as leaving or not; returns whether this changed it.
 pub(crate) fn mark_leaving(service: &Service, leaf: &LeafId, leaving: bool, now: Time) -> bool {
     let mut state = lock(&service.state);
     let Some(ix) = state.table.find(&Backend::Leaf(leaf.clone())) else {
