--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -1,4 +1,4 @@
-//! The tables that the tasks of one entry share.
+//! The state that the tasks of one entry share.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,18 +27,18 @@
     service::{self, Service},
 };
 
-/// Batches of refusal records of other entries that are kept: with 2,000
-/// records each about 20 MB at most.
-const COPIES: usize = 32;
+/// Maximum number of batches of refusal records stored for peers, to bound
+/// memory.
+const MAX_COPIES: usize = 32;
 
-/// What was last read of one kind.
+/// The latest read of one kind of object: its revision and the request time.
 #[derive(Clone, Copy)]
 struct KindRead {
     revision: u64,
     asked: Time,
 }
 
-/// The configuration that is in force, and since when it is confirmed.
+/// The configuration in force and the time of its last confirmation.
 #[derive(Default)]
 pub(crate) struct Conf {
     pub(crate) book: Book,
@@ -48,24 +48,24 @@
 }
 
 impl Conf {
-    /// The policy of an organisation, kept until the book changes.
+    /// The policy of an organisation, cached until the configuration changes.
     pub(crate) fn policy(&mut self, org: &OrgName) -> Option<Arc<OrgPolicy>> {
         if let Some(policy) = self.policies.get(org) {
             return policy.clone();
         }
         let policy = self.book.policy(org).map(Arc::new);
-        // Unknown names come from callers: they are not kept, or the map would
-        // grow with every name that anybody makes up.
+        // Unknown names aren't cached: callers could grow the map without
+        // bound.
         if policy.is_some() {
             self.policies.insert(org.clone(), policy.clone());
         }
         policy
     }
 
-    /// Notes that the platform gave `revision` of a kind when asked at `asked`.
-    /// Settings are confirmed as of the older of the two kinds that operators
-    /// edit. A revision older than one seen before is a stale copy: it
-    /// confirms nothing.
+    /// Records that the platform returned `revision` of a kind for a request at
+    /// `asked`. Settings are confirmed as of the older read of the two kinds
+    /// that operators edit. A revision older than one already seen comes from a
+    /// stale copy and confirms nothing.
     pub(crate) fn note_read(&mut self, kind: Kind, revision: u64, asked: Time) {
         let last = self.read.get(&kind).map_or(0, |read| read.revision);
         if revision < last {
@@ -79,35 +79,36 @@
         }
     }
 
-    /// Forgets policies after a change of the book.
-    pub(crate) fn changed(&mut self) {
+    /// Drops the cached policies after a change of the configuration.
+    pub(crate) fn clear_policies(&mut self) {
         self.policies.clear();
     }
 }
 
-/// Where an entry is in its life.
+/// The lifecycle phase of an entry, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// It has no configuration yet.
     Starting,
-    /// It serves.
+    /// It serves callers.
     Serving,
-    /// It serves callers that still have its address, and takes no others.
+    /// It serves callers that still have its address, and is no longer listed.
     Leaving,
-    /// Its tasks end.
+    /// Its tasks are ending.
     Stopped,
 }
 
-/// A peer whose configuration differs from ours.
+/// A peer whose configuration digest differs from that of this entry.
 pub(crate) struct Differs {
     pub(crate) peer: std::net::SocketAddr,
     pub(crate) digest: BookDigest,
 }
 
-/// Waiting place for repeats of a submission that is being dispatched.
+/// Replies of the submissions that are being dispatched, by ticket; repeats of
+/// a submission wait here.
 pub(crate) type Dispatches = BTreeMap<String, watch::Receiver<Option<SubmitReply>>>;
 
-/// What the tasks of one entry share.
+/// The shared state of one entry.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) host: Host,
@@ -115,27 +116,38 @@
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) probes: Arc<dyn Probes>,
     pub(crate) peers: OnceLock<Arc<dyn Peers>>,
+    /// This entry as a member.
     pub(crate) own: Member,
     pub(crate) conf: Mutex<Conf>,
     pub(crate) swim: Mutex<Swim>,
     services: Mutex<BTreeMap<ServiceName, Arc<Service>>>,
+    /// Limits of the organisations.
     pub(crate) gates: Mutex<OrgGates>,
+    /// Tickets that this entry minted or took over, with their outcomes.
     pub(crate) keeper: Mutex<Keeper>,
     pub(crate) dispatches: Mutex<Dispatches>,
+    /// Refusal records that the platform doesn't have yet.
     pub(crate) journal: Mutex<Journal>,
+    /// Refusal records stored for peers.
     pub(crate) copies: Mutex<Copies>,
+    /// Leafs that are listed as leaving.
     pub(crate) leaving: Mutex<BTreeSet<LeafId>>,
+    /// Key that authenticates receipts.
     pub(crate) check: CheckKey,
     pub(crate) metrics: Metrics,
     pub(crate) phase: watch::Sender<Phase>,
+    /// Notified when members or services change.
     pub(crate) place: Notify,
+    /// Notified when an operator requests a drain.
     pub(crate) drain: Notify,
+    /// Peers to fetch newer configuration from.
     pub(crate) differs: mpsc::Sender<Differs>,
     requests: AtomicU64,
+    /// Requests that are running.
     pub(crate) in_flight: AtomicU32,
 }
 
-/// The ports as [`Shared`] keeps them.
+/// The ports that [`Shared`] is created with.
 pub(crate) struct SharedPorts {
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
@@ -144,6 +156,7 @@
 }
 
 impl Shared {
+    /// Creates the state of an entry in [`Phase::Starting`].
     pub(crate) fn new(
         settings: Settings,
         log: Logger,
@@ -180,7 +193,7 @@
             swim: Mutex::new(Swim::new(swim, own.clone(), now)),
             keeper: Mutex::new(Keeper::new(own.id.clone(), own.incarnation, keeper)),
             journal: Mutex::new(Journal::new(journal, own.id.clone(), own.incarnation)),
-            copies: Mutex::new(Copies::new(COPIES)),
+            copies: Mutex::new(Copies::new(MAX_COPIES)),
             metrics: Metrics::new(),
             settings,
             targets: ports.targets,
@@ -202,43 +215,52 @@
         }
     }
 
-    /// The port to peers. It is set before any task runs.
+    /// The port for calls to peers.
+    ///
+    /// # Panics
+    ///
+    /// It is not set yet; [`crate::Tier::spawn`] sets it before any task runs.
     pub(crate) fn peers(&self) -> &Arc<dyn Peers> {
         self.peers.get().expect("the port to peers is set at start")
     }
 
+    /// The current time of the entry's clock.
     pub(crate) fn now(&self) -> Time {
         self.host.now()
     }
 
+    /// The current lifecycle phase.
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
+    /// Allocates a request id, unique within this run of the entry.
     pub(crate) fn next_request(&self) -> RequestId {
         RequestId(self.requests.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A generator for one decision or request, from the entry's seed.
+    /// A random generator for one decision or request, derived from the seed.
     pub(crate) fn rng(&self) -> ChaCha8Rng {
         self.host.rng()
     }
 
-    /// Fills a ticket's nonce. It comes from the system, not from the seed:
-    /// whoever knows the seed could guess tickets.
+    /// Fills a ticket's nonce from the system's random source. Nonces from the
+    /// entry's seed could be guessed by anyone who knows the seed.
     pub(crate) fn nonce(&self, nonce: &mut [u8]) {
         rand::rng().fill_bytes(nonce);
     }
 
+    /// The service of this name, if the platform lists it.
     pub(crate) fn service(&self, name: &ServiceName) -> Option<Arc<Service>> {
         lock(&self.services).get(name).cloned()
     }
 
+    /// All services that the platform lists.
     pub(crate) fn services(&self) -> Vec<Arc<Service>> {
         lock(&self.services).values().cloned().collect()
     }
 
-    /// The cell of a service, made if it is new.
+    /// The service of this name, created if it is new.
     pub(crate) fn service_or_new(&self, name: &ServiceName) -> Arc<Service> {
         lock(&self.services)
             .entry(name.clone())
@@ -246,11 +268,12 @@
             .clone()
     }
 
+    /// Removes all services that are not in `keep`.
     pub(crate) fn drop_services(&self, keep: &BTreeSet<ServiceName>) {
         lock(&self.services).retain(|name, _| keep.contains(name));
     }
 
-    /// What this entry says of itself in probes.
+    /// The status that this entry reports in probes.
     pub(crate) fn status(&self) -> Status {
         let now = self.now();
         let conf = lock(&self.conf);
@@ -262,7 +285,8 @@
         }
     }
 
-    /// Entries for a caller, preferred first.
+    /// Entries for a caller in `domain`, by default that of this entry,
+    /// preferred first.
     pub(crate) fn entries(&self, domain: Option<&DomainName>) -> Vec<Entry> {
         let load = self.in_flight.load(Ordering::Relaxed);
         let domain = domain.unwrap_or(&self.own.domain);
@@ -270,17 +294,17 @@
         order_entries(&lock(&self.swim), Some(domain), load, &mut rng)
     }
 
-    /// Entries for a caller that this one refused.
+    /// Alternative entries for a caller that this one refused.
     pub(crate) fn other_entries(&self) -> Vec<Entry> {
-        /// Entries named in a refusal.
-        const MOST: usize = 3;
+        /// Maximum number of entries listed in a refusal.
+        const MAX_ENTRIES: usize = 3;
         let mut entries = self.entries(None);
         entries.retain(|entry| entry.member != self.own.id);
-        entries.truncate(MOST);
+        entries.truncate(MAX_ENTRIES);
         entries
     }
 
-    /// Addresses of other members for calls, at most `most` at random.
+    /// Names and call addresses of at most `most` other members, at random.
     pub(crate) fn some_peers(&self, most: usize) -> Vec<(MemberId, std::net::SocketAddr)> {
         use rand::seq::SliceRandom;
         let mut peers: Vec<(MemberId, std::net::SocketAddr)> = lock(&self.swim)
--- a/crates/tier/src/spread.rs
+++ b/crates/tier/src/spread.rs
@@ -1,8 +1,8 @@
-//! How configuration reaches every entry.
+//! Propagation of configuration between entries by gossip.
 //!
-//! An object that is new here is sent on to a few peers at random, so that an
-//! edit reaches all in a few hops without anybody sending to all. Whoever is
-//! missed sees another digest in the next probe and asks for what is newer.
+//! An entry forwards each new object to a few random peers, so that an edit
+//! reaches all entries in a few hops and no entry sends to all. An entry that
+//! was missed sees a different digest in the next probe and fetches the rest.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,13 +12,12 @@
 
 use crate::shared::{Differs, Shared, lock};
 
-/// Peers to which an entry passes on what is new to it. With three, a change
-/// reaches all but a twentieth of 2,900 entries in eight hops.
+/// Number of peers to which an entry forwards a new object.
 const FANOUT: usize = 3;
-/// Time that a spreading change is given before differences are fetched.
-const SETTLE: Duration = Duration::from_millis(200);
+/// Delay before a fetch, in which a change that still propagates may arrive.
+const FETCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Takes objects from the platform or a peer, and passes on what is new.
+/// Applies objects from `from` and forwards the new ones to a few peers.
 pub(crate) fn take(shared: &Arc<Shared>, objects: Vec<Object>, from: &'static str) {
     let new = apply(shared, objects, from);
     if new.is_empty() || shared.peers.get().is_none() {
@@ -27,13 +26,13 @@
     for (_, address) in shared.some_peers(FANOUT) {
         let (shared, objects) = (shared.clone(), new.clone());
         tokio::spawn(async move {
-            // One that is missed catches up by its digest.
+            // A peer that this misses fetches the objects after its next probe.
             let _ = shared.peers().push(address, objects).await;
         });
     }
 }
 
-/// Puts objects in force and returns those that were new.
+/// Applies objects to the configuration and returns those that were new.
 fn apply(shared: &Shared, objects: Vec<Object>, from: &'static str) -> Vec<Object> {
     let mut new = Vec::new();
     let mut conf = lock(&shared.conf);
@@ -44,7 +43,7 @@
                 shared.metrics.stale.inc();
                 debug!(
                     shared.host.log,
-                    "conf: dropped old {} version {}", object.key, object.version
+                    "conf: ignored stale {} version {}", object.key, object.version
                 );
             }
             Applied::Same => {}
@@ -53,7 +52,7 @@
     if new.is_empty() {
         return new;
     }
-    conf.changed();
+    conf.clear_policies();
     drop(conf);
     for object in &new {
         info!(shared.host.log, "conf: {} version {} in force", object.key, object.version;
@@ -68,10 +67,10 @@
     new
 }
 
-/// Fetches what peers with another digest have newer.
+/// Fetches newer objects from peers whose digest differs.
 pub(crate) async fn fetch(shared: Arc<Shared>, mut differs: mpsc::Receiver<Differs>) {
     while let Some(peer) = differs.recv().await {
-        sleep(SETTLE).await;
+        sleep(FETCH_DELAY).await;
         let (digest, have) = {
             let conf = lock(&shared.conf);
             (conf.book.digest(), conf.book.keys())
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators of itself.
+//! The status that an entry reports to operators.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,70 +13,70 @@
     shared::{Phase, Shared, lock},
 };
 
-/// A member, as this entry sees it.
+/// A member of the fleet in the view of this entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MemberStatus {
     /// Its name.
     pub member: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where it listens for operators.
+    /// The address on which it listens for operators.
     pub operators: String,
     /// `alive`, `suspect` or `gone`.
     pub liveness: &'static str,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
 }
 
-/// A leaf or peer, as this entry sees it.
+/// A back end, leaf or peer, in the view of this entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LeafStatus {
-    /// The service.
+    /// The service that it serves.
     pub service: String,
-    /// The leaf, or the peer that holds leafs for this entry.
+    /// The leaf, or the peer through which leafs are reached.
     pub target: String,
-    /// `held here`, or `peer`.
+    /// `held here` for a leaf that this entry calls itself, or `peer`.
     pub place: &'static str,
-    /// `open`, `evicted` or `leaving`.
+    /// `open`, `evicted`, `evacuated` or `leaving`.
     pub state: &'static str,
-    /// Milliseconds until an eviction ends.
+    /// Milliseconds until its eviction ends; 0 if it is not evicted.
     pub evicted_ms: u64,
-    /// Calls that wait for its answer.
+    /// Calls that it has not answered yet.
     pub outstanding: u32,
-    /// Expected milliseconds of a call.
+    /// Expected latency of a call in milliseconds.
     pub expected_ms: f64,
-    /// Connections open to it.
+    /// Open connections to it; 0 for a peer.
     pub connections: usize,
 }
 
-/// An entry, as it sees itself.
+/// The status of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
     /// Its name.
     pub member: String,
     /// `starting`, `serving`, `leaving` or `stopped`.
     pub phase: &'static str,
-    /// How long ago its settings were confirmed; absent if never.
+    /// Milliseconds since its settings were confirmed; absent if never.
     pub confirmed_ms: Option<u64>,
-    /// Templates and their versions in force.
+    /// Versions of the templates in force.
     pub templates: Versions,
-    /// Organisations and their versions in force.
+    /// Versions of the organisations in force.
     pub organisations: Versions,
-    /// Members that it knows.
+    /// All members that it knows, itself included.
     pub members: Vec<MemberStatus>,
-    /// Requests that it runs.
+    /// Requests that are running.
     pub in_flight: u32,
-    /// Refusal records waiting for the platform.
+    /// Refusal records not yet written to the platform.
     pub records_waiting: usize,
-    /// Refusal records dropped.
+    /// Refusal records dropped since its start.
     pub records_dropped: u64,
-    /// Tickets that it keeps.
+    /// Tickets whose outcomes it keeps.
     pub tickets: usize,
     /// Bytes of membership traffic since its start.
     pub probe_bytes: u64,
 }
 
-/// The entry's own status.
+/// Collects the status of this entry.
 pub(crate) fn status(shared: &Shared) -> Status {
     let now = shared.now();
     let (confirmed, templates, organisations) = {
@@ -94,7 +94,7 @@
     };
     Status {
         member: shared.own.id.to_string(),
-        phase: phase_word(shared.phase()),
+        phase: phase_name(shared.phase()),
         confirmed_ms: confirmed.map(|age: Duration| age.as_millis() as u64),
         templates,
         organisations,
@@ -107,7 +107,7 @@
     }
 }
 
-fn phase_word(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
@@ -118,7 +118,7 @@
 
 fn members(shared: &Shared) -> Vec<MemberStatus> {
     let swim = lock(&shared.swim);
-    let one = |member: &chestnut_fleet::Member| MemberStatus {
+    let to_status = |member: &chestnut_fleet::Member| MemberStatus {
         member: member.id.to_string(),
         domain: member.domain.to_string(),
         operators: member.addresses.operators.to_string(),
@@ -129,10 +129,10 @@
         },
         leaving: member.leaving,
     };
-    swim.view.all().map(one).collect()
+    swim.view.all().map(to_status).collect()
 }
 
-/// Every back end of every service.
+/// Collects the status of every back end of every service.
 pub(crate) fn targets(shared: &Shared) -> Vec<LeafStatus> {
     let open: BTreeMap<_, _> = shared.targets.connections().into_iter().collect();
     let now = shared.now();
@@ -141,7 +141,7 @@
         let state = lock(&service.state);
         for (ix, place) in &state.extra.places {
             let evicted = state.table.evicted_until(*ix, now);
-            let (target, place_word, connections) = match (state.table.backend(*ix), place) {
+            let (target, place_name, connections) = match (state.table.backend(*ix), place) {
                 (Backend::Leaf(id), _) => (
                     id.to_string(),
                     "held here",
@@ -154,7 +154,7 @@
             list.push(LeafStatus {
                 service: service.name.to_string(),
                 target,
-                place: place_word,
+                place: place_name,
                 state: match evicted {
                     _ if state.table.is_leaving(*ix) => "leaving",
                     _ if state.table.is_barred(*ix) => "evacuated",
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -1,4 +1,4 @@
-//! The handle of a running entry.
+//! The handle of a running entry, with its start and its planned stop.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -34,37 +34,39 @@
     submit, watch,
 };
 
-/// Peers that differ and wait to be asked; more say so again.
-const DIFFERS: usize = 16;
-/// Time between two looks at what is still in flight.
-const FLIGHT_LOOK: Duration = Duration::from_millis(20);
-/// Peers that are told directly that this entry is leaving.
-const FAREWELLS: usize = 32;
-/// Longest wait for the last records to be written.
-const LAST_RECORDS: Duration = Duration::from_secs(2);
+/// Queue of peers with a different digest. Those beyond it are dropped and
+/// queued again after a later probe.
+const DIFFERS_QUEUE: usize = 16;
+/// Poll interval for requests and dispatches in flight.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Number of peers that get a leave message or an update directly.
+const LEAVE_FANOUT: usize = 32;
+/// Time limit for writing the last refusal records.
+const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an entry can't start.
+/// An error that prevents the start of an entry.
 #[derive(Debug, Display)]
 pub enum SpawnError {
     /// listen.peers: can't bind {address}: {source}
     Peers {
-        /// The address.
+        /// The address that could not be bound.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl std::error::Error for SpawnError {}
 
-/// A running entry. Clones share it; [`Tier::leave`] is a planned stop, and
-/// dropping the last clone ends its tasks at once.
+/// A handle of a running entry. Clones share the entry; dropping the last one
+/// aborts its tasks. [`Tier::leave`] and [`Tier::stop`] make a planned stop.
 #[derive(Clone)]
 pub struct Tier {
     pub(crate) shared: Arc<Shared>,
     _tasks: Arc<Tasks>,
 }
 
+/// The tasks of an entry, which are aborted on drop.
 struct Tasks {
     shared: Arc<Shared>,
     _set: JoinSet<()>,
@@ -81,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// The port to peers can't be bound.
+    /// The port for calls between entries can't be bound.
     pub async fn spawn(
         settings: Settings,
         log: Logger,
@@ -89,7 +91,7 @@
         seed: u64,
     ) -> Result<Self, SpawnError> {
         let own = own_member(&settings, &ports.clock);
-        let (differs, differing) = mpsc::channel::<Differs>(DIFFERS);
+        let (differs, differing) = mpsc::channel::<Differs>(DIFFERS_QUEUE);
         let shared_ports = SharedPorts {
             targets: ports.targets,
             platform: ports.platform,
@@ -132,11 +134,11 @@
         self.shared.phase() == Phase::Serving
     }
 
-    /// Answers a query.
+    /// Runs a query.
     ///
     /// # Errors
     ///
-    /// The refusal, with its receipt.
+    /// The query was refused; the error has the receipt.
     pub async fn query(&self, ask: QueryRequest) -> Result<Answer, Refused> {
         query::answer(&self.shared, ask).await
     }
@@ -145,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// The entry mints none now.
+    /// The entry is leaving, or keeps as many tickets as it may.
     pub fn ticket(&self) -> Result<TicketReply, Refused> {
         submit::mint(&self.shared)
     }
@@ -154,12 +156,13 @@
     ///
     /// # Errors
     ///
-    /// It was not run, or its fate can't be known; the refusal says which.
+    /// The submission did not run, or its outcome is unknown; the refusal says
+    /// which.
     pub async fn submit(&self, ask: SubmitRequest) -> Result<SubmitOutcome, Refused> {
         submit::submit(&self.shared, ask).await
     }
 
-    /// The entries that a caller should use.
+    /// The entries that a caller in `domain` should use.
     #[must_use]
     pub fn entries(&self, domain: Option<&DomainName>) -> EntryList {
         EntryList {
@@ -168,12 +171,13 @@
         }
     }
 
-    /// Makes an edit of a template or organisation. Repeating `id` repeats the
-    /// edit and never doubles it.
+    /// Edits a template or organisation. Edits with the same `id` are applied
+    /// once.
     ///
     /// # Errors
     ///
-    /// The edit is wrong, came second, or could not be settled.
+    /// The edit is invalid, conflicts with another one, was not accepted, or its
+    /// outcome is unknown.
     pub async fn edit(
         &self,
         key: ObjectKey,
@@ -191,20 +195,20 @@
         edit::put(&self.shared, ask).await
     }
 
-    /// Waits until an operator asks this entry to leave.
+    /// Waits until an operator requests a drain.
     pub async fn drain_asked(&self) {
         self.shared.drain.notified().await;
     }
 
-    /// What the entry tells operators.
+    /// The status of the entry for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         status::status(&self.shared)
     }
 
-    /// Leaves in an orderly way: callers are sent elsewhere, tickets are
-    /// handed over, and everything in flight is answered. Returns when the
-    /// callers that still have this entry's address have let go of it.
+    /// Drains the entry: it is no longer listed for callers, hands over its
+    /// tickets and answers the requests in flight. Waits for the TTL of the
+    /// list of entries, then up to the grace time for requests in flight.
     pub async fn leave(&self) {
         let shared = &self.shared;
         let entered = shared.phase.send_if_modified(|phase| {
@@ -218,14 +222,14 @@
             return;
         }
         info!(shared.host.log, "fleet: {} is leaving", shared.own.id);
-        let left = shared.now();
+        let started = shared.now();
         lock(&shared.swim).leave(None);
-        tell_peers(shared).await;
-        hand_tickets(shared).await;
+        announce(shared).await;
+        hand_over_tickets(shared).await;
         let ttl = shared.settings.control.ttl;
-        sleep(ttl.saturating_sub(shared.now().since(left)) + TTL_SLACK).await;
+        sleep(ttl.saturating_sub(shared.now().since(started)) + TTL_MARGIN).await;
         let grace = shared.settings.control.grace;
-        let drained = timeout(grace, nothing_in_flight(shared)).await;
+        let drained = timeout(grace, wait_until_idle(shared)).await;
         if drained.is_err() {
             warn!(
                 shared.host.log,
@@ -234,11 +238,11 @@
         }
     }
 
-    /// Ends the entry after [`Tier::leave`]: writes the last records and says
-    /// farewell.
+    /// Stops the entry after [`Tier::leave`]: writes the last refusal records
+    /// and sends leave messages.
     pub async fn stop(&self) {
         let shared = &self.shared;
-        if timeout(LAST_RECORDS, records::write_last(shared))
+        if timeout(RECORDS_TIMEOUT, records::write_last(shared))
             .await
             .is_err()
         {
@@ -247,17 +251,18 @@
                 "fleet: the last records could not be written"
             );
         }
-        let farewells = lock(&shared.swim).stop(shared.status(), FAREWELLS);
-        gossip::send_all(shared, farewells).await;
+        let messages = lock(&shared.swim).stop(shared.status(), LEAVE_FANOUT);
+        gossip::send_all(shared, messages).await;
         shared.phase.send_replace(Phase::Stopped);
         info!(shared.host.log, "fleet: {} has stopped", shared.own.id);
     }
 }
 
-/// Callers' clocks run differently, and their requests travel: time beyond the
-/// ttl in which a request may still come.
-const TTL_SLACK: Duration = Duration::from_millis(500);
+/// Time beyond the TTL of the list of entries in which requests may arrive,
+/// because of clock drift and network delay.
+const TTL_MARGIN: Duration = Duration::from_millis(500);
 
+/// Describes this entry as a member, with a new incarnation.
 fn own_member(settings: &Settings, clock: &Clock) -> Member {
     let addresses = Addresses {
         callers: settings.listen.callers,
@@ -274,45 +279,45 @@
     )
 }
 
-/// Tells peers at once what this entry says of itself, ahead of the probes.
-async fn tell_peers(shared: &Shared) {
-    let news = lock(&shared.swim).announce(shared.status(), FAREWELLS);
-    gossip::send_all(shared, news).await;
+/// Sends the state of this entry to peers at once, ahead of the next probes.
+async fn announce(shared: &Shared) {
+    let updates = lock(&shared.swim).announce(shared.status(), LEAVE_FANOUT);
+    gossip::send_all(shared, updates).await;
 }
 
-/// Stops dispatching, waits for what is being dispatched, and hands all
-/// tickets to an heir.
-async fn hand_tickets(shared: &Shared) {
+/// Stops dispatching, waits for the dispatches in flight, and hands all
+/// tickets over to a successor.
+async fn hand_over_tickets(shared: &Shared) {
     lock(&shared.keeper).close();
     let grace = shared.settings.control.grace;
     let settled = async {
         while lock(&shared.keeper).running() > 0 {
-            sleep(FLIGHT_LOOK).await;
+            sleep(DRAIN_POLL).await;
         }
     };
-    // Those that are still running then are handed over as unknown.
+    // Dispatches that are still running are handed over as unknown.
     let _ = timeout(grace, settled).await;
-    for _ in 0..HEIRS_TRIED {
-        if hand_to_some(shared).await {
-            tell_peers(shared).await;
+    for _ in 0..SUCCESSOR_ATTEMPTS {
+        if try_hand_over(shared).await {
+            announce(shared).await;
             return;
         }
-        sleep(HEIR_REST).await;
+        sleep(SUCCESSOR_BACKOFF).await;
     }
     warn!(
         shared.host.log,
-        "keep: nobody took over the tickets; repeats will be unknown"
+        "keep: no member took over the tickets; outcomes of repeats will be unknown"
     );
 }
 
-/// Members that are tried as heir.
-const HEIRS_TRIED: usize = 5;
-/// Rest between two of them.
-const HEIR_REST: Duration = Duration::from_millis(200);
+/// Attempts to find a successor for the tickets.
+const SUCCESSOR_ATTEMPTS: usize = 5;
+/// Delay between two of these attempts.
+const SUCCESSOR_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Hands the tickets to a member at random; tells whether it took them.
-async fn hand_to_some(shared: &Shared) -> bool {
-    let Some((member, address)) = pick_heir(shared) else {
+/// Hands the tickets to a random member; returns whether it took them.
+async fn try_hand_over(shared: &Shared) -> bool {
+    let Some((member, address)) = pick_successor(shared) else {
         return false;
     };
     let tickets = lock(&shared.keeper).hand_over();
@@ -325,7 +330,8 @@
     true
 }
 
-fn pick_heir(shared: &Shared) -> Option<(MemberId, std::net::SocketAddr)> {
+/// Chooses a random live member that accepts work.
+fn pick_successor(shared: &Shared) -> Option<(MemberId, std::net::SocketAddr)> {
     let swim = lock(&shared.swim);
     swim.view
         .others()
@@ -334,17 +340,18 @@
         .choose(&mut shared.rng())
 }
 
-async fn nothing_in_flight(shared: &Shared) {
+/// Waits until no request is running.
+async fn wait_until_idle(shared: &Shared) {
     let ordering = std::sync::atomic::Ordering::Relaxed;
     while shared.in_flight.load(ordering) > 0 {
-        sleep(FLIGHT_LOOK).await;
+        sleep(DRAIN_POLL).await;
     }
 }
 
-/// Makes a name for an edit whose operator gave none.
+/// Generates an id for an edit whose operator gave none.
 pub(crate) fn edit_id(shared: &Shared) -> String {
     format!("{}-{:016x}", shared.own.id, shared.rng().next_u64())
 }
 
-/// An empty JSON object, for requests without a body.
+/// An empty JSON object, the default body of a request.
 pub(crate) const EMPTY: Bytes = Bytes::from_static(b"{}");
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -1,4 +1,7 @@
-//! Watches the platform on behalf of a failure domain.
+//! Watches the configuration on the platform for a failure domain.
+//!
+//! A few entries of each failure domain watch; the others receive changes
+//! from peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,17 +18,17 @@
     spread,
 };
 
-/// Entries of a failure domain that watch the platform. Two, so that one can
-/// go without a gap; more would spend the platform's reads on nothing.
+/// Number of entries of a failure domain that watch. Two, so that changes still
+/// arrive when one fails, at little read load on the platform.
 const WATCHERS: usize = 2;
-/// Time between two looks at who watches.
-const LOOK: Duration = Duration::from_secs(1);
-/// Rest after the platform failed, before it is tried again.
-const REST: Duration = Duration::from_millis(500);
-/// Time between two readings of the list of VMs.
-const VMS_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which an entry checks whether it is a watcher.
+const TURN_POLL: Duration = Duration::from_secs(1);
+/// Backoff after a failed watch.
+const BACKOFF: Duration = Duration::from_millis(500);
+/// Interval of reads of the list of VMs.
+const VMS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Watches while it is this entry's turn.
+/// Watches the platform while this entry is a watcher of its failure domain.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut watching = false;
     loop {
@@ -37,21 +40,22 @@
             watching = turn;
         }
         if !turn {
-            sleep(LOOK).await;
+            sleep(TURN_POLL).await;
             continue;
         }
         watch_all(&shared).await;
-        sleep(REST).await;
+        sleep(BACKOFF).await;
     }
 }
 
+/// Whether this entry is a watcher of its failure domain.
 fn is_watcher(shared: &Shared) -> bool {
     let swim = lock(&shared.swim);
     let members = swim.view.working_in(&shared.own.domain);
     watchers_of(members, WATCHERS).contains(&shared.own.id)
 }
 
-/// Watches all kinds until the platform fails or the turn is over.
+/// Watches all kinds until the platform fails or this entry is no watcher.
 async fn watch_all(shared: &Arc<Shared>) {
     let Some(revisions) = boot::list_all(shared).await else {
         return;
@@ -66,11 +70,11 @@
             warn!(shared.host.log, "conf: the watch of the platform ended");
         }
         () = read_vms(shared) => {}
-        () = turn_over(shared) => {}
+        () = until_turn_ends(shared) => {}
     }
 }
 
-/// Watches one kind until the platform fails.
+/// Watches one kind of object until the platform fails.
 async fn watch_kind(shared: Arc<Shared>, kind: Kind, mut revision: u64) {
     loop {
         let asked = shared.now();
@@ -78,9 +82,10 @@
         match shared.platform.watch(kind, revision, wait).await {
             Ok(changes) => {
                 revision = changes.revision;
-                let true_at = true_at(asked, shared.now(), wait, changes.objects.is_empty());
+                let complete_at =
+                    complete_at(asked, shared.now(), wait, changes.objects.is_empty());
                 spread::take(&shared, changes.objects, "the platform");
-                lock(&shared.conf).note_read(kind, revision, true_at);
+                lock(&shared.conf).note_read(kind, revision, complete_at);
             }
             Err(PlatformError::Unavailable) => return,
             Err(error) => {
@@ -91,9 +96,9 @@
     }
 }
 
-/// Up to when a watch tells that it has told all: the platform held an empty
-/// answer back for the whole wait, so nothing had changed when that was over.
-fn true_at(asked: Time, now: Time, wait: Duration, empty: bool) -> Time {
+/// The time as of which a watch reply is complete. An empty reply after the
+/// whole wait shows that nothing had changed by the end of the wait.
+fn complete_at(asked: Time, now: Time, wait: Duration, empty: bool) -> Time {
     if empty && now.since(asked) >= wait {
         asked + wait
     } else {
@@ -101,15 +106,17 @@
     }
 }
 
+/// Reads the list of VMs periodically.
 async fn read_vms(shared: &Arc<Shared>) {
     loop {
         boot::read_vms(shared).await;
-        sleep(VMS_EVERY).await;
+        sleep(VMS_INTERVAL).await;
     }
 }
 
-async fn turn_over(shared: &Shared) {
+/// Waits until this entry is no longer a watcher.
+async fn until_turn_ends(shared: &Shared) {
     while is_watcher(shared) {
-        sleep(LOOK).await;
+        sleep(TURN_POLL).await;
     }
 }
--- a/crates/tier/src/web.rs
+++ b/crates/tier/src/web.rs
@@ -1,4 +1,4 @@
-//! What the HTTP sides towards callers and operators share.
+//! HTTP server code shared by the listeners for callers and operators.
 
 use std::{future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,38 +21,41 @@
     time::timeout,
 };
 
+/// An HTTP response with a complete body.
 pub(crate) type Reply = Response<Full<Bytes>>;
 
-/// Rest after a failed accept, which is mostly a lack of descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
-/// Longest wait for connections to end once they were asked to.
-const CLOSE_WAIT: Duration = Duration::from_secs(5);
+/// Backoff after a failed accept, usually for lack of file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// Time limit for the graceful shutdown of connections.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bounds of one HTTP side.
+/// Limits of one HTTP listener.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WebLimits {
-    /// Largest body.
+    /// Maximum size of a request body in bytes.
     pub(crate) body: usize,
-    /// Most headers.
+    /// Maximum number of headers over HTTP/1.1.
     pub(crate) headers: usize,
-    /// Longest time for a caller to send its request.
+    /// Timeout for the headers and for the body of a request, and keep-alive
+    /// interval over HTTP/2.
     pub(crate) patience: Duration,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub(crate) connections: usize,
 }
 
-/// Why a body could not be read.
+/// An error in reading a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyError {
-    /// It is larger than the limit.
+    /// The body exceeds the limit.
     Large,
-    /// It did not come in time.
+    /// The body did not arrive in time.
     Slow,
-    /// The connection broke.
+    /// The connection failed.
     Broken,
 }
 
 impl BodyError {
+    /// The HTTP status for this error.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::Large => StatusCode::PAYLOAD_TOO_LARGE,
@@ -61,6 +64,7 @@
         }
     }
 
+    /// The message for the caller.
     pub(crate) fn text(self) -> &'static str {
         match self {
             Self::Large => "the body is larger than the limit of this entry",
@@ -70,12 +74,12 @@
     }
 }
 
-/// Most bytes of a body over the limit that are read and thrown away. A caller
-/// that is still writing when the connection closes sees a reset instead of
-/// the reply that tells it what is wrong.
-const DISCARD_MAX: usize = 16 << 20;
+/// Maximum number of bytes of an oversized body that are read and discarded. A
+/// caller that is still writing when the connection closes would get a reset
+/// instead of the error reply.
+const MAX_DISCARD: usize = 16 << 20;
 
-/// Reads a whole body within the limits.
+/// Reads a request body within the limits of size and time.
 pub(crate) async fn read_body(mut body: Incoming, limits: &WebLimits) -> Result<Bytes, BodyError> {
     let read = timeout(limits.patience, port_body(&mut body, limits.body)).await;
     match read {
@@ -89,8 +93,9 @@
     }
 }
 
+/// Reads and drops the rest of a body, up to [`MAX_DISCARD`].
 async fn discard(body: &mut Incoming) {
-    let mut left = DISCARD_MAX;
+    let mut left = MAX_DISCARD;
     while let Some(Ok(frame)) = body.frame().await {
         let length = frame.data_ref().map_or(0, Bytes::len);
         left = left.saturating_sub(length);
@@ -100,7 +105,7 @@
     }
 }
 
-/// A JSON reply.
+/// Builds a JSON reply.
 pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
@@ -109,12 +114,13 @@
     reply
 }
 
-/// A JSON error that is no refusal: a wrong path or method.
+/// Builds a JSON error reply for errors that are not refusals.
 pub(crate) fn error(status: StatusCode, text: &str) -> Reply {
     json(status, serde_json::json!({ "error": text }).to_string())
 }
 
-/// The values of a query string, undecoded: names and numbers need no escape.
+/// The first value of a query parameter, without percent-decoding: the names
+/// and numbers that are expected need no escapes.
 pub(crate) fn param<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?
         .split('&')
@@ -123,8 +129,8 @@
         .map(|(_, value)| value)
 }
 
-/// Serves HTTP/1.1 and HTTP/2 on `listener` until `closing` turns true, then
-/// lets each connection finish what it is at.
+/// Serves HTTP/1.1 and HTTP/2 on `listener` until `closing` is true, then shuts
+/// the connections down gracefully.
 pub(crate) async fn serve<H, F>(
     listener: TcpListener,
     limits: WebLimits,
@@ -143,11 +149,11 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_REST).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        // Beyond the limit a connection is closed at once: the caller sees it
-        // and goes to another entry, instead of waiting here unserved.
+        // A connection beyond the limit is closed at once, so that the caller
+        // tries another entry instead of waiting here.
         let Ok(slot) = slots.clone().try_acquire_owned() else {
             continue;
         };
@@ -155,14 +161,15 @@
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
             let _slot = slot;
-            // A broken connection is the caller's to notice.
+            // Errors of a connection are left to the caller to handle.
             let _ = watched.await;
         });
     }
     drop(listener);
-    let _ = timeout(CLOSE_WAIT, graceful.shutdown()).await;
+    let _ = timeout(SHUTDOWN_TIMEOUT, graceful.shutdown()).await;
 }
 
+/// Sets up the HTTP service of one connection.
 fn connection<H, F>(
     stream: TcpStream,
     limits: WebLimits,
@@ -187,17 +194,16 @@
         .http2()
         .timer(TokioTimer::new())
         .keep_alive_interval(limits.patience)
-        .max_header_list_size(HEADER_BYTES);
+        .max_header_list_size(MAX_HEADER_BYTES);
     builder
         .serve_connection(TokioIo::new(stream), service)
         .into_owned()
 }
 
-/// Most bytes of headers over HTTP/2, where their number has no bound of its
-/// own.
-const HEADER_BYTES: u32 = 16 << 10;
+/// Maximum size of headers over HTTP/2, where their number is not limited.
+const MAX_HEADER_BYTES: u32 = 16 << 10;
 
-/// Binds a listener.
+/// Binds a TCP listener to `address`.
 pub(crate) async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
