--- a/crates/unit/src/coverage.rs
+++ b/crates/unit/src/coverage.rs
@@ -1,31 +1,35 @@
-//! What an answer covers.
+//! Which shards an answer covers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ShardName, Share};
 
-/// What an answer covers, computed from the parts that were merged and never
-/// from the plan of the query.
+/// Which of the requested shards contributed to an answer. Computed from the
+/// parts that were merged, never from the query plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Shards of the snapshot that the query asked for.
+    /// Number of shards that the query requested.
     pub asked: usize,
-    /// Shards whose part is in the answer.
+    /// Number of shards whose results are in the answer.
     pub answered: usize,
-    /// Shards whose part is not in the answer.
+    /// Shards whose results are not in the answer.
     pub missing: Vec<ShardName>,
 }
 
 impl Coverage {
-    /// Coverage of an answer in which `merged[i]` tells whether the part of
-    /// `asked[i]` is in the answer.
+    /// Computes the coverage of an answer, where `merged[i]` is true if the
+    /// results of `asked[i]` are in it.
     ///
     /// # Panics
     ///
     /// The slices have different lengths.
     #[must_use]
     pub fn from_merged(asked: &[ShardName], merged: &[bool]) -> Self {
-        assert_eq!(asked.len(), merged.len(), "one flag for each shard asked");
+        assert_eq!(
+            asked.len(),
+            merged.len(),
+            "one flag for each requested shard"
+        );
         let missing: Vec<ShardName> = asked
             .iter()
             .zip(merged)
@@ -39,16 +43,17 @@
         }
     }
 
-    /// Whether every shard asked is in the answer. An answer that asked for
-    /// nothing is not complete: it says nothing about the index.
+    /// Returns whether the answer covers every requested shard. False if none
+    /// was requested, as such an answer says nothing about the index.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.asked > 0 && self.missing.is_empty()
     }
 
-    /// Whether the answer covers at least `least` of the shards asked.
+    /// Returns whether the answer covers at least the share `minimum` of the
+    /// requested shards. False if none was requested.
     #[must_use]
-    pub fn reaches(&self, least: Share) -> bool {
-        self.asked > 0 && self.answered as f64 >= least.as_f64() * self.asked as f64
+    pub fn reaches(&self, minimum: Share) -> bool {
+        self.asked > 0 && self.answered as f64 >= minimum.as_f64() * self.asked as f64
     }
 }
--- a/crates/unit/src/id.rs
+++ b/crates/unit/src/id.rs
@@ -1,14 +1,14 @@
-//! Names and numbers that identify things.
+//! Identifier types: checked names and numbers.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use displaydoc::Display;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Longest accepted name, in bytes. Names are metric labels and log fields.
+/// Maximum length of a name in bytes, as names are metric labels and log fields.
 const NAME_MAX: usize = 96;
 
-/// Why a string is not a name.
+/// Why a string is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum NameError {
     /// a name can't be empty
@@ -21,42 +21,42 @@
 
 impl std::error::Error for NameError {}
 
-fn check(name: &str) -> Result<(), NameError> {
+fn check_name(name: &str) -> Result<(), NameError> {
     if name.is_empty() {
         return Err(NameError::Empty);
     }
     if name.len() > NAME_MAX {
         return Err(NameError::Long);
     }
-    let legal = |c: &char| c.is_ascii_alphanumeric() || "-_.:/".contains(*c);
-    match name.chars().find(|c| !legal(c)) {
+    let allowed = |c: &char| c.is_ascii_alphanumeric() || "-_.:/".contains(*c);
+    match name.chars().find(|c| !allowed(c)) {
         Some(c) => Err(NameError::Char(c)),
         None => Ok(()),
     }
 }
 
-macro_rules! name {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         ///
-        /// Cloning shares the text.
+        /// Clones share the text.
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes a name after checking it.
+            /// Checks `text` and makes a name of it.
             ///
             /// # Errors
             ///
-            /// The text is empty, too long, or holds a character that a metric
-            /// label or a log line can't carry.
+            /// The text is empty, too long, or contains a character other than ASCII
+            /// letters, digits and `-_.:/`.
             pub fn new(text: impl AsRef<str>) -> Result<Self, NameError> {
                 let text = text.as_ref();
-                check(text)?;
+                check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The text of the name.
+            /// Returns the name as a string.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -92,40 +92,40 @@
     };
 }
 
-name!(
-    /// An organisation: a customer of the tier.
+string_id!(
+    /// Name of an organisation, that is, a customer.
     OrgName
 );
-name!(
-    /// A template from which organisations are made.
+string_id!(
+    /// Name of a template, which sets what its organisations may do.
     TemplateName
 );
-name!(
-    /// A service: a set of shards served by leafs.
+string_id!(
+    /// Name of a service, a set of shards served by leafs.
     ServiceName
 );
-name!(
-    /// A shard of one layout. Names of a layout are unique within it.
+string_id!(
+    /// Name of a shard, a part of a service's index; unique within a layout.
     ShardName
 );
-name!(
-    /// A leaf: a target that holds shards.
+string_id!(
+    /// Name of a leaf, a target that serves shards.
     LeafId
 );
-name!(
-    /// A failure domain: a zone of VMs.
+string_id!(
+    /// Name of a failure domain, a zone of VMs.
     DomainName
 );
-name!(
-    /// A member: an entry VM, named in its settings.
+string_id!(
+    /// Name of an entry as a member of the fleet, taken from its settings.
     MemberId
 );
-name!(
-    /// The type of a call, as a template lists it: `finals`, `ladder`, ...
+string_id!(
+    /// Name of a call type in a template, such as `finals` or `ladder`.
     CallType
 );
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -150,12 +150,12 @@
     };
 }
 
-number!(
-    /// One request at one entry. Never reused while the process lives.
+numeric_id!(
+    /// Identifies a request within an entry; never reused during an incarnation.
     RequestId
 );
-number!(
-    /// One life of a member's process: wall milliseconds at its start, so a
-    /// later life has a greater number.
+numeric_id!(
+    /// One run of a member's process, numbered by its start time in wall-clock
+    /// milliseconds, so that a restarted process has a greater number.
     Incarnation
 );
--- a/crates/unit/src/lib.rs
+++ b/crates/unit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ids, times, sizes, rates, snapshots and coverage.
+//! Identifiers, times, sizes, rates, snapshots and coverage.
 //!
-//! These are the words that every other crate of chestnutpost shares. The
-//! crate does no I/O, reads no clock and depends on no runtime.
+//! Basic types shared by all crates of chestnutpost. The crate does no I/O,
+//! reads no clock and depends on no async runtime.
 //!
 //! ```
 //! use chestnut_unit::{Coverage, ShardName};
--- a/crates/unit/src/reason.rs
+++ b/crates/unit/src/reason.rs
@@ -1,5 +1,9 @@
-//! The closed list of reasons for a refusal, and what a refusal says of the
-//! work it refuses.
+//! The closed list of reasons for refusing a request, and whether refused
+//! work may have run.
+//!
+//! A ticket identifies one submission so that retries take effect at most once;
+//! its keeper is the entry that issued it. A receipt is the short text that a
+//! caller gets with a refusal.
 
 use std::{fmt, str::FromStr};
 
@@ -7,8 +11,8 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $number:literal, $text:literal;)*) => {
-        /// Why a request was refused. The list is closed: callers, records and
-        /// templates use these codes only.
+        /// Why a request was refused. Callers, refusal records and templates use
+        /// no other codes.
         #[derive(
             Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -20,19 +24,20 @@
             /// Every reason.
             pub const ALL: &'static [Reason] = &[$(Self::$name,)*];
 
-            /// The code in answers, logs and metric labels.
+            /// Returns the code used in answers, logs and metric labels.
             #[must_use]
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// The number that a receipt carries. Numbers are never reused.
+            /// Returns the number that encodes the reason in a receipt. Numbers are
+            /// never reused.
             #[must_use]
             pub fn number(self) -> u8 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// A sentence for the person who reads the refusal.
+            /// Returns a message for the person who reads the refusal.
             #[must_use]
             pub fn sentence(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
@@ -42,42 +47,42 @@
 }
 
 reasons! {
-    /// The request is malformed or past a limit of the interface.
+    /// The request is malformed or exceeds a limit of the interface.
     BadRequest = "bad_request", 1, "The request can't be read; the detail says what to mend.";
-    /// No such organisation.
+    /// The organisation does not exist.
     UnknownOrg = "unknown_organisation", 2, "This organisation is not known here.";
-    /// No such service, or the organisation may not reach it.
+    /// The service does not exist or the organisation may not use it.
     ServiceClosed = "service_not_allowed", 3, "The organisation may not reach this service.";
-    /// The template lists no such call type.
+    /// The organisation's template does not list the call type.
     CallUnknown = "call_type_unknown", 4, "The organisation's template has no such call type.";
-    /// The organisation is over its own limit.
+    /// The organisation exceeds its rate or concurrency limit.
     OrgLimit = "organisation_limit", 5, "The organisation is over its own limit.";
-    /// The entry can't take more of this urgency now.
+    /// There is no capacity for more requests of this urgency.
     Overload = "overload", 6, "The service is full and calls of this urgency give way.";
-    /// The deadline would pass before the answer could be ready.
+    /// The answer can't be ready by the deadline.
     Deadline = "deadline", 7, "The answer can't be ready by the deadline.";
-    /// Shards are missing and the template takes whole answers or a least share.
+    /// The answer covers fewer shards than the template's minimum coverage.
     Incomplete = "incomplete", 8, "Some shards gave no answer and the template asks for more.";
-    /// No live snapshot of the service is known.
+    /// No snapshot of the service can be served.
     NoSnapshot = "no_snapshot", 9, "No index version of the service can be served now.";
-    /// Every target refused before running the work.
+    /// Every target refused the work without running it.
     TargetRefused = "target_refused", 10, "The targets refused the work before running it.";
-    /// The work was sent and its fate can't be known.
+    /// The work was sent and its outcome can't be known.
     FateUnknown = "fate_unknown", 11, "The work was sent and its outcome can't be known.";
-    /// The ticket is unknown to its keeper, malformed or expired.
+    /// The ticket is malformed, expired or unknown to its keeper.
     BadTicket = "bad_ticket", 12, "The ticket is malformed, forged or expired; ask for another.";
     /// The keeper of the ticket can't be reached.
     KeeperGone = "keeper_gone", 13, "The entry that keeps this ticket can't be reached.";
-    /// The settings of this entry have not been confirmed for too long.
+    /// The entry's configuration has not been confirmed within the allowed time.
     Unconfirmed = "settings_unconfirmed", 14, "This entry can't confirm its settings; use another.";
     /// The entry is starting or stopping.
     NotReady = "not_ready", 15, "This entry is starting or has stopped; use another.";
-    /// Targets ended under the request each time that it was run.
+    /// Targets crashed each time they ran the request.
     Quarantined = "quarantined", 16, "Targets crashed each time that they ran this request.";
 }
 
 impl Reason {
-    /// The reason that a receipt's number stands for.
+    /// Returns the reason with the given receipt number.
     #[must_use]
     pub fn from_number(number: u8) -> Option<Self> {
         Self::ALL.iter().copied().find(|r| r.number() == number)
@@ -102,7 +107,7 @@
     }
 }
 
-/// What a refusal says of the work that it refuses.
+/// Whether any of the refused work may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
@@ -115,7 +120,7 @@
 }
 
 impl Run {
-    /// The word in answers and records.
+    /// Returns the name used in answers and records.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/unit/src/share.rs
+++ b/crates/unit/src/share.rs
@@ -1,11 +1,11 @@
-//! A share of a whole.
+//! Percentages.
 
 use std::{fmt, str::FromStr};
 
 use displaydoc::Display;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A share from 0% to 100%, kept in tenths of a percent, written `97.5%`.
+/// A percentage from 0% to 100% in steps of 0.1%, written `97.5%`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Share(u16);
 
@@ -16,10 +16,10 @@
 impl std::error::Error for ShareError {}
 
 impl Share {
-    /// The whole.
+    /// 100%.
     pub const WHOLE: Share = Share(1000);
 
-    /// A share of `permille` thousandths; more than the whole is the whole.
+    /// Makes a share of `permille` thousandths, capped at 100%.
     #[must_use]
     pub const fn from_permille(permille: u16) -> Self {
         if permille > 1000 {
@@ -28,7 +28,7 @@
         Self(permille)
     }
 
-    /// The share as a number from 0 to 1.
+    /// Returns the share as a fraction from 0 to 1.
     #[must_use]
     pub fn as_f64(self) -> f64 {
         f64::from(self.0) / 1000.0
--- a/crates/unit/src/size.rs
+++ b/crates/unit/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and spans as they stand in settings.
+//! Sizes, rates and durations, with the text forms used in settings.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -14,8 +14,8 @@
 
 impl std::error::Error for UnitError {}
 
-/// Splits `text` into its whole number and its unit.
-fn split(text: &str, want: &'static str) -> Result<(u64, String), UnitError> {
+/// Splits `text` into an integer and a unit.
+fn split_unit(text: &str, want: &'static str) -> Result<(u64, String), UnitError> {
     let fail = || UnitError {
         text: text.to_owned(),
         want,
@@ -31,13 +31,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ByteSize(pub u64);
 
-const BYTE_FORM: &str = "a size such as 512B, 64KiB or 1MiB";
+const SIZE_FORMAT: &str = "a size such as 512B, 64KiB or 1MiB";
 
 impl FromStr for ByteSize {
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        let (number, unit) = split(text, BYTE_FORM)?;
+        let (number, unit) = split_unit(text, SIZE_FORMAT)?;
         let factor: u64 = match unit.as_str() {
             "B" => 1,
             "KiB" => 1 << 10,
@@ -49,7 +49,7 @@
             Some(bytes) if factor > 0 => Ok(Self(bytes)),
             _ => Err(UnitError {
                 text: text.to_owned(),
-                want: BYTE_FORM,
+                want: SIZE_FORMAT,
             }),
         }
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Events a second, written `510/s`.
+/// A rate in whole events per second, written `510/s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rate(pub u64);
 
@@ -74,12 +74,12 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        const FORM: &str = "a rate such as 510/s";
-        match split(text, FORM)? {
+        const FORMAT: &str = "a rate such as 510/s";
+        match split_unit(text, FORMAT)? {
             (number, unit) if unit == "/s" => Ok(Self(number)),
             _ => Err(UnitError {
                 text: text.to_owned(),
-                want: FORM,
+                want: FORMAT,
             }),
         }
     }
@@ -91,14 +91,14 @@
     }
 }
 
-/// Parses a span written `52ms`, `18s`, `5m` or `1h`.
+/// Parses a duration written `52ms`, `18s`, `5m` or `1h`.
 ///
 /// # Errors
 ///
-/// The text has no unit or another unit.
+/// The text is not an integer with one of these units, or the value overflows.
 pub fn parse_span(text: &str) -> Result<Duration, UnitError> {
-    const FORM: &str = "a span such as 52ms, 18s, 5m or 1h";
-    let (number, unit) = split(text, FORM)?;
+    const FORMAT: &str = "a duration such as 52ms, 18s, 5m or 1h";
+    let (number, unit) = split_unit(text, FORMAT)?;
     let factor: u64 = match unit.as_str() {
         "ms" => 1,
         "s" => 1000,
@@ -110,7 +110,7 @@
         Some(ms) if factor > 0 => Ok(Duration::from_millis(ms)),
         _ => Err(UnitError {
             text: text.to_owned(),
-            want: FORM,
+            want: FORMAT,
         }),
     }
 }
@@ -135,26 +135,27 @@
 text_serde!(ByteSize);
 text_serde!(Rate);
 
-/// A rate of calls, kept in thousandths of a call a second; written `6/s` or `2.5/s`.
+/// A rate of calls in thousandths of a call per second, written `6/s` or `2.5/s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CallRate(pub u32);
 
-const RATE_FORM: &str = "a rate such as 6/s or 2.5/s";
-const MILLI: f64 = 1000.0;
+const CALL_FORMAT: &str = "a rate such as 6/s or 2.5/s";
+const MILLI_PER_CALL: f64 = 1000.0;
 
 impl CallRate {
-    /// A rate of so many calls a second. What is no rate is none.
+    /// Makes a rate from calls per second, rounded to thousandths. Negative values
+    /// and NaN give 0.
     #[must_use]
     pub fn per_second(calls: f64) -> Self {
-        // The cast saturates, and makes 0 of what is no number.
-        Self((calls * MILLI).round() as u32)
+        // The cast saturates and turns NaN into 0.
+        Self((calls * MILLI_PER_CALL).round() as u32)
     }
 
-    /// Calls a second.
+    /// Returns the rate in calls per second.
     #[must_use]
     pub fn as_f64(self) -> f64 {
-        f64::from(self.0) / MILLI
+        f64::from(self.0) / MILLI_PER_CALL
     }
 }
 
@@ -166,7 +167,7 @@
         let calls = calls.filter(|calls: &f64| calls.is_finite() && *calls >= 0.0);
         calls.map(Self::per_second).ok_or_else(|| UnitError {
             text: text.to_owned(),
-            want: RATE_FORM,
+            want: CALL_FORMAT,
         })
     }
 }
--- a/crates/unit/src/snapshot.rs
+++ b/crates/unit/src/snapshot.rs
@@ -1,4 +1,7 @@
-//! Snapshots and the layouts of shards that belong to them.
+//! Snapshots of an index and their shard layouts.
+//!
+//! A shard is a part of a service's index. Each leaf that serves it holds a
+//! replica of it.
 
 use std::{fmt, str::FromStr};
 
@@ -6,7 +9,7 @@
 
 use crate::{LeafId, ServiceName, ShardName};
 
-/// The version of a service's index. A greater version is newer.
+/// Version of a service's index; a greater version is newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,13 +30,13 @@
     }
 }
 
-/// What one query reads: one version of one service's index. Parts of two
-/// snapshots are never merged.
+/// One version of a service's index. A query reads a single snapshot; results
+/// from different snapshots are never merged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The service.
     pub service: ServiceName,
-    /// The version of its index.
+    /// The index version.
     pub version: IndexVersion,
 }
 
@@ -47,19 +50,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LayoutShard {
-    /// Its name, unique in the layout.
+    /// Name, unique within the layout.
     pub name: ShardName,
-    /// The leafs that hold a replica of it.
+    /// Leafs that hold a replica.
     pub leafs: Vec<LeafId>,
 }
 
-/// Which shards a snapshot has and which leafs hold them. A layout never
-/// changes: repartitioning makes a new index version with a new layout.
+/// The shards of a snapshot and the leafs that hold them. Immutable:
+/// repartitioning creates a new index version with its own layout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
     /// The snapshot.
     pub snapshot: Snapshot,
-    /// Its shards, in the order in which answers list them.
+    /// Shards, in the order in which answers list them.
     pub shards: Vec<LayoutShard>,
 }
--- a/crates/unit/src/time.rs
+++ b/crates/unit/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time, always passed as arguments to the functions that decide.
+//! Points in time. Decision logic takes them as arguments and reads no clock.
 
 use std::{
     fmt,
@@ -8,36 +8,36 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in monotonic time, in nanoseconds since the process (or the
-/// experiment) started. It is never compared between processes.
+/// A point in monotonic time, in nanoseconds since the start of the process or
+/// simulation. Not comparable between processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
 impl Time {
-    /// The start of the process.
+    /// The start of the process or simulation.
     pub const ZERO: Time = Time(0);
-    /// Later than any other time.
+    /// The latest time that can be represented.
     pub const MAX: Time = Time(u64::MAX);
 
-    /// A time `ns` nanoseconds after the start.
+    /// Makes a time `ns` nanoseconds after the start.
     #[must_use]
     pub fn from_nanos(ns: u64) -> Self {
         Self(ns)
     }
 
-    /// A time `ms` milliseconds after the start.
+    /// Makes a time `ms` milliseconds after the start.
     #[must_use]
     pub fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000_000)
     }
 
-    /// Nanoseconds since the start.
+    /// Returns the nanoseconds since the start.
     #[must_use]
     pub fn as_nanos(self) -> u64 {
         self.0
     }
 
-    /// The span since `earlier`, or zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
@@ -47,8 +47,8 @@
 impl Add<Duration> for Time {
     type Output = Time;
 
-    fn add(self, span: Duration) -> Time {
-        let ns = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Time {
+        let ns = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
         Time(self.0.saturating_add(ns))
     }
 }
@@ -56,14 +56,14 @@
 impl Sub<Duration> for Time {
     type Output = Time;
 
-    fn sub(self, span: Duration) -> Time {
-        let ns = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Time {
+        let ns = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(ns))
     }
 }
 
-/// A wall-clock time in milliseconds since 1970. Used where processes or
-/// people compare times (receipts, tickets), with the skew that implies.
+/// A wall-clock time in milliseconds since the Unix epoch, for times that cross
+/// processes (receipts, tickets). Subject to clock skew.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -71,7 +71,7 @@
 pub struct Wall(pub u64);
 
 impl Wall {
-    /// The span since `earlier`, or zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Wall) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -81,8 +81,8 @@
 impl Add<Duration> for Wall {
     type Output = Wall;
 
-    fn add(self, span: Duration) -> Wall {
-        let ms = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Wall {
+        let ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         Wall(self.0.saturating_add(ms))
     }
 }
--- a/crates/unit/src/urgency.rs
+++ b/crates/unit/src/urgency.rs
@@ -1,26 +1,26 @@
-//! How urgent a call is.
+//! Priority classes of calls.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a call is, as a template states it.
+/// Priority class of a call, as set in a template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Urgency {
-    /// Someone waits on the answer this instant: a final, an alert.
+    /// Needed immediately, such as live results or alerts.
     Now,
     /// Interactive use.
     Normal,
-    /// May wait: archive queries.
+    /// Background use that tolerates delay, such as archive queries.
     Archive,
 }
 
 impl Urgency {
-    /// Every urgency, most urgent first.
+    /// All urgencies, most urgent first.
     pub const ALL: [Urgency; 3] = [Self::Now, Self::Normal, Self::Archive];
 
-    /// The word used in templates, logs and metric labels.
+    /// Returns the name used in templates, logs and metric labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
