--- a/crates/book/src/book.rs
+++ b/crates/book/src/book.rs
@@ -1,4 +1,4 @@
-//! One version of the routes, and how a request finds its rule.
+//! Versions of the route book and the lookup of a request's rule.
 
 use std::{collections::BTreeMap, fmt, str::FromStr, sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use crate::{BookDelta, CallerLimits, Rule, ServiceRule, Target};
 
-/// Version of a book. Operators raise it with every edit.
+/// Version of a route book. Operators increase it with every edit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BookVersion(pub u64);
@@ -27,22 +27,22 @@
     }
 }
 
-/// What is wrong with a rule.
+/// Why a rule is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum BookError {
     /// route {0}: the prefix {1:?} must begin and end with a slash
     Prefix(String, String),
-    /// route {0}: host {1:?} and prefix {2:?} are taken by route {3}; remove one of the two
+    /// route {0}: host {1:?} and prefix {2:?} are already used by route {3}; remove one of the two
     Twice(String, String, String, String),
-    /// route {0}: names no service; give it one, or remove the route
+    /// route {0}: no service is named; name one, or remove the route
     NoService(String),
-    /// route {0}: all weights are 0; give one of the services a weight
+    /// route {0}: all weights are 0; set at least one weight above 0
     NoWeight(String),
-    /// route {0}: shard {1} is named twice; name each shard once
+    /// route {0}: shard {1} is listed more than once; list each shard once
     ShardTwice(String, ServiceName),
-    /// route {0}: a timeout of 0 answers nobody; give it a span
+    /// route {0}: the timeout is 0; set a longer one
     NoTime(String),
-    /// route {0}: 0 attempts reach no back end; write 1 or more
+    /// route {0}: the number of attempts is 0; set 1 or more
     NoAttempt(String),
 }
 
@@ -50,26 +50,26 @@
 
 type Prefixes = BTreeMap<String, Arc<Rule>>;
 
-/// One version of the routes. A request keeps the book that it was decided by
-/// until its end, so that all its parts come from the shards of one version.
+/// One version of the routes. A request uses the same version until it ends, so that
+/// all its shard calls follow one set of rules.
 #[derive(Clone, Debug, Default)]
 pub struct RouteBook {
-    /// Its version.
+    /// Version.
     pub version: BookVersion,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Rules by host and prefix. Versions share what is the same in both, so that an
-    /// entry can keep the last few and find their differences at little cost.
+    /// Rules by host and prefix. Versions share equal rules, so that keeping several
+    /// versions and comparing them stays cheap.
     hosts: BTreeMap<String, Arc<Prefixes>>,
     services: BTreeMap<ServiceName, ServiceRule>,
 }
 
 impl RouteBook {
-    /// Checks the rules and makes a book of them.
+    /// Validates the rules and builds a book.
     ///
     /// # Errors
     ///
-    /// A rule is wrong; the error names it and the mend.
+    /// A rule is invalid; the error names the rule and says how to fix it.
     pub fn build(
         version: BookVersion,
         rules: Vec<Rule>,
@@ -83,14 +83,14 @@
             services: services.into_iter().collect(),
         };
         for rule in rules {
-            book.put(Arc::new(rule))?;
+            book.insert(Arc::new(rule))?;
         }
         Ok(book)
     }
 
-    /// Checks a rule and adds it.
-    pub(crate) fn put(&mut self, rule: Arc<Rule>) -> Result<(), BookError> {
-        check(&rule)?;
+    /// Validates a rule and adds it.
+    pub(crate) fn insert(&mut self, rule: Arc<Rule>) -> Result<(), BookError> {
+        check_rule(&rule)?;
         let host = rule.host.to_ascii_lowercase();
         let prefixes = Arc::make_mut(self.hosts.entry(host).or_default());
         if let Some(other) = prefixes.get(&rule.prefix) {
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Takes a rule away, if there is one.
+    /// Removes the rule at a host and prefix, if there is one.
     pub(crate) fn remove(&mut self, host: &str, prefix: &str) {
         let host = host.to_ascii_lowercase();
         let Some(prefixes) = self.hosts.get_mut(&host) else {
@@ -117,45 +117,46 @@
         }
     }
 
-    pub(crate) fn set_services(
+    /// Removes the services in `removed`, then adds or replaces those in `put`.
+    pub(crate) fn update_services(
         &mut self,
         put: BTreeMap<ServiceName, ServiceRule>,
-        gone: &[ServiceName],
+        removed: &[ServiceName],
     ) {
-        for name in gone {
+        for name in removed {
             self.services.remove(name);
         }
         self.services.extend(put);
     }
 
-    /// The rule at the host and prefix of `rule`.
-    pub(crate) fn at(&self, rule: &Rule) -> Option<&Arc<Rule>> {
+    /// Returns the rule at the host and prefix of `rule`.
+    pub(crate) fn rule_at(&self, rule: &Rule) -> Option<&Arc<Rule>> {
         let prefixes = self.hosts.get(&rule.host.to_ascii_lowercase())?;
         prefixes.get(&rule.prefix)
     }
 
-    /// The rule that is the same as `rule`.
-    pub(crate) fn same(&self, rule: &Arc<Rule>) -> Option<&Arc<Rule>> {
-        self.at(rule)
+    /// Returns this book's rule that is equal to `rule`.
+    pub(crate) fn equal_rule(&self, rule: &Arc<Rule>) -> Option<&Arc<Rule>> {
+        self.rule_at(rule)
             .filter(|other| Arc::ptr_eq(other, rule) || other == &rule)
     }
 
-    /// Shares the rules that are the same as in `other`, as versions that were read
-    /// whole share nothing.
+    /// Shares the memory of rules that are equal in `other`. Books that were decoded
+    /// separately share nothing until this is called.
     pub fn share(&mut self, other: &Self) {
         for prefixes in self.hosts.values_mut() {
             for rule in Arc::make_mut(prefixes).values_mut() {
-                if let Some(same) = other.same(rule) {
-                    *rule = same.clone();
+                if let Some(equal) = other.equal_rule(rule) {
+                    *rule = equal.clone();
                 }
             }
         }
     }
 
-    /// The rule of a request: among those of its host, the one with the
-    /// longest prefix that begins the path. As every prefix ends with a slash
-    /// only the path's own prefixes up to a slash are looked up, so the cost
-    /// follows the depth of the path and not the number of routes.
+    /// Returns the rule of the request's host with the longest prefix of `path`.
+    /// Every prefix ends with a slash, so only the path's prefixes up to a slash are
+    /// looked up; the cost depends on the depth of the path, not on the number of
+    /// routes.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Rule>> {
         let host = without_port(host);
@@ -169,37 +170,38 @@
             .find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// What the book says of a service.
+    /// Returns the limits of a service, if the book has any.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceRule> {
         self.services.get(name)
     }
 
-    /// Every rule.
+    /// Iterates over all rules.
     pub fn rules(&self) -> impl Iterator<Item = &Arc<Rule>> {
         self.hosts.values().flat_map(|prefixes| prefixes.values())
     }
 
-    /// Every service of which it says something.
+    /// Iterates over all services that have limits.
     pub(crate) fn services(&self) -> impl Iterator<Item = (&ServiceName, &ServiceRule)> {
         self.services.iter()
     }
 }
 
-/// As what makes it of nothing; checked again when it is read.
+/// Serializes the book as a delta without a base; deserializing validates it again.
 impl Serialize for RouteBook {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        BookDelta::between(None, self).serialize(to)
+    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
+        BookDelta::between(None, self).serialize(s)
     }
 }
 
 impl<'de> Deserialize<'de> for RouteBook {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let whole = BookDelta::deserialize(from)?;
-        whole.apply(None).map_err(serde::de::Error::custom)
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
+        let delta = BookDelta::deserialize(d)?;
+        delta.apply(None).map_err(serde::de::Error::custom)
     }
 }
 
+/// Strips a port number from a host.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
@@ -207,7 +209,7 @@
     }
 }
 
-fn check(rule: &Rule) -> Result<(), BookError> {
+fn check_rule(rule: &Rule) -> Result<(), BookError> {
     let name = || rule.name.clone();
     if !rule.prefix.starts_with('/') || !rule.prefix.ends_with('/') {
         return Err(BookError::Prefix(name(), rule.prefix.clone()));
--- a/crates/book/src/delta.rs
+++ b/crates/book/src/delta.rs
@@ -1,4 +1,4 @@
-//! What makes one version of a book of another, as entries pass it on.
+//! Differences between versions of a route book, as entries exchange them.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,44 +8,44 @@
 
 use crate::{BookError, BookVersion, CallerLimits, RouteBook, Rule, ServiceRule};
 
-/// What makes one version of another. A change of one rule among thousands weighs as
-/// much as that rule.
+/// Changes from one version of a route book to another. Its size follows the number
+/// of changes, not the size of the book.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BookDelta {
-    /// The version that it changes; none if it makes a whole book.
+    /// The version that the delta applies to; `None` if it holds a whole book.
     pub base: Option<BookVersion>,
-    /// The version that it makes.
+    /// The version that results.
     pub version: BookVersion,
     limits: CallerLimits,
-    /// Rules that are new or other than in the base.
+    /// Added and changed rules.
     put: Vec<Arc<Rule>>,
-    /// Hosts and prefixes of rules that are gone.
+    /// Hosts and prefixes of removed rules.
     gone: Vec<(String, String)>,
-    /// Services that are new or other than in the base.
+    /// Added and changed services.
     services: BTreeMap<ServiceName, ServiceRule>,
-    /// Services that are gone.
+    /// Removed services.
     closed: Vec<ServiceName>,
 }
 
 /// Why a delta can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum DeltaError {
-    /// it changes version {0}, and this is version {1}; ask for the whole book
+    /// the delta applies to version {0}, not to version {1}; request the whole book
     Base(BookVersion, BookVersion),
-    /// the book that it makes is wrong: {0}
+    /// the resulting book is invalid: {0}
     Book(BookError),
 }
 
 impl std::error::Error for DeltaError {}
 
 impl BookDelta {
-    /// What makes `to` of `from`, or of nothing.
+    /// Computes the changes from `from` to `to`, or all of `to` if `from` is `None`.
     #[must_use]
     pub fn between(from: Option<&RouteBook>, to: &RouteBook) -> Self {
-        let nothing = RouteBook::default();
-        let base = from.unwrap_or(&nothing);
-        let put = to.rules().filter(|rule| base.same(rule).is_none());
-        let gone = base.rules().filter(|rule| to.at(rule).is_none());
+        let empty = RouteBook::default();
+        let base = from.unwrap_or(&empty);
+        let put = to.rules().filter(|rule| base.equal_rule(rule).is_none());
+        let gone = base.rules().filter(|rule| to.rule_at(rule).is_none());
         let services = to
             .services()
             .filter(|(name, rule)| base.service(name) != Some(rule));
@@ -67,23 +67,24 @@
         }
     }
 
-    /// Rules that it puts or takes away.
+    /// Returns the number of rules added, changed or removed.
     #[must_use]
     pub fn rules(&self) -> usize {
         self.put.len() + self.gone.len()
     }
 
-    /// The version that it makes, of `held` if it changes one.
+    /// Applies the delta to `current` and returns the resulting book. A delta without a
+    /// base ignores `current`.
     ///
     /// # Errors
     ///
-    /// `held` is not the version that it changes, or the result is no sound book.
-    pub fn apply(self, held: Option<&RouteBook>) -> Result<RouteBook, DeltaError> {
-        let mut book = match (self.base, held) {
+    /// `current` is not the delta's base version, or the resulting book is invalid.
+    pub fn apply(self, current: Option<&RouteBook>) -> Result<RouteBook, DeltaError> {
+        let mut book = match (self.base, current) {
             (None, _) => RouteBook::default(),
-            (Some(base), Some(held)) if held.version == base => held.clone(),
-            (Some(base), held) => {
-                let version = held.map_or(BookVersion(0), |held| held.version);
+            (Some(base), Some(current)) if current.version == base => current.clone(),
+            (Some(base), current) => {
+                let version = current.map_or(BookVersion(0), |current| current.version);
                 return Err(DeltaError::Base(base, version));
             }
         };
@@ -96,9 +97,9 @@
             book.remove(&rule.host, &rule.prefix);
         }
         for rule in self.put {
-            book.put(rule).map_err(DeltaError::Book)?;
+            book.insert(rule).map_err(DeltaError::Book)?;
         }
-        book.set_services(self.services, &self.closed);
+        book.update_services(self.services, &self.closed);
         Ok(book)
     }
 }
--- a/crates/book/src/lib.rs
+++ b/crates/book/src/lib.rs
@@ -1,13 +1,13 @@
-//! The route book: what becomes of a forwarded request.
+//! The route book: routing rules for forwarded requests.
 //!
 //! A [`RouteBook`] is one version of the operator's routes. [`RouteBook::find`] selects
-//! the rule of a request by host and longest path prefix; the rule says whether
-//! the request may be repeated, how long it may take and where it goes: to one
-//! service, to one of several by weight ([`Turns`]), or to every shard of a set,
-//! whose records [`greatest`] merges.
+//! the rule of a request by host and longest path prefix. The rule says whether
+//! the request may be retried, how long it may take and where it goes: to one
+//! service, to one of several by weight ([`Turns`]), or to every shard of a set
+//! (a gather), whose records [`greatest`] merges.
 //!
-//! It is not for reading books from anywhere: adapters decode them and call
-//! [`RouteBook::build`], which checks them.
+//! The crate does no I/O: adapters decode the rules and pass them to
+//! [`RouteBook::build`], which validates them.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/book/src/merge.rs
+++ b/crates/book/src/merge.rs
@@ -1,20 +1,19 @@
-//! The greatest records of several parts.
+//! Merges the results of several shards into the greatest records.
 
-/// Bytes of a record.
+/// Size of a record in bytes.
 pub const RECORD: usize = 16;
 
-/// The greatest `top` records of `parts`, greatest first, compared byte by
-/// byte. Equal records all count, and a remainder shorter than a record is
-/// none.
+/// Returns the `top` greatest records of `parts` in descending byte order.
+/// Duplicates are kept; a trailing partial record is ignored.
 ///
-/// Records are compared as big-endian numbers, which orders them as their bytes
-/// do and costs one comparison instead of up to sixteen.
+/// Records are compared as big-endian integers, which gives the same order as
+/// comparing bytes, in a single operation.
 #[must_use]
 pub fn greatest<'a>(parts: impl IntoIterator<Item = &'a [u8]>, top: usize) -> Vec<u8> {
     let mut records: Vec<u128> = Vec::new();
     for part in parts {
-        let whole = part.chunks_exact(RECORD);
-        records.extend(whole.filter_map(|chunk| chunk.try_into().ok().map(u128::from_be_bytes)));
+        let chunks = part.chunks_exact(RECORD);
+        records.extend(chunks.filter_map(|chunk| chunk.try_into().ok().map(u128::from_be_bytes)));
     }
     if top == 0 {
         return Vec::new();
--- a/crates/book/src/rule.rs
+++ b/crates/book/src/rule.rs
@@ -1,40 +1,40 @@
-//! One rule of a book.
+//! Routing rules and the limits that a route book sets.
 
 use std::time::Duration;
 
 use chestnut_unit::{CallRate, ServiceName, Share};
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may be sent to a second back end after one that may have
+/// Whether a request may be sent to another target after a first one may have
 /// run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Running it twice changes nothing.
+    /// Safe to run more than once.
     Idempotent,
-    /// It runs at most once for each attempt of the caller.
+    /// Runs at most once for each attempt of the caller.
     Once,
 }
 
-/// Where requests of a rule go.
+/// The services that requests of a rule are sent to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Target {
-    /// To one service.
+    /// A single service.
     One(ServiceName),
-    /// To one of several, in proportion to their weights.
+    /// One of several services, in proportion to their weights.
     Split(Vec<(ServiceName, u32)>),
-    /// To every shard of a set. Each shard is a service of its own.
+    /// Every shard of a set (scatter-gather), each shard being a service.
     Gather {
         /// The shards.
         shards: Vec<ServiceName>,
-        /// Least share of them that an answer must cover.
+        /// Minimum coverage: the share of shards that an answer must include.
         least: Share,
-        /// Records that an answer holds at most.
+        /// Maximum number of records in an answer.
         top: usize,
     },
 }
 
 impl Target {
-    /// Every service that it names.
+    /// Iterates over all services named by the target.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         let (one, split, shards) = match self {
             Self::One(service) => (Some(service), None, None),
@@ -48,63 +48,64 @@
     }
 }
 
-/// What becomes of requests to one host and path prefix.
+/// How requests to one host and path prefix are routed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rule {
-    /// Its name, for logs.
+    /// Name, for logs.
     pub name: String,
-    /// The host that requests name, without a port.
+    /// Host of the request, without a port.
     pub host: String,
-    /// What their paths begin with. It begins and ends with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// Whether they may be repeated.
+    /// Whether requests may be retried after they may have run.
     pub kind: Kind,
-    /// Back ends that may run one request, for each shard.
+    /// Maximum number of targets that may run one request, for each shard.
     pub attempts: u32,
-    /// Longest time that a caller may be kept waiting.
+    /// Time limit for the whole request.
     pub timeout: Duration,
-    /// Time within which callers want the answer.
+    /// Latency objective.
     pub goal: Duration,
-    /// Its urgency; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub rank: u32,
-    /// Where they go.
+    /// Where requests are sent.
     pub target: Target,
 }
 
-/// What the book says of a service.
+/// Limits of a service's targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRule {
-    /// Connections that one back end of it accepts from all entries together.
+    /// Maximum connections to one target, over all entries.
     pub connections: usize,
-    /// What its back ends take while they are cold, if that is bounded.
+    /// Limit for cold targets, if there is one.
     #[serde(default)]
     pub cold: Option<ColdRule>,
 }
 
-/// What a back end takes while it is cold. It crashes when it gets more.
+/// Call limit of a cold target, that is, a recently started one. A target that
+/// gets more calls while it is cold crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdRule {
-    /// Calls of all entries together.
+    /// Maximum rate of calls, over all entries.
     pub rate: CallRate,
-    /// How long it is cold after its start.
+    /// How long a target is cold after its start.
     pub span: Duration,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Longest time for a head to arrive, from its first byte.
+    /// Time limit for receiving a head, counted from its first byte.
     pub head_time: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Time after which an idle connection is closed.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until a book is known: the sizes that common servers take.
+    /// Applies until a route book is loaded.
     fn default() -> Self {
         Self {
             head: 16 << 10,
--- a/crates/book/tests/book.rs
+++ b/crates/book/tests/book.rs
@@ -1,4 +1,4 @@
-//! The route book: which rule a request finds, and which books are refused.
+//! Rule lookup and validation of the route book.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 #[case("league.example", "a/b/", None)]
 #[case("league.example", "/", None)]
 #[case("other.example", "/a/b/c", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn longest_prefix_of_the_host_is_selected(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_root_prefix_takes_what_nothing_else_does() {
+fn root_prefix_matches_when_no_longer_one_does() {
     let book = book(vec![rule("root", "/"), rule("a", "/a/")]).unwrap();
     assert_eq!(book.find("league.example", "/b").unwrap().name, "root");
     assert_eq!(book.find("league.example", "/a/").unwrap().name, "a");
@@ -68,20 +68,20 @@
     },
     ..rule("r", "/a/")
 })]
-fn a_wrong_rule_is_refused_by_name(#[case] wrong: Rule) {
-    let error = book(vec![wrong]).unwrap_err().to_string();
+fn error_of_an_invalid_rule_names_the_rule(#[case] invalid: Rule) {
+    let error = book(vec![invalid]).unwrap_err().to_string();
     assert!(error.starts_with("route r: "), "{error}");
 }
 
 #[test]
-fn two_rules_for_one_prefix_are_refused() {
+fn two_rules_with_the_same_prefix_are_rejected() {
     let error = book(vec![rule("one", "/a/"), rule("two", "/a/")]).unwrap_err();
     assert!(matches!(error, BookError::Twice(..)), "{error}");
 }
 
-/// Entries pass books on to each other: what arrives is what was sent.
+/// Guards against losing parts of a book when entries send it to each other.
 #[test]
-fn a_book_is_passed_on_whole() {
+fn book_is_unchanged_by_serialization() {
     let gather = Target::Gather {
         shards: vec![service("s1"), service("s2")],
         least: Share::from_permille(890),
--- a/crates/book/tests/delta.rs
+++ b/crates/book/tests/delta.rs
@@ -1,4 +1,4 @@
-//! What makes one version of a book of another.
+//! Differences between versions of the route book.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A book with rules by host and prefix, and services with a number of connections.
+/// Builds a book from rules by host and prefix, and services with a connection limit.
 fn book(version: u64, rules: &[((usize, u8), u8)], services: &[(u8, usize)]) -> RouteBook {
     let rules = rules.iter();
     let rules = rules.map(|((host, prefix), to)| rule(HOSTS[*host], *prefix, *to));
@@ -51,7 +51,7 @@
     serde_json::to_string(book).unwrap()
 }
 
-fn whole(
+fn generated_book(
     rules: std::collections::BTreeMap<(usize, u8), u8>,
     services: std::collections::BTreeMap<u8, usize>,
     version: u64,
@@ -62,18 +62,18 @@
 }
 
 proptest! {
-    /// A delta that has travelled makes the newer book of the older one, and of
-    /// nothing else; what was shared before does not matter.
+    /// A serialized delta must turn its base into the newer book and be rejected for any
+    /// other base, whether or not the two books share rules.
     #[test]
-    fn a_delta_makes_the_newer_version(
+    fn delta_turns_its_base_into_the_newer_book(
         old in btree_map((0usize..2, 0u8..6), 0u8..3, 0..12),
         new in btree_map((0usize..2, 0u8..6), 0u8..3, 0..12),
         open in btree_map(0u8..4, 1usize..3, 0..4),
         close in btree_map(0u8..4, 1usize..3, 0..4),
         shared in any::<bool>(),
     ) {
-        let old = whole(old, open, 4);
-        let mut new = whole(new, close, 7);
+        let old = generated_book(old, open, 4);
+        let mut new = generated_book(new, close, 7);
         let before = text(&new);
         if shared {
             new.share(&old);
@@ -82,7 +82,7 @@
         let read = || serde_json::from_slice::<BookDelta>(&delta).unwrap();
         let made = read().apply(Some(&old)).unwrap();
         prop_assert_eq!(text(&made), &before[..]);
-        let other = whole(Default::default(), Default::default(), 5);
+        let other = generated_book(Default::default(), Default::default(), 5);
         let base = DeltaError::Base(BookVersion(4), BookVersion(5));
         prop_assert_eq!(read().apply(Some(&other)).unwrap_err(), base);
         prop_assert!(read().apply(None).is_err());
@@ -91,10 +91,9 @@
     }
 }
 
-/// One route among thousands that changes costs each entry a book.
-/// The whole book was passed on with every change: 833 KB at 4,251 routes.
+/// Guards against sending the whole book to every entry when one route changes.
 #[test]
-fn a_change_of_one_rule_weighs_as_much_as_the_rule() {
+fn delta_of_one_rule_is_about_as_large_as_the_rule() {
     let rules: Vec<_> = (0..200).map(|n| ((0, n), 1)).collect();
     let old = book(1, &rules, &[(1, 40), (2, 40)]);
     let mut moved = rules.clone();
@@ -105,5 +104,5 @@
     assert_eq!(delta.rules(), 1);
     let bytes = serde_json::to_vec(&delta).unwrap().len();
     let one = serde_json::to_vec(&rule(HOSTS[0], 99, 2)).unwrap().len();
-    assert!(bytes < one + 300, "{bytes} for a rule of {one}");
+    assert!(bytes < one + 300, "{bytes} bytes for a rule of {one}");
 }
--- a/crates/book/tests/models.rs
+++ b/crates/book/tests/models.rs
@@ -1,9 +1,9 @@
-//! The merge and the split against naive versions.
+//! Property tests of the merge and of the weighted round-robin.
 
 use chestnut_book::{RECORD, Turns, greatest};
 use proptest::{collection::vec, prelude::*};
 
-fn naive(parts: &[Vec<u8>], top: usize) -> Vec<u8> {
+fn sort_and_truncate(parts: &[Vec<u8>], top: usize) -> Vec<u8> {
     let mut records: Vec<&[u8]> = parts.iter().flat_map(|p| p.chunks_exact(RECORD)).collect();
     records.sort_by(|a, b| b.cmp(a));
     records.truncate(top);
@@ -11,20 +11,21 @@
 }
 
 proptest! {
-    /// Bytes are drawn from few values, so that equal records are common.
+    /// The optimised merge must give the same result as sorting all records. Few byte
+    /// values make duplicates common.
     #[test]
-    fn the_merge_is_the_naive_one(
+    fn merge_equals_sorting_all_records(
         parts in vec(vec(prop_oneof![Just(0u8), Just(1), Just(255)], 0..100), 0..6),
         top in 0usize..12,
     ) {
         let merged = greatest(parts.iter().map(Vec::as_slice), top);
-        prop_assert_eq!(merged, naive(&parts, top));
+        prop_assert_eq!(merged, sort_and_truncate(&parts, top));
     }
 
-    /// Over any number of turns each service is within one turn of its share
-    /// for each service beside it.
+    /// Guards against drift: after any number of turns, each service's count must be
+    /// close to its weighted share.
     #[test]
-    fn turns_keep_to_the_weights(weights in vec(0u32..50, 1..5), start in 0u64..200, turns in 1usize..400) {
+    fn turn_counts_follow_the_weights(weights in vec(0u32..50, 1..5), start in 0u64..200, turns in 1usize..400) {
         let sum: u32 = weights.iter().sum();
         let mut state = Turns::default();
         let mut counts = vec![0usize; weights.len()];
