--- a/crates/book/tests/delta.rs
+++ b/crates/book/tests/delta.rs
@@ -62,8 +62,8 @@
 }
 
 proptest! {
-    /// A serialized delta must turn its base into the newer book and be rejected for any
-    /// other base, whether or not the two books share rules.
+    /// A serialized delta must turn its base into the newer book and be rejected for
+    /// any other base, whether or not the two books share rules.
     #[test]
     fn delta_turns_its_base_into_the_newer_book(
         old in btree_map((0usize..2, 0u8..6), 0u8..3, 0..12),
--- a/crates/conf/src/book.rs
+++ b/crates/conf/src/book.rs
@@ -1,4 +1,4 @@
-//! The copy of the configuration that an entry acts on.
+//! An entry's copy of the configuration objects.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,135 +10,138 @@
 
 use crate::{Evacuation, Kind, Object, ObjectKey, OrgPolicy, Organisation, Stored, Template};
 
-/// What became of an object offered to the book.
+/// Outcome of applying an object to the book.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is newer than what was held and is in force now.
+    /// The object was newer and has been stored.
     New,
-    /// It is what was held already.
+    /// This version was stored already.
     Same,
-    /// It is older than what is held and was dropped.
+    /// The object was older and has been dropped.
     Old,
 }
 
-/// An object that is held.
+/// A stored version of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// Its version.
+    /// Version of the object.
     pub version: u64,
-    /// Its value.
+    /// Value of the object.
     pub value: serde_json::Value,
 }
 
-/// Name and version of each object of one kind.
+/// Versions of all objects of one kind, by name.
 pub type Versions = BTreeMap<String, u64>;
 
-/// A digest of all names and versions that a book holds. Two books with the
-/// same digest hold the same versions, but for a chance of one in 2^64.
+/// Hash of the keys and versions of all objects in a book. Books with equal
+/// digests hold the same versions, barring a 64-bit hash collision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BookDigest(pub u64);
 
-/// The newest known version of every object, which never goes back.
+/// The newest known version of every configuration object.
 ///
-/// A stale read of the platform, a slow peer or a late message would otherwise
-/// put an old version in force again; comparing versions at this one place is
-/// enough because every path by which configuration arrives ends here, and
-/// versions of one object only grow.
+/// All received configuration passes through [`Book::apply`], which drops older
+/// versions, so that a stale read, a slow peer or a delayed message can't restore
+/// outdated configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    held: BTreeMap<ObjectKey, Held>,
+    objects: BTreeMap<ObjectKey, Held>,
     digest: u64,
 }
 
 impl Book {
-    /// Takes an object from the platform or a peer.
+    /// Stores an object from the platform or a peer if it is newer than the stored
+    /// version.
     pub fn apply(&mut self, object: Object) -> Applied {
-        if let Some(held) = self.held.get(&object.key) {
-            if held.version == object.version {
+        if let Some(stored) = self.objects.get(&object.key) {
+            if stored.version == object.version {
                 return Applied::Same;
             }
-            if held.version > object.version {
+            if stored.version > object.version {
                 return Applied::Old;
             }
-            self.digest ^= mark(&object.key, held.version);
+            self.digest ^= hash_version(&object.key, stored.version);
         }
-        self.digest ^= mark(&object.key, object.version);
-        let held = Held {
+        self.digest ^= hash_version(&object.key, object.version);
+        let stored = Held {
             version: object.version,
             value: object.value,
         };
-        self.held.insert(object.key, held);
+        self.objects.insert(object.key, stored);
         Applied::New
     }
 
-    /// The object that is held under a name.
+    /// Returns the stored object of a kind and name.
     #[must_use]
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Held> {
         let key = ObjectKey {
             kind,
             name: name.to_owned(),
         };
-        self.held.get(&key)
+        self.objects.get(&key)
     }
 
-    /// All objects of one kind, by name.
+    /// Iterates over all objects of one kind, ordered by name.
     pub fn list(&self, kind: Kind) -> impl Iterator<Item = (&str, &Held)> {
         let first = ObjectKey {
             kind,
             name: String::new(),
         };
-        self.held
+        self.objects
             .range((Bound::Included(first), Bound::Unbounded))
             .take_while(move |(key, _)| key.kind == kind)
-            .map(|(key, held)| (key.name.as_str(), held))
+            .map(|(key, object)| (key.name.as_str(), object))
     }
 
-    /// Names and versions of all objects of one kind.
+    /// Returns the versions of all objects of one kind.
     #[must_use]
     pub fn versions(&self, kind: Kind) -> Versions {
         self.list(kind)
-            .map(|(name, held)| (name.to_owned(), held.version))
+            .map(|(name, object)| (name.to_owned(), object.version))
             .collect()
     }
 
-    /// The objects that are newer here than in `theirs`, or unknown there.
+    /// Returns the objects that are newer than in `theirs` or missing there.
     #[must_use]
     pub fn newer_than(&self, theirs: &BTreeMap<ObjectKey, u64>) -> Vec<Object> {
-        self.held
+        self.objects
             .iter()
-            .filter(|(key, held)| theirs.get(key).is_none_or(|v| *v < held.version))
-            .map(|(key, held)| Object {
+            .filter(|(key, object)| theirs.get(key).is_none_or(|v| *v < object.version))
+            .map(|(key, object)| Object {
                 key: key.clone(),
-                version: held.version,
-                value: held.value.clone(),
+                version: object.version,
+                value: object.value.clone(),
             })
             .collect()
     }
 
-    /// Every key with its version, to ask a peer for what is newer there.
+    /// Returns all keys with their versions, with which to request newer objects from
+    /// a peer.
     #[must_use]
     pub fn keys(&self) -> BTreeMap<ObjectKey, u64> {
-        self.held
+        self.objects
             .iter()
-            .map(|(key, held)| (key.clone(), held.version))
+            .map(|(key, object)| (key.clone(), object.version))
             .collect()
     }
 
-    /// The digest of all that is held.
+    /// Returns the digest of the book.
     #[must_use]
     pub fn digest(&self) -> BookDigest {
         BookDigest(self.digest)
     }
 
-    /// A value of the platform's own kinds, parsed.
+    /// Parses the value of an object that the platform writes, such as a service, and
+    /// returns it with its version.
     #[must_use]
     pub fn parse<T: DeserializeOwned>(&self, kind: Kind, name: &str) -> Option<(u64, T)> {
-        let held = self.get(kind, name)?;
-        let value = T::deserialize(&held.value).ok()?;
-        Some((held.version, value))
+        let object = self.get(kind, name)?;
+        let value = T::deserialize(&object.value).ok()?;
+        Some((object.version, value))
     }
 
-    /// A template or organisation, unwrapped from its edits and parsed.
+    /// Parses the specification of an object that operators edit, such as a template,
+    /// and returns it with its version.
     #[must_use]
     pub fn parse_spec<T: DeserializeOwned>(&self, kind: Kind, name: &str) -> Option<(u64, T)> {
         let (version, stored): (u64, Stored) = self.parse(kind, name)?;
@@ -146,7 +149,8 @@
         Some((version, spec))
     }
 
-    /// The policy of an organisation, if it and its template are held.
+    /// Returns the policy of an organisation, if it and its template are known and
+    /// valid.
     #[must_use]
     pub fn policy(&self, org: &OrgName) -> Option<OrgPolicy> {
         let (org_version, org): (u64, Organisation) =
@@ -158,7 +162,7 @@
         ))
     }
 
-    /// Failure domains that are evacuated.
+    /// Returns the failure domains that are evacuated.
     #[must_use]
     pub fn evacuated(&self) -> BTreeSet<DomainName> {
         let names = self.list(Kind::Evacuation).map(|(name, _)| name);
@@ -166,21 +170,21 @@
             let spec = self.parse_spec::<Evacuation>(Kind::Evacuation, name);
             spec.is_some_and(|(_, spec)| spec.evacuated)
         });
-        // The check of an edit refuses names that are none.
+        // Edits with invalid names are rejected, so every stored name should parse.
         evacuated
             .filter_map(|name| DomainName::new(name).ok())
             .collect()
     }
 
-    /// A template, parsed.
+    /// Parses a template and returns it with its version.
     #[must_use]
     pub fn template(&self, name: &TemplateName) -> Option<(u64, Template)> {
         self.parse_spec(Kind::Template, name.as_str())
     }
 }
 
-/// FNV-1a over key and version: cheap, and the same on every entry.
-fn mark(key: &ObjectKey, version: u64) -> u64 {
+/// Hashes a key and version with FNV-1a, which gives the same value on every entry.
+fn hash_version(key: &ObjectKey, version: u64) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let bytes = key
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings and of the objects that operators edit.
+//! Errors in settings files and in objects that operators edit.
 
 use std::path::PathBuf;
 
@@ -9,45 +9,45 @@
 pub enum SettingsError {
     /// can't read {path}: {source}. Give an existing file to --config.
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// {path}: {message}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Line, key and cause, from the TOML library.
+        /// Line, key and cause, as the TOML parser reports them.
         message: String,
     },
     /// {path}: {key}: {problem}. {mend}
     Value {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The dotted key.
         key: &'static str,
         /// What is wrong with its value.
         problem: String,
-        /// What to write instead.
+        /// How to fix it.
         mend: &'static str,
     },
 }
 
 impl std::error::Error for SettingsError {}
 
-/// Why an object that an operator wrote is not accepted: {key}: {problem}
+/// Why an object that an operator wrote is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[displaydoc("{key}: {problem}")]
 pub struct CheckError {
     /// The dotted key in the object.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong and what is allowed.
     pub problem: String,
 }
 
 impl CheckError {
-    /// An error at `key`.
+    /// Makes an error for `key`.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
             key: key.into(),
--- a/crates/conf/src/evacuation.rs
+++ b/crates/conf/src/evacuation.rs
@@ -1,11 +1,11 @@
-//! Failure domains whose leafs get no calls.
+//! Evacuation: taking all traffic away from the leafs of a failure domain.
 
 use serde::{Deserialize, Serialize};
 
-/// What an operator wants of a failure domain, which names the object.
+/// Whether a failure domain is evacuated. The object's name is the domain's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Evacuation {
-    /// Whether its leafs get no calls.
+    /// If true, the domain's leafs get no calls.
     pub evacuated: bool,
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,9 @@
-//! What is configured: the settings of one daemon (TOML) and the templates,
-//! organisations and services that live in the platform's object API (JSON).
+//! Configuration: the settings of one daemon (TOML) and the templates,
+//! organisations and services stored in the platform's object API (JSON).
 //!
-//! The crate checks and orders configuration. It reads no file of its own
-//! accord except in [`Settings::open`], and talks to nobody.
+//! The crate parses and validates configuration and keeps the newest version of
+//! each object. It reads files only in [`Settings::open`] and [`read_settings`],
+//! and does no network I/O.
 //!
 //! ```
 //! use chestnut_conf::{Applied, Book, Kind, Object, ObjectKey};
--- a/crates/conf/src/object.rs
+++ b/crates/conf/src/object.rs
@@ -1,16 +1,16 @@
-//! Objects of the platform's object API.
+//! Objects of the platform's object API, in which configuration is stored.
 
 use std::{fmt, str::FromStr};
 
 use chestnut_unit::Wall;
 use serde::{Deserialize, Serialize};
 
-/// How many past edits an object keeps for `history` and for settling a write
-/// whose answer was lost. A write is settled within seconds, so an edit would
-/// have to be followed by this many others in that time to be missed.
+/// Maximum number of past edits kept in an object. They serve `history` and tell
+/// whether a write whose answer was lost took effect, which fails only if this many
+/// other edits follow it before the check.
 pub const EDITS_KEPT: usize = 32;
 
-/// The kinds of object that the tier reads or writes.
+/// Kinds of objects in the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -20,16 +20,16 @@
     Organisation,
     /// Services and their leafs, written by the platform.
     Service,
-    /// Layouts of index versions, written by the platform.
+    /// Shard layouts of index versions, written by the platform.
     Layout,
-    /// Which failure domains are evacuated, edited by operators.
+    /// Evacuations of failure domains, edited by operators.
     Evacuation,
     /// Batches of refusal records, written by entries.
     Refusal,
 }
 
 impl Kind {
-    /// The kinds that every entry keeps a copy of.
+    /// The kinds that are replicated to every entry.
     pub const SPREAD: [Kind; 5] = [
         Kind::Template,
         Kind::Organisation,
@@ -38,7 +38,7 @@
         Kind::Evacuation,
     ];
 
-    /// The word in paths of the object API.
+    /// Returns the name used in paths of the object API.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -73,9 +73,9 @@
 /// Kind and name of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// Its kind.
+    /// Kind of object.
     pub kind: Kind,
-    /// Its name within the kind.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
@@ -85,13 +85,13 @@
     }
 }
 
-/// An object as the platform keeps it. Versions of one object only grow.
+/// An object as the platform stores it. Each change increases its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
     /// Kind and name.
     #[serde(flatten)]
     pub key: ObjectKey,
-    /// Version; 1 is the first.
+    /// Version, starting at 1.
     pub version: u64,
     /// The value.
     pub value: serde_json::Value,
@@ -100,29 +100,30 @@
 /// One accepted edit of an object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Random name of the edit, chosen by whoever made it.
+    /// Random identifier, chosen by the client that made the edit.
     pub id: String,
-    /// The version that it made.
+    /// Version of the object that resulted.
     pub version: u64,
-    /// Who made it, as the operator states.
+    /// Author, as stated by the operator.
     pub by: String,
-    /// When, by the entry's clock.
+    /// Time of the edit, by the entry's clock.
     pub at: Wall,
 }
 
-/// Value of a template or organisation object: what operators write, wrapped
-/// with the edits that led to it.
+/// Value of an object that operators edit: its specification with its latest
+/// edits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stored {
-    /// What the operator wrote.
+    /// Specification, as the operator wrote it.
     pub spec: serde_json::Value,
     /// The latest edits, oldest first.
     pub edits: Vec<Edit>,
 }
 
 impl Stored {
-    /// The value that `edit` makes of `spec`, keeping earlier edits.
+    /// Returns a value with the new `spec` and with `edit` appended to the earlier
+    /// edits, of which the oldest are dropped beyond [`EDITS_KEPT`].
     #[must_use]
     pub fn next(earlier: Option<&Stored>, spec: serde_json::Value, edit: Edit) -> Self {
         let mut edits: Vec<Edit> = earlier.map(|s| s.edits.clone()).unwrap_or_default();
--- a/crates/conf/src/organisation.rs
+++ b/crates/conf/src/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: a template and the parameters filled in.
+//! Organisations (customers), each a template with parameters.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +10,41 @@
     template::{check_limits, check_reasons},
 };
 
-/// What an organisation changes of one call type.
+/// Overrides of one call type of the template.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallParams {
-    /// A lower urgency than the template's.
+    /// Urgency, which may not be above the template's.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub urgency: Option<Urgency>,
-    /// The optional reasons that it may be refused for, in place of the
+    /// Optional reasons for which a call may be refused, in place of the
     /// template's.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<Vec<Reason>>,
 }
 
-/// An organisation.
+/// An organisation, based on a template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Its template.
+    /// Name of its template.
     pub template: TemplateName,
-    /// The services it may reach; each must be among the template's.
+    /// Services that it may call; each must be one of the template's.
     pub services: Vec<ServiceName>,
-    /// What it changes of the template's call types.
+    /// Overrides of the template's call types.
     #[serde(default)]
     pub calls: BTreeMap<CallType, CallParams>,
-    /// Its limits, in place of the template's.
+    /// Limits, in place of the template's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<OrgLimits>,
 }
 
 impl Organisation {
-    /// Checks the organisation against its template.
+    /// Validates the organisation against its template.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong and what would be right.
+    /// Names the first invalid key and what is allowed.
     pub fn check(&self, template: &Template) -> Result<(), CheckError> {
         if self.services.is_empty() {
             return Err(CheckError::new("services", "list at least one service"));
--- a/crates/conf/src/policy.rs
+++ b/crates/conf/src/policy.rs
@@ -1,4 +1,4 @@
-//! What one organisation may do, worked out from its template and parameters.
+//! An organisation's policy, derived from its template and parameters.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::{Call, CallKind, OrgLimits, Organisation, Template};
 
-/// Why a call is not within an organisation's policy.
+/// Why an organisation's policy does not allow a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum PolicyError {
     /// the template has no such call type
@@ -21,7 +21,7 @@
 impl std::error::Error for PolicyError {}
 
 impl PolicyError {
-    /// The reason code of the refusal.
+    /// Returns the reason code of the refusal.
     #[must_use]
     pub fn reason(self) -> Reason {
         match self {
@@ -31,50 +31,50 @@
     }
 }
 
-/// The policy of one call type for one organisation.
+/// Policy of one call type for one organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallPolicy {
-    /// Query or submission.
+    /// Whether the call is a query or a submission.
     pub kind: CallKind,
-    /// The services that it may be made to.
+    /// Services that may be called.
     pub services: Vec<ServiceName>,
-    /// How urgent it is.
+    /// Urgency.
     pub urgency: Urgency,
-    /// The least share of shards that an answer must cover.
+    /// Minimum coverage: the share of shards that an answer must include.
     pub least: Share,
-    /// The optional reasons that it may be refused for.
+    /// Optional reasons for which the call may be refused.
     pub refuse: Vec<Reason>,
-    /// Deadline of a request that states none.
+    /// Default deadline, for requests that state none.
     pub deadline: Duration,
 }
 
 impl CallPolicy {
-    /// Whether the call may be refused for the optional `reason`.
+    /// Returns whether the call may be refused for the optional `reason`.
     #[must_use]
     pub fn may_refuse(&self, reason: Reason) -> bool {
         self.refuse.contains(&reason)
     }
 }
 
-/// The policy of one organisation, with the versions that it was made from.
+/// Policy of one organisation, with the object versions it was derived from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrgPolicy {
-    /// Version of the template object.
+    /// Version of the template.
     pub template: u64,
-    /// Version of the organisation object.
+    /// Version of the organisation.
     pub organisation: u64,
-    /// Its call types.
+    /// Policies by call type.
     pub calls: BTreeMap<CallType, CallPolicy>,
-    /// Its limits.
+    /// Limits of the organisation.
     pub limits: OrgLimits,
-    /// How long it may be served on unconfirmed settings.
+    /// How long an entry may serve the organisation on unconfirmed configuration.
     pub unconfirmed: Duration,
 }
 
 impl OrgPolicy {
-    /// Lays the organisation's parameters over its template. A parameter that
-    /// a later edit of the template made illegal loses: an organisation never
-    /// gets more than its template gives.
+    /// Applies the organisation's parameters to its template. A service or urgency
+    /// that a later edit of the template no longer allows is ignored, so that an
+    /// organisation never gets more than its template grants.
     #[must_use]
     pub fn resolve(template: (u64, &Template), organisation: (u64, &Organisation)) -> Self {
         let (template_version, template) = template;
@@ -93,12 +93,12 @@
         }
     }
 
-    /// The policy of a call to `service`.
+    /// Returns the policy of a call to `service`.
     ///
     /// # Errors
     ///
-    /// The call type is unknown or of the other kind, or the service is not
-    /// one that the organisation may reach by it.
+    /// The call type is unknown or not of this kind, or the organisation may not
+    /// use it to call the service.
     pub fn call(
         &self,
         name: &CallType,
@@ -116,6 +116,7 @@
     }
 }
 
+/// Applies the organisation's parameters to one call type of its template.
 fn resolve_call(
     template: &Template,
     org: &Organisation,
@@ -123,10 +124,10 @@
     call: &Call,
 ) -> CallPolicy {
     let params = org.calls.get(name).cloned().unwrap_or_default();
-    let open = |s: &&ServiceName| org.services.contains(s) && template.services.contains(s);
+    let allowed = |s: &&ServiceName| org.services.contains(s) && template.services.contains(s);
     CallPolicy {
         kind: call.kind,
-        services: call.services.iter().filter(open).cloned().collect(),
+        services: call.services.iter().filter(allowed).cloned().collect(),
         urgency: params.urgency.unwrap_or(call.urgency).max(call.urgency),
         least: call.answer.least(),
         refuse: params.refuse.unwrap_or_else(|| call.refuse.clone()),
--- a/crates/conf/src/service.rs
+++ b/crates/conf/src/service.rs
@@ -1,4 +1,5 @@
-//! Services: the leafs that may hold shards, as the platform lists them.
+//! Services and their leafs, the targets that serve shards, as the platform lists
+//! them.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -11,35 +12,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leaf {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain in which it runs.
     pub domain: DomainName,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Connections that it accepts from all entries together.
+    /// Maximum number of connections, over all entries.
     pub connections: u32,
-    /// The group of leafs whose holders are chosen together.
+    /// Group of leafs to which the same entries connect.
     pub group: u32,
 }
 
-/// A service and the index versions that its leafs may serve.
+/// A service: its leafs and the index versions being served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its leafs.
+    /// Leafs by name.
     pub leafs: BTreeMap<LeafId, Leaf>,
-    /// Index versions that are being served, each with a layout object named
+    /// Index versions being served. Each has a layout object named
     /// `SERVICE.VERSION`.
     pub versions: Vec<IndexVersion>,
 }
 
 impl Service {
-    /// Checks that the service can be routed to.
+    /// Checks that requests can be routed to the service.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong and what would be right.
+    /// Names the first invalid key and what is allowed.
     pub fn check(&self) -> Result<(), CheckError> {
         for (id, leaf) in &self.leafs {
             if leaf.slots == 0 {
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, from a TOML file.
+//! Settings of one daemon, read from a TOML file.
 
 use std::{
     net::SocketAddr,
@@ -11,63 +11,63 @@
 
 use crate::{SettingsError, span};
 
-/// Settings of one daemon.
+/// All settings of one daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this entry is.
+    /// Identity of this entry.
     pub entry: EntrySettings,
-    /// Where it listens.
+    /// Listening addresses.
     pub listen: Listen,
     /// The platform's object API.
     pub platform: PlatformSettings,
-    /// Limits towards callers.
+    /// Limits on callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Routing.
+    /// Routing of calls to leafs.
     #[serde(default)]
     pub route: RouteSettings,
     /// Membership, addresses and configuration.
     #[serde(default)]
     pub control: Control,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who this entry is.
+/// Identity of an entry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Its name, unique among the entries.
+    /// Name, unique among all entries.
     pub member: MemberId,
-    /// Its failure domain.
+    /// Failure domain in which it runs.
     pub domain: DomainName,
 }
 
-/// Where an entry listens.
+/// Listening addresses of an entry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers, HTTP.
+    /// HTTP address for callers.
     pub callers: SocketAddr,
-    /// Operators, HTTP.
+    /// HTTP address for operators.
     pub operators: SocketAddr,
-    /// Peers: TCP for calls and UDP for probes, on the same port.
+    /// Address for peers: TCP for calls and UDP for probes on the same port.
     pub peers: SocketAddr,
 }
 
-/// The platform's object API.
+/// How to reach the platform's object API.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// Address of the API.
     pub address: SocketAddr,
-    /// Bound on one call, the waiting of a watch apart.
+    /// Timeout of one call, not counting the time that a watch waits.
     #[serde(with = "span", default = "platform_timeout")]
     pub timeout: Duration,
-    /// How long one watch call waits for a change. Settings are confirmed each
-    /// time one returns, so their age stays below twice this.
+    /// How long one watch call waits for a change. Configuration is confirmed each
+    /// time one returns, so it is normally confirmed within twice this time.
     #[serde(with = "span", default = "platform_watch")]
     pub watch: Duration,
 }
@@ -80,23 +80,23 @@
     Duration::from_secs(4)
 }
 
-/// Limits towards callers.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub body: ByteSize,
-    /// Largest answer of one leaf call or sub-query.
+    /// Maximum size of the answer to one leaf call or sub-query.
     pub answer: ByteSize,
-    /// Longest deadline that a caller may state.
+    /// Longest deadline that a caller may request.
     #[serde(with = "span")]
     pub deadline: Duration,
-    /// How long a caller may take to send its request.
+    /// Time limit for receiving a request head, and again for the body.
     #[serde(with = "span")]
     pub patience: Duration,
-    /// Open connections from callers.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Most header lines in a request.
+    /// Maximum number of header lines in a request.
     pub headers: usize,
 }
 
@@ -113,31 +113,32 @@
     }
 }
 
-/// How a replica is chosen. All but the first are there to compare with.
+/// How a replica of a shard is selected. Only `PeakEwma` is meant for production
+/// use; the others serve as baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaChoice {
-    /// By the highest recent duration and the outstanding calls.
+    /// By a peak-sensitive moving average of latency and the outstanding calls.
     PeakEwma,
-    /// By the outstanding calls alone.
+    /// By the number of outstanding calls.
     LeastOutstanding,
-    /// In turn.
+    /// Each replica in turn.
     RoundRobin,
 }
 
-/// Routing.
+/// Routing of calls to leafs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouteSettings {
-    /// Extra leaf calls that hedges may add, as a share of first calls.
+    /// Hedge budget, as a share of first calls.
     pub hedge: Share,
-    /// Extra leaf calls that retries may add, as a share of first calls.
+    /// Retry budget, as a share of first calls.
     pub retry: Share,
-    /// How a replica is chosen.
+    /// How a replica is selected.
     pub choice: ReplicaChoice,
-    /// Requests that may wait for admission, for each service.
+    /// Maximum number of requests queued for admission, per service.
     pub queue: usize,
-    /// Most connections that this entry opens to one leaf.
+    /// Maximum number of connections that this entry opens to one leaf.
     pub pool: usize,
 }
 
@@ -157,27 +158,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Peers to try while the platform can't be reached at start.
+    /// Peers to contact if the platform is unreachable at start.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two probes of a member.
+    /// Interval between failure detector probes.
     #[serde(with = "span")]
     pub probe: Duration,
-    /// How long callers keep the list of entries.
+    /// How long callers may cache the list of entries.
     #[serde(with = "span")]
     pub ttl: Duration,
-    /// Connections that one entry keeps to a leaf; a leaf's limit divided by
-    /// this is the number of its holders.
+    /// Connections to one leaf reserved for each entry that connects to it. With the
+    /// leaf's connection limit it determines how many entries may do so.
     pub share: u32,
-    /// How long a ticket lives.
+    /// Lifetime of a ticket, which identifies one submission.
     #[serde(with = "span")]
     pub ticket: Duration,
-    /// Time between two writes of refusal records to the platform.
+    /// Interval between writes of refusal records to the platform.
     #[serde(with = "span")]
     pub records: Duration,
-    /// Longest time a planned stop waits for requests in flight.
+    /// Maximum time that a graceful shutdown waits for requests in flight.
     #[serde(with = "span")]
     pub grace: Duration,
-    /// Key of the check value in receipts; the same at every entry.
+    /// Secret from which the key of receipts' check values is derived; the same at
+    /// every entry.
     pub secret: String,
 }
 
@@ -196,40 +198,39 @@
     }
 }
 
-/// Form of log lines.
+/// Output format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least severity that is logged. Routing decisions are logged at `debug`,
-/// placement decisions and refusals at `info`.
+/// Minimum severity of log messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Faults only.
+    /// Errors only.
     Error,
-    /// Faults and what may become one.
+    /// Also warnings.
     Warning,
-    /// Placement decisions and refusals too.
+    /// Also placement decisions and refusals.
     #[default]
     Info,
-    /// Each routing decision too.
+    /// Also each routing decision.
     Debug,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Output format.
     pub format: LogFormat,
-    /// Least severity.
+    /// Minimum severity.
     pub level: LogLevel,
 }
 
@@ -246,21 +247,21 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, is not TOML of this form, or holds values that
-    /// clash. The error names the file, the key and the mend.
+    /// The file can't be read, does not match the schema, or contains invalid or
+    /// conflicting values. The error names the file, the key and how to fix it.
     pub fn open(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read_settings(path)?, path)
     }
 
-    /// Parses and checks the text of a settings file named `path`.
+    /// Parses and validates the text of a settings file; `path` is used in errors.
     ///
     /// # Errors
     ///
-    /// As [`Settings::open`], the reading apart.
+    /// As for [`Settings::open`], except for reading the file.
     pub fn parse(text: &str, path: &Path) -> Result<Self, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Parse {
             path: path.to_owned(),
@@ -280,8 +281,8 @@
             })
         };
         if self.listen.callers == self.listen.operators && self.listen.callers.port() != 0 {
-            let problem = format!("{} is listen.callers too", self.listen.operators);
-            return fail("listen.operators", problem, "Give it a port of its own.");
+            let problem = format!("{} is also listen.callers", self.listen.operators);
+            return fail("listen.operators", problem, "Use a different port.");
         }
         if self.limits.body.0 == 0 || self.limits.body.0 > MAX_BODY {
             let problem = format!("{} is out of range", self.limits.body);
@@ -289,35 +290,45 @@
         }
         if self.control.probe < MIN_PROBE || self.control.probe > MAX_PROBE {
             let problem = format!("{:?} is out of range", self.control.probe);
-            return fail("control.probe", problem, "Write a span from 50ms to 10s.");
+            return fail(
+                "control.probe",
+                problem,
+                "Write a duration from 50ms to 10s.",
+            );
         }
         if self.control.share == 0 {
-            let problem = "0 leaves no connection to any leaf".to_owned();
+            let problem = "0 allows no connection to any leaf".to_owned();
             return fail("control.share", problem, "Write 1 or more.");
         }
         if self.route.pool == 0 || self.route.pool > self.control.share as usize {
-            let problem = format!("{} is not within control.share", self.route.pool);
-            return fail("route.pool", problem, "Write 1 up to control.share.");
+            let problem = format!("{} is not between 1 and control.share", self.route.pool);
+            return fail(
+                "route.pool",
+                problem,
+                "Write a number from 1 to control.share.",
+            );
         }
         if self.platform.watch < MIN_WATCH || self.platform.watch > MAX_WATCH {
             let problem = format!("{:?} is out of range", self.platform.watch);
-            return fail("platform.watch", problem, "Write a span from 1s to 4s.");
+            return fail("platform.watch", problem, "Write a duration from 1s to 4s.");
         }
         if self.control.ttl.is_zero() {
-            let problem = "0 would make callers ask before each call".to_owned();
-            return fail("control.ttl", problem, "Write a span such as 5s.");
+            let problem =
+                "0 would make callers fetch the list of entries before each call".to_owned();
+            return fail("control.ttl", problem, "Write a duration such as 5s.");
         }
         Ok(())
     }
 }
 
-/// Largest body limit: bodies are held in memory while a request is served.
+/// Largest allowed body limit, in bytes; bodies are kept in memory.
 const MAX_BODY: u64 = 16 << 20;
-/// Shortest probe interval: below it probes alone pass the control budget.
+/// Shortest probe interval, which limits the traffic of probes.
 const MIN_PROBE: Duration = Duration::from_millis(50);
-/// Shortest watch: each return is a read of the platform.
+/// Shortest watch, which limits the rate of reads from the platform.
 const MIN_WATCH: Duration = Duration::from_secs(1);
-/// Longest watch: templates may ask for settings confirmed ten seconds ago.
+/// Longest watch, so that configuration is confirmed within the shortest
+/// `unconfirmed` time that a template may set.
 const MAX_WATCH: Duration = Duration::from_secs(4);
-/// Longest probe interval: above it a death is not known within seconds.
+/// Longest probe interval, so that failures are detected within seconds.
 const MAX_PROBE: Duration = Duration::from_secs(10);
--- a/crates/conf/src/span.rs
+++ b/crates/conf/src/span.rs
@@ -1,16 +1,16 @@
-//! Serde form of a span of time: `52ms`, `18s`, `5m`, `1h`.
+//! Serde format of durations: `52ms`, `18s`, `5m`, `1h`.
 
 use std::time::Duration;
 
 use chestnut_unit::parse_span;
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// Writes the span in whole milliseconds.
-pub fn serialize<S: Serializer>(span: &Duration, s: S) -> Result<S::Ok, S::Error> {
-    s.collect_str(&format_args!("{}ms", span.as_millis()))
+/// Writes a duration in whole milliseconds.
+pub fn serialize<S: Serializer>(duration: &Duration, s: S) -> Result<S::Ok, S::Error> {
+    s.collect_str(&format_args!("{}ms", duration.as_millis()))
 }
 
-/// Reads a span with its unit.
+/// Reads a duration with its unit.
 pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(d)?;
     parse_span(&text).map_err(serde::de::Error::custom)
--- a/crates/conf/src/template.rs
+++ b/crates/conf/src/template.rs
@@ -1,4 +1,4 @@
-//! Templates, from which organisations are made.
+//! Templates: the call types, services and limits that organisations share.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,38 +7,39 @@
 
 use crate::{CheckError, span};
 
-/// Shortest deadline that a call type may have by default.
+/// Shortest default deadline of a call type.
 const DEADLINE_MIN: Duration = Duration::from_millis(1);
-/// Longest deadline that a call type may have by default.
+/// Longest default deadline of a call type.
 const DEADLINE_MAX: Duration = Duration::from_secs(600);
-/// Shortest span of serving on unconfirmed settings. Below it entries would
-/// refuse between two confirmations while nothing is wrong.
+/// Shortest allowed `unconfirmed` time. With a shorter one, entries would refuse
+/// requests between two regular confirmations.
 const UNCONFIRMED_MIN: Duration = Duration::from_secs(10);
-/// The reasons that a template may permit or withhold. All others state facts.
+/// Reasons that a template may allow or forbid. All others always apply.
 const OPTIONAL_REASONS: [Reason; 2] = [Reason::OrgLimit, Reason::Overload];
 
 /// Whether a call reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallKind {
-    /// A query, which may be repeated freely.
+    /// A query, which is safe to repeat.
     Query,
     /// A submission, which takes effect at most once.
     Submit,
 }
 
-/// Which answers a call takes.
+/// Which answers a call accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Answer {
-    /// Whole answers only.
+    /// Only answers that cover all shards.
     Whole,
-    /// Answers that cover at least this share of the shards, always labelled.
+    /// Answers that cover at least this share of the shards and state their
+    /// coverage.
     Least(Share),
 }
 
 impl Answer {
-    /// The least share of shards that an answer must cover.
+    /// Returns the minimum coverage: the share of shards that an answer must include.
     #[must_use]
     pub fn least(self) -> Share {
         match self {
@@ -52,56 +53,56 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// Query or submission.
+    /// Whether it is a query or a submission.
     pub kind: CallKind,
-    /// The services that it may be made to.
+    /// Services that may be called.
     pub services: Vec<ServiceName>,
-    /// How urgent it is; an organisation may lower it, not raise it.
+    /// Urgency; an organisation may lower it but not raise it.
     pub urgency: Urgency,
-    /// Which answers it takes.
+    /// Which answers it accepts.
     pub answer: Answer,
-    /// Which optional reasons it may be refused for: `organisation_limit` and
-    /// `overload`. A call that may not be refused for overload
-    /// waits for its turn until its deadline can't be met.
+    /// Optional reasons for which it may be refused: `organisation_limit` and
+    /// `overload`. A call that may not be refused for overload is queued until
+    /// its deadline can't be met.
     pub refuse: Vec<Reason>,
-    /// Deadline of a request that states none.
+    /// Default deadline, for requests that state none.
     #[serde(with = "span")]
     pub deadline: Duration,
 }
 
-/// What one organisation may use of the tier, over all entries together.
+/// Limits of one organisation, over all entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrgLimits {
-    /// Requests a second.
+    /// Maximum rate of requests.
     pub rate: Rate,
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub flight: u32,
 }
 
-/// A template.
+/// What the organisations of a template may call and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// The services that its organisations may be given.
+    /// Services that its organisations may be allowed to call.
     pub services: Vec<ServiceName>,
-    /// Its call types.
+    /// Call types by name.
     pub calls: BTreeMap<CallType, Call>,
-    /// Limits of an organisation that states none of its own.
+    /// Default limits, for organisations that state none.
     pub limits: OrgLimits,
-    /// How long an entry may serve its organisations on settings that nobody
-    /// has confirmed. A longer span serves on through a split of the regions;
-    /// a shorter one refuses sooner.
+    /// How long an entry may serve its organisations on unconfirmed configuration.
+    /// A longer time keeps serving through a network partition; a shorter one limits
+    /// how long outdated configuration stays in use.
     #[serde(with = "span")]
     pub unconfirmed: Duration,
 }
 
 impl Template {
-    /// Checks what the form alone can't.
+    /// Validates what the schema can't express.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong and what would be right.
+    /// Names the first invalid key and what is allowed.
     pub fn check(&self) -> Result<(), CheckError> {
         if self.services.is_empty() {
             return Err(CheckError::new("services", "list at least one service"));
@@ -110,7 +111,7 @@
             return Err(CheckError::new("calls", "list at least one call type"));
         }
         if self.unconfirmed < UNCONFIRMED_MIN {
-            let problem = "must be at least 10s: settings are confirmed every few seconds";
+            let problem = "must be at least 10s: configuration is confirmed every few seconds";
             return Err(CheckError::new("unconfirmed", problem));
         }
         for (name, call) in &self.calls {
@@ -138,13 +139,16 @@
         }
         check_reasons(&key("refuse"), &call.refuse)?;
         if call.kind == CallKind::Submit && call.answer != Answer::Whole {
-            return Err(CheckError::new(key("answer"), "a submission takes whole"));
+            return Err(CheckError::new(
+                key("answer"),
+                "must be whole for a submission",
+            ));
         }
         Ok(())
     }
 }
 
-/// Checks that `reasons` are ones that a template may permit.
+/// Checks that all `reasons` are optional, that is, ones a template may allow.
 pub(crate) fn check_reasons(key: &str, reasons: &[Reason]) -> Result<(), CheckError> {
     match reasons.iter().find(|r| !OPTIONAL_REASONS.contains(r)) {
         None => Ok(()),
@@ -157,7 +161,7 @@
     }
 }
 
-/// Checks that limits let something through.
+/// Checks that no limit is zero, which would block all requests.
 pub(crate) fn check_limits(limits: &OrgLimits) -> Result<(), CheckError> {
     if limits.rate.0 == 0 {
         return Err(CheckError::new("limits.rate", "must be at least 1/s"));
--- a/crates/conf/tests/book.rs
+++ b/crates/conf/tests/book.rs
@@ -1,4 +1,4 @@
-//! The book never goes back.
+//! Versions of configuration objects in the book.
 
 use std::collections::BTreeMap;
 
@@ -30,21 +30,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes in whatever order, the greatest version of each object is
-    /// in force at every moment, and the digest tells books apart by content.
+    /// Guards against a late message restoring an old version: in any order of arrival
+    /// the newest version stays, and equal books have equal digests.
     #[test]
-    fn the_greatest_version_is_in_force(
+    fn newest_version_stays_in_any_order(
         offers in prop::collection::vec((0u8..6, 1u64..8), 0..60),
     ) {
         let mut book = Book::default();
-        let mut naive: BTreeMap<ObjectKey, u64> = BTreeMap::new();
+        let mut expected: BTreeMap<ObjectKey, u64> = BTreeMap::new();
         for (name, version) in &offers {
             let offered = object(*name, *version);
-            let held = naive.get(&offered.key).copied().unwrap_or(0);
+            let newest = expected.get(&offered.key).copied().unwrap_or(0);
             let applied = book.apply(offered.clone());
-            prop_assert_eq!(applied == Applied::New, *version > held);
-            naive.insert(offered.key, held.max(*version));
-            prop_assert_eq!(book.keys(), naive.clone());
+            prop_assert_eq!(applied == Applied::New, *version > newest);
+            expected.insert(offered.key, newest.max(*version));
+            prop_assert_eq!(book.keys(), expected.clone());
         }
         let mut other = Book::default();
         for (name, version) in offers.iter().rev() {
@@ -55,8 +55,9 @@
     }
 }
 
+/// Guards against an edit history that grows without limit.
 #[test]
-fn an_object_keeps_its_latest_edits() {
+fn stored_object_keeps_only_its_latest_edits() {
     let mut stored: Option<Stored> = None;
     for version in 1..=100 {
         let edit = Edit {
