--- a/crates/log/src/bounded.rs
+++ b/crates/log/src/bounded.rs
@@ -1,4 +1,4 @@
-//! A bound on the lines of a second.
+//! A token bucket that limits the rate of log lines.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -7,47 +7,47 @@
 
 use slog::{Drain, OwnedKVList, Record, b, record};
 
-/// Lines a second, on average. A line costs about 20 us of processor time, so
-/// that logging stays below half a hundredth of a core.
-const RATE: f64 = 200.0;
-/// Lines that may come at once, such as those of a start.
-const BURST: f64 = 600.0;
+/// Log lines per second on average; bounds the processor time that logging takes.
+const LINES_PER_SECOND: f64 = 200.0;
+/// Size of the bucket, in log lines; covers the lines logged during startup.
+const BURST_LINES: f64 = 600.0;
 
-/// What becomes of a line.
+/// Whether a log line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is written.
+    /// The line is written.
     Write,
-    /// It is written, after word that so many before it were not.
+    /// The line is written, after a line that reports how many were dropped before it.
     WriteAfter(u64),
-    /// It is dropped and counted.
+    /// The line is dropped and counted.
     Drop,
 }
 
-/// A bucket of lines that fills with time.
+/// A token bucket in which a log line costs one token; counts the dropped lines.
 #[derive(Clone, Debug)]
 pub struct Bounded {
     tokens: f64,
-    at: Duration,
+    refilled: Duration,
     dropped: u64,
 }
 
 impl Default for Bounded {
     fn default() -> Self {
         Self {
-            tokens: BURST,
-            at: Duration::ZERO,
+            tokens: BURST_LINES,
+            refilled: Duration::ZERO,
             dropped: 0,
         }
     }
 }
 
 impl Bounded {
-    /// Decides on a line at `now`, a time since any fixed point.
+    /// Decides whether a line at `now` is written. `now` is the time since any fixed
+    /// point, the same in every call.
     pub fn take(&mut self, now: Duration) -> Verdict {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        self.tokens = (self.tokens + passed * RATE).min(BURST);
+        let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
+        self.refilled = now;
+        self.tokens = (self.tokens + elapsed * LINES_PER_SECOND).min(BURST_LINES);
         if self.tokens < 1.0 {
             self.dropped += 1;
             return Verdict::Drop;
@@ -60,32 +60,33 @@
     }
 }
 
-/// Passes on the lines that the bound allows.
-pub(crate) struct Rated<D> {
+/// A drain that passes on the lines within the rate limit.
+pub(crate) struct RateLimited<D> {
     drain: D,
     start: Instant,
-    bounded: Mutex<Bounded>,
+    limit: Mutex<Bounded>,
 }
 
-impl<D> Rated<D> {
+impl<D> RateLimited<D> {
+    /// Wraps `drain` with a full bucket.
     pub(crate) fn new(drain: D) -> Self {
         Self {
             drain,
             start: Instant::now(),
-            bounded: Mutex::new(Bounded::default()),
+            limit: Mutex::new(Bounded::default()),
         }
     }
 }
 
-impl<D: Drain<Ok = ()>> Drain for Rated<D> {
+impl<D: Drain<Ok = ()>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = D::Err;
 
     fn log(&self, line: &Record<'_>, values: &OwnedKVList) -> Result<(), D::Err> {
         let now = self.start.elapsed();
         let verdict = {
-            let bounded = self.bounded.lock();
-            bounded.unwrap_or_else(PoisonError::into_inner).take(now)
+            let limit = self.limit.lock();
+            limit.unwrap_or_else(PoisonError::into_inner).take(now)
         };
         match verdict {
             Verdict::Drop => Ok(()),
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,9 +1,9 @@
-//! The log of a daemon: one line for each decision, bounded, never blocking.
+//! The log of a daemon: non-blocking and limited in rate.
 //!
-//! Lines are written by a thread of their own. When more wait than the queue
-//! holds they are dropped and counted in the log, so that a slow reader never
-//! holds up a request. [`open`] also bounds the lines a second: a storm of
-//! refusals would otherwise spend the processor that serves the rest.
+//! A separate thread writes the lines. When its queue is full, lines are dropped
+//! and their number is logged, so that a slow reader of the log never blocks a
+//! request. [`open`] also limits the lines per second: many refusals at once
+//! would otherwise take processor time from the requests that are served.
 #![warn(clippy::unwrap_used)]
 
 mod bounded;
@@ -14,10 +14,10 @@
 use chestnut_conf::{LogFormat, LogLevel, LogSettings};
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
-/// Lines that wait to be written; at 300 bytes each about a megabyte.
-const WAITING: usize = 4096;
+/// Capacity of the queue to the writer thread, in log lines.
+const QUEUE_LINES: usize = 4096;
 
-/// Where lines go.
+/// Where the log is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -26,7 +26,7 @@
     Stderr,
 }
 
-/// Opens the log as the settings say.
+/// Opens a log with the format and level of `settings`.
 pub fn open(settings: &LogSettings, output: Output) -> Logger {
     let level = match settings.level {
         LogLevel::Error => Level::Error,
@@ -35,31 +35,31 @@
         LogLevel::Debug => Level::Debug,
     };
     match output {
-        Output::Stdout => format(settings.format, io::stdout(), level),
-        Output::Stderr => format(settings.format, io::stderr(), level),
+        Output::Stdout => with_format(settings.format, io::stdout(), level),
+        Output::Stderr => with_format(settings.format, io::stderr(), level),
     }
 }
 
-fn format<W: io::Write + Send + 'static>(format: LogFormat, to: W, level: Level) -> Logger {
+fn with_format<W: io::Write + Send + 'static>(format: LogFormat, to: W, level: Level) -> Logger {
     match format {
         LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(to);
-            root(slog_term::FullFormat::new(decorator).build(), level)
+            with_drain(slog_term::FullFormat::new(decorator).build(), level)
         }
-        LogFormat::Json => root(slog_json::Json::default(to), level),
+        LogFormat::Json => with_drain(slog_json::Json::default(to), level),
     }
 }
 
-fn root<D>(drain: D, level: Level) -> Logger
+fn with_drain<D>(drain: D, level: Level) -> Logger
 where
     D: Drain + Send + 'static,
     D::Err: std::fmt::Debug,
 {
     let drain = Mutex::new(drain).ignore_res();
     let drain = slog_async::Async::new(drain)
-        .chan_size(WAITING)
+        .chan_size(QUEUE_LINES)
         .build()
         .fuse();
-    let drain = bounded::Rated::new(drain);
+    let drain = bounded::RateLimited::new(drain);
     Logger::root(LevelFilter::new(drain, level).ignore_res(), o!())
 }
