--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `chestnutd`: the daemon of an entry VM. Settings, logs and signals; the
-//! tier itself is a library.
+//! `chestnutd`: the daemon of an entry VM. It reads the settings, opens the log
+//! and handles signals; the `chestnut-tier` library does the rest.
 
 #![warn(clippy::unwrap_used)]
 
@@ -14,28 +14,28 @@
 
 /// The daemon of an entry VM of chestnutpost.
 ///
-/// It answers callers' queries from many shards, keeps connections to the
-/// leafs that it holds, and needs nothing on disk but its settings. SIGTERM and
-/// SIGINT are a planned stop: the entry leaves the list of addresses, hands its
-/// tickets over, serves callers until their lists have run out, and ends with
-/// nothing cut off. A second signal ends it at once.
+/// It answers callers' queries by gathering rows from many shards, keeps
+/// connections to the leafs (back ends) that it calls, and reads nothing from
+/// disk but its settings. SIGTERM and SIGINT start a planned stop: the entry
+/// removes itself from the list of addresses, hands its tickets to a successor,
+/// serves callers until their copies of the list have expired, and exits without
+/// aborting a request. A further SIGTERM makes it exit at once.
 #[derive(Parser)]
 #[command(name = "chestnutd", version, max_term_width = 90)]
 struct Args {
-    /// Settings file, TOML. Every key is described in the operating guide.
+    /// Settings file (TOML). The operating guide describes every key.
     #[arg(long)]
     config: PathBuf,
-    /// Check the settings file and stop. Exit status 0 means that the daemon
-    /// would start with it, 2 that it would not; the error names the file, the
-    /// key and the mend.
+    /// Check the settings file and exit. Exit status 0 means that the settings are
+    /// valid, 2 that they are not; the error names the file, the key and the fix.
     #[arg(long)]
     check: bool,
 }
 
-/// Exit status for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
-/// Exit status for an address that can't be bound.
-const NO_START: u8 = 1;
+/// Exit status for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
+/// Exit status for any other failure, such as an address that can't be bound.
+const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
     let args = Args::parse();
@@ -43,7 +43,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("chestnutd: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     if args.check {
@@ -62,11 +62,12 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("chestnutd: {error}");
-            ExitCode::from(NO_START)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
+/// Runs an entry until a planned stop has ended.
 async fn serve(settings: Settings, log: Logger) -> Result<(), Box<dyn std::error::Error>> {
     let peers = settings.listen.peers;
     let ports = Ports::open(&settings)
@@ -81,16 +82,17 @@
     info!(log, "fleet: {} listens", tier.member();
         "callers" => %callers, "operators" => %operators);
     wait_for_stop(&tier).await?;
-    let mut again = signal(SignalKind::terminate())?;
+    let mut second = signal(SignalKind::terminate())?;
     tokio::select! {
         () = tier.leave() => {}
-        _ = again.recv() => info!(log, "fleet: a second signal ends the stop"),
+        _ = second.recv() => info!(log, "fleet: received another SIGTERM during the planned stop, exiting now"),
     }
     front.close().await;
     tier.stop().await;
     Ok(())
 }
 
+/// Waits for SIGTERM, SIGINT or an operator's request for a planned stop.
 async fn wait_for_stop(tier: &Tier) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
