--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' side of an entry.
+//! HTTP client for the operators' interface of an entry.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,8 +8,8 @@
 use hyper::{Method, StatusCode};
 use serde_json::Value;
 
-/// Longest wait for an answer: an edit during an outage takes some seconds.
-const WAIT: Duration = Duration::from_secs(15);
+/// Timeout of one call; an edit during an outage may take several seconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Why a command failed.
 #[derive(Debug, Display)]
@@ -24,9 +24,9 @@
     Outage(String),
     /// {text}; run the same command again with --edit {edit}
     Unsettled {
-        /// What the entry said.
+        /// The entry's error text.
         text: String,
-        /// The id to repeat.
+        /// The id of the edit, with which to repeat it.
         edit: String,
     },
     /// can't read {0}: {1}
@@ -34,7 +34,7 @@
 }
 
 impl CliError {
-    /// The exit status.
+    /// Returns the exit status of the command.
     pub(crate) fn status(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
@@ -46,13 +46,14 @@
     }
 }
 
-/// A client of one entry.
+/// A client of one entry (a process of the query tier that callers connect to).
 pub(crate) struct Client {
     http: HttpClient,
     address: SocketAddr,
 }
 
 impl Client {
+    /// Creates a client of the entry with the operators' address `address`.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             http: HttpClient::default(),
@@ -60,18 +61,21 @@
         }
     }
 
-    /// A client of another entry.
-    pub(crate) fn at(&self, address: SocketAddr) -> Self {
+    /// Returns a client of another entry.
+    pub(crate) fn for_entry(&self, address: SocketAddr) -> Self {
         Self {
             http: self.http.clone(),
             address,
         }
     }
 
+    /// Sends a GET request; returns the JSON body of the reply.
     pub(crate) async fn get(&self, path: &str) -> Result<Value, CliError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
+    /// Sends a request; returns the JSON body of the reply, or an error if the status
+    /// is not a success.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -80,7 +84,7 @@
     ) -> Result<Value, CliError> {
         let reply = self
             .http
-            .call(method, self.address, path, body, WAIT)
+            .call(method, self.address, path, body, CALL_TIMEOUT)
             .await
             .map_err(|_| CliError::Unreachable(self.address))?;
         let value = reply.json();
--- a/crates/cli/src/evacuate.rs
+++ b/crates/cli/src/evacuate.rs
@@ -1,4 +1,4 @@
-//! Failure domains whose leafs get no calls.
+//! Evacuations: failure domains whose leafs (back ends) get no calls.
 
 use bytes::Bytes;
 use chestnut_conf::{Evacuation, Kind};
@@ -8,10 +8,10 @@
 
 use crate::{
     client::{CliError, Client},
-    show::{line, table, text},
+    show::{cell_text, print_line, print_table},
 };
 
-/// Empties a domain, or has its leafs called again.
+/// Evacuates a failure domain, or ends its evacuation.
 pub(crate) async fn set(
     client: &Client,
     domain: &DomainName,
@@ -24,26 +24,26 @@
     let body = Bytes::from(body.to_string());
     let reply = client.call(Method::PUT, &path, body).await?;
     if as_json {
-        line(&reply);
+        print_line(&reply);
         return Ok(());
     }
-    let word = if evacuated {
+    let change = if evacuated {
         "is evacuated"
     } else {
         "is refilled"
     };
-    line(format_args!(
-        "domain {domain} {word}: version {} is accepted",
+    print_line(format_args!(
+        "domain {domain} {change}: version {} is accepted",
         reply["version"]
     ));
     Ok(())
 }
 
-/// Lists evacuated domains.
+/// Lists the evacuated failure domains and counts the calls in progress to their leafs.
 pub(crate) async fn list(client: &Client, as_json: bool) -> Result<(), CliError> {
     let kind = Kind::Evacuation;
     let names = client.get(&format!("/objects/{kind}")).await?;
-    let mut found = Vec::new();
+    let mut evacuations = Vec::new();
     for name in names
         .as_object()
         .into_iter()
@@ -52,34 +52,36 @@
     {
         let object = client.get(&format!("/objects/{kind}/{name}")).await?;
         if object["spec"]["evacuated"] == true {
-            found.push((name.clone(), object));
+            evacuations.push((name.clone(), object));
         }
     }
-    let calls = under_way(&client.get("/targets").await?);
+    let calls = calls_in_progress(&client.get("/targets").await?);
     if as_json {
-        let domains: Vec<Value> = found
+        let domains: Vec<Value> = evacuations
             .iter()
             .map(|(name, object)| json!({ "domain": name, "version": object["version"] }))
             .collect();
-        line(json!({ "evacuated": domains, "calls": calls }));
+        print_line(json!({ "evacuated": domains, "calls": calls }));
         return Ok(());
     }
     let mut rows = vec![["DOMAIN", "VERSION", "BY"].map(str::to_owned).to_vec()];
-    for (name, object) in &found {
+    for (name, object) in &evacuations {
         let last = object["edits"].as_array().and_then(|edits| edits.last());
-        let by = last.map_or_else(String::new, |edit| text(&edit["by"]));
+        let by = last.map_or_else(String::new, |edit| cell_text(&edit["by"]));
         rows.push(vec![name.clone(), object["version"].to_string(), by]);
     }
-    table(&rows);
-    line(format_args!("{calls} calls under way to leafs there"));
+    print_table(&rows);
+    print_line(format_args!(
+        "{calls} calls in progress to leafs of evacuated domains"
+    ));
     Ok(())
 }
 
-/// Calls of the entry to leafs of evacuated domains.
-fn under_way(targets: &Value) -> u64 {
+/// Returns the number of the entry's calls in progress to leafs of evacuated domains.
+fn calls_in_progress(targets: &Value) -> u64 {
     let targets = targets.as_array().into_iter().flatten();
-    let there = targets.filter(|target| target["state"] == "evacuated");
-    there
+    let evacuated = targets.filter(|target| target["state"] == "evacuated");
+    evacuated
         .filter_map(|target| target["outstanding"].as_u64())
         .sum()
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `chestnut`: the operators' command line.
+//! `chestnut`: the operators' command line, a client of the entries' HTTP interface.
 
 #![warn(clippy::unwrap_used)]
 
@@ -19,16 +19,17 @@
 
 /// The operators' command line of chestnutpost.
 ///
-/// It talks to the operators' address of any entry. Human-readable output goes
-/// to standard output, errors to standard error.
+/// It connects to the operators' address of any entry. Results go to standard
+/// output, errors to standard error.
 ///
-/// Exit status: 0 done; 1 the entry refused (a check failed, no such object);
-/// 2 wrong usage; 3 a conflicting edit came first; 4 the entry or the platform
-/// can't be reached; 5 the fate of an edit is unknown, repeat it with its id.
+/// Exit status: 0 success; 1 the entry refused the command (a check failed, no
+/// such object); 2 wrong usage or an unreadable file; 3 conflict with another
+/// edit; 4 the entry or the platform can't be reached; 5 the outcome of an edit
+/// is unknown, repeat it with its id.
 #[derive(Parser)]
 #[command(name = "chestnut", version, max_term_width = 90)]
 struct Args {
-    /// Operators' address of an entry.
+    /// Operators' address of the entry to connect to.
     #[arg(
         long,
         global = true,
@@ -36,7 +37,7 @@
         default_value = "127.0.0.1:7201"
     )]
     entry: SocketAddr,
-    /// Print JSON for scripts, in the forms of the reference.
+    /// Print JSON, for scripts. The reference describes its fields.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -45,54 +46,56 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// List, read, check, write templates and show their history.
+    /// List, read, check and write templates, and show their history.
     Template {
         #[command(subcommand)]
         action: Action,
     },
-    /// List, read, check, write organisations and show their history.
+    /// List, read, check and write organisations, and show their history.
     Organisation {
         #[command(subcommand)]
         action: Action,
     },
-    /// Empty a failure domain: its leafs get no calls until it is refilled.
+    /// Evacuate a failure domain: its leafs (back ends) get no calls until it is
+    /// refilled.
     ///
-    /// Entries of the domain go on serving callers. A shard all of whose leafs
-    /// lie there is missing from answers, which say so.
+    /// Entries of the domain continue to serve callers. Answers report a shard as
+    /// missing if all its leafs are in the domain.
     Evacuate {
         /// The failure domain.
         domain: DomainName,
-        /// Who asks for it, for the history.
+        /// Name of the operator, for the history.
         #[arg(long, default_value = "")]
         by: String,
     },
-    /// Have the leafs of an evacuated failure domain called again.
+    /// End the evacuation of a failure domain: its leafs get calls again.
     Refill {
         /// The failure domain.
         domain: DomainName,
-        /// Who asks for it, for the history.
+        /// Name of the operator, for the history.
         #[arg(long, default_value = "")]
         by: String,
     },
-    /// List evacuated failure domains, and the calls that are under way from the
-    /// asked entry to leafs there. A domain is empty when each entry shows none.
+    /// List evacuated failure domains, and the number of calls in progress from
+    /// this entry to leafs there. A domain is empty when every entry shows none.
     Evacuations,
-    /// Show the members, and which versions are in force at which entry.
+    /// Show the members of the fleet, and which versions are in force at which
+    /// entry.
     ///
-    /// Every member is asked directly. One that can't be asked is listed as
-    /// such: its versions are then not known, rather than assumed.
+    /// Every member is queried directly. One that can't be reached is listed as
+    /// such, and its versions are not shown.
     Status,
-    /// Show the addresses that callers are given.
+    /// Show the list of addresses that callers receive.
     Entries,
-    /// Show every back end of this entry: its state, and why it is not used.
+    /// Show every back end of this entry: its state, and why it gets no calls.
     Targets,
-    /// Explain a refusal by the receipt that the caller got.
+    /// Explain a refusal from the receipt that the caller received.
     Why {
         /// The receipt.
         receipt: String,
     },
-    /// Ask the entry for a planned stop. It leaves the list of addresses and
-    /// ends when nothing needs it any more.
+    /// Start a planned stop of the entry. It removes itself from the list of
+    /// addresses and exits when no caller or request depends on it.
     Drain,
     /// Print shell completions.
     Completions {
@@ -101,44 +104,44 @@
     },
 }
 
-/// What to do with templates or organisations.
+/// An action on templates or organisations.
 #[derive(Subcommand)]
 pub(crate) enum Action {
     /// List names and versions.
     List,
-    /// Print one, as `put` takes it.
+    /// Print an object in the form that `put` accepts.
     Get {
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
     /// Check a file without writing it.
     Check {
-        /// Its name.
+        /// Name of the object.
         name: String,
-        /// The file, JSON.
+        /// File with the object (JSON).
         file: PathBuf,
     },
-    /// Write one. Accepted means that it took effect and won't revert.
+    /// Write an object. Once accepted, it has taken effect and won't be reverted.
     Put {
-        /// Its name.
+        /// Name of the object.
         name: String,
-        /// The file, JSON.
+        /// File with the object (JSON).
         file: PathBuf,
-        /// The version that the file was made from; 0 for a new one. Another
-        /// operator's edit in between is then a conflict, not overwritten.
+        /// Version that the file is based on; 0 for a new object. If another
+        /// edit has been made since, the command fails instead of overwriting it.
         #[arg(long)]
         expected: Option<u64>,
-        /// Id of the edit. Give the id of an edit whose fate is unknown to
-        /// learn it; the edit is never made twice.
+        /// Id of the edit. Repeat the id of an edit whose outcome is unknown to
+        /// learn the outcome; an edit takes effect at most once.
         #[arg(long)]
         edit: Option<String>,
-        /// Who makes the edit, for the history.
+        /// Name of the operator, for the history.
         #[arg(long, default_value = "")]
         by: String,
     },
-    /// Show who changed one and when.
+    /// Show who changed an object and when.
     History {
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
 }
--- a/crates/cli/src/objects.rs
+++ b/crates/cli/src/objects.rs
@@ -1,4 +1,4 @@
-//! Templates and organisations.
+//! The actions on templates and organisations.
 
 use std::path::Path;
 
@@ -10,10 +10,10 @@
 use crate::{
     Action,
     client::{CliError, Client},
-    show::{line, pretty, table, text},
+    show::{cell_text, pretty, print_line, print_table},
 };
 
-/// Runs an action on objects of one kind.
+/// Runs an action on the objects of one kind.
 pub(crate) async fn run(
     client: &Client,
     kind: Kind,
@@ -24,10 +24,10 @@
         Action::List => list(client, kind, as_json).await,
         Action::Get { name } => get(client, kind, &name, as_json).await,
         Action::Check { name, file } => {
-            let body = json!({ "spec": read(&file)? });
+            let body = json!({ "spec": read_json(&file)? });
             let path = format!("/check/{kind}/{name}");
-            let reply = call(client, Method::POST, &path, body).await?;
-            say(&reply, as_json, || format!("{}: good", file.display()));
+            let reply = send(client, Method::POST, &path, body).await?;
+            print_reply(&reply, as_json, || format!("{}: good", file.display()));
             Ok(())
         }
         Action::Put {
@@ -38,11 +38,11 @@
             by,
         } => {
             let body = json!({
-                "spec": read(&file)?, "expected": expected, "edit": edit, "by": by,
+                "spec": read_json(&file)?, "expected": expected, "edit": edit, "by": by,
             });
             let path = format!("/objects/{kind}/{name}");
-            let reply = call(client, Method::PUT, &path, body).await?;
-            say(&reply, as_json, || {
+            let reply = send(client, Method::PUT, &path, body).await?;
+            print_reply(&reply, as_json, || {
                 format!("{kind} {name}: version {} is accepted", reply["version"])
             });
             Ok(())
@@ -51,21 +51,24 @@
     }
 }
 
-async fn call(client: &Client, method: Method, path: &str, body: Value) -> Result<Value, CliError> {
+/// Sends a request with a JSON body.
+async fn send(client: &Client, method: Method, path: &str, body: Value) -> Result<Value, CliError> {
     client
         .call(method, path, Bytes::from(body.to_string()))
         .await
 }
 
-fn say(reply: &Value, as_json: bool, human: impl Fn() -> String) {
+/// Prints a reply, as JSON or as `human` formats it.
+fn print_reply(reply: &Value, as_json: bool, human: impl Fn() -> String) {
     if as_json {
-        line(reply);
+        print_line(reply);
     } else {
-        line(human());
+        print_line(human());
     }
 }
 
-fn read(file: &Path) -> Result<Value, CliError> {
+/// Reads a JSON file.
+fn read_json(file: &Path) -> Result<Value, CliError> {
     let fail = |e: &dyn std::fmt::Display| CliError::File(file.to_owned(), e.to_string());
     let content = std::fs::read_to_string(file).map_err(|e| fail(&e))?;
     serde_json::from_str(&content).map_err(|e| fail(&e))
@@ -74,24 +77,24 @@
 async fn list(client: &Client, kind: Kind, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}")).await?;
     if as_json {
-        line(reply);
+        print_line(reply);
         return Ok(());
     }
     let mut rows = vec![vec!["NAME".to_owned(), "VERSION".to_owned()]];
     for (name, version) in reply.as_object().into_iter().flatten() {
         rows.push(vec![name.clone(), version.to_string()]);
     }
-    table(&rows);
+    print_table(&rows);
     Ok(())
 }
 
 async fn get(client: &Client, kind: Kind, name: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}/{name}")).await?;
     if as_json {
-        line(reply);
+        print_line(reply);
     } else {
         eprintln!("version {}", reply["version"]);
-        line(pretty(&reply["spec"]));
+        print_line(pretty(&reply["spec"]));
     }
     Ok(())
 }
@@ -99,7 +102,7 @@
 async fn history(client: &Client, kind: Kind, name: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}/{name}")).await?;
     if as_json {
-        line(&reply["edits"]);
+        print_line(&reply["edits"]);
         return Ok(());
     }
     let mut rows = vec![
@@ -111,10 +114,10 @@
         rows.push(vec![
             edit["version"].to_string(),
             edit["at"].to_string(),
-            text(&edit["by"]),
-            text(&edit["id"]),
+            cell_text(&edit["by"]),
+            cell_text(&edit["id"]),
         ]);
     }
-    table(&rows);
+    print_table(&rows);
     Ok(())
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Commands that show what an entry knows, and how it is printed.
+//! Commands that print an entry's state, and functions for printing.
 
 use std::io::Write;
 
@@ -8,17 +8,17 @@
 
 use crate::client::{CliError, Client};
 
-/// Prints a line. A reader that has seen enough and closed the pipe, as `head`
-/// does, is no error: the command ends as it would have.
-pub(crate) fn line(text: impl std::fmt::Display) {
+/// Prints a line. Exits with status 0 if the write fails: a reader that closes the
+/// pipe early, such as `head`, is no error.
+pub(crate) fn print_line(text: impl std::fmt::Display) {
     let written = writeln!(std::io::stdout(), "{text}");
     if written.is_err() {
         std::process::exit(0);
     }
 }
 
-/// Prints rows as columns, the first row as their heads.
-pub(crate) fn table(rows: &[Vec<String>]) {
+/// Prints rows as aligned columns; the first row holds the column headings.
+pub(crate) fn print_table(rows: &[Vec<String>]) {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -28,12 +28,12 @@
     for row in rows {
         let cells = row.iter().zip(&widths);
         let cells: Vec<String> = cells.map(|(cell, w)| format!("{cell:w$}")).collect();
-        line(cells.join("  ").trim_end());
+        print_line(cells.join("  ").trim_end());
     }
 }
 
-/// A JSON value as a cell: strings without their quotes, null as a dash.
-pub(crate) fn text(value: &Value) -> String {
+/// Formats a JSON value as a table cell: strings without quotes, null as a dash.
+pub(crate) fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -41,35 +41,39 @@
     }
 }
 
-/// JSON over several lines.
+/// Formats JSON over several lines.
 pub(crate) fn pretty(value: &Value) -> String {
     format!("{value:#}")
 }
 
-/// The entries, from the entry's own view of the members.
+/// Prints the list of entries that callers receive.
 pub(crate) async fn entries(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.get("/entries").await?;
     if as_json {
-        line(&reply);
+        print_line(&reply);
         return Ok(());
     }
-    let heads = ["ENTRY", "ADDRESS", "DOMAIN"];
-    print_list(&reply["entries"], &heads, &["entry", "address", "domain"]);
-    line(format_args!(
+    let headings = ["ENTRY", "ADDRESS", "DOMAIN"];
+    print_objects(
+        &reply["entries"],
+        &headings,
+        &["entry", "address", "domain"],
+    );
+    print_line(format_args!(
         "callers keep this list for {} ms",
         reply["ttl_ms"]
     ));
     Ok(())
 }
 
-/// The back ends of the entry.
+/// Prints the back ends of the entry.
 pub(crate) async fn targets(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.get("/targets").await?;
     if as_json {
-        line(&reply);
+        print_line(&reply);
         return Ok(());
     }
-    let heads = [
+    let headings = [
         "SERVICE",
         "TARGET",
         "PLACE",
@@ -89,18 +93,18 @@
         "expected_ms",
         "connections",
     ];
-    print_list(&reply, &heads, &keys);
+    print_objects(&reply, &headings, &keys);
     Ok(())
 }
 
-/// The story of one refusal.
+/// Prints the explanation of one refusal.
 pub(crate) async fn why(client: &Client, receipt: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/why/{receipt}")).await?;
     if as_json {
-        line(&reply);
+        print_line(&reply);
         return Ok(());
     }
-    line(text(&reply["sentence"]));
+    print_line(cell_text(&reply["sentence"]));
     for (label, key) in [
         ("reason", "reason"),
         ("run", "run"),
@@ -115,42 +119,42 @@
         ("organisation version", "org_version"),
         ("record", "record"),
     ] {
-        line(format_args!("  {label:20} {}", text(&reply[key])));
+        print_line(format_args!("  {label:20} {}", cell_text(&reply[key])));
     }
     Ok(())
 }
 
-/// Asks for a planned stop.
+/// Starts a planned stop of the entry.
 pub(crate) async fn drain(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.call(Method::POST, "/drain", Bytes::new()).await?;
     if as_json {
-        line(&reply);
+        print_line(&reply);
     } else {
-        line(format_args!(
-            "the entry is leaving; it ends when nothing needs it any more"
+        print_line(format_args!(
+            "the entry is leaving; it exits when no caller or request depends on it"
         ));
     }
     Ok(())
 }
 
-/// Prints a list of JSON objects as a table.
-pub(crate) fn print_list(list: &Value, heads: &[&str], keys: &[&str]) {
+/// Prints a list of JSON objects as a table; `keys` names the field of each column.
+pub(crate) fn print_objects(list: &Value, headings: &[&str], keys: &[&str]) {
     let mut rows = vec![
-        heads
+        headings
             .iter()
-            .map(|head| (*head).to_owned())
+            .map(|heading| (*heading).to_owned())
             .collect::<Vec<_>>(),
     ];
     for item in list.as_array().into_iter().flatten() {
-        rows.push(keys.iter().map(|key| cell(&item[*key])).collect());
+        rows.push(keys.iter().map(|key| rounded_cell(&item[*key])).collect());
     }
-    table(&rows);
+    print_table(&rows);
 }
 
-/// A cell, with numbers rounded for reading.
-fn cell(value: &Value) -> String {
+/// Formats a JSON value as a table cell, with fractions rounded to two digits.
+fn rounded_cell(value: &Value) -> String {
     match value.as_f64() {
         Some(number) if number.fract() != 0.0 => format!("{number:.2}"),
-        _ => text(value),
+        _ => cell_text(value),
     }
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of the whole fleet, as each entry tells it.
+//! The status of all entries, each queried directly.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,32 +6,33 @@
 
 use crate::{
     client::{CliError, Client},
-    show::{line, table, text},
+    show::{cell_text, print_line, print_table},
 };
 
-/// Asks the entry for its members and then each of them for itself.
+/// Prints the members that the entry knows, with the status that each of them reports.
 pub(crate) async fn run(client: &Client, as_json: bool) -> Result<(), CliError> {
     let first = client.get("/status").await?;
-    let mut asked = BTreeMap::new();
+    let mut statuses = BTreeMap::new();
     for member in first["members"].as_array().into_iter().flatten() {
-        let name = text(&member["member"]);
-        asked.insert(name, ask(client, member).await);
+        let name = cell_text(&member["member"]);
+        statuses.insert(name, fetch_status(client, member).await);
     }
     if as_json {
-        line(json!({ "members": first["members"], "asked": asked }));
+        print_line(json!({ "members": first["members"], "asked": statuses }));
         return Ok(());
     }
-    print_members(&first, &asked);
-    line("");
-    print_versions(&asked);
+    print_members(&first, &statuses);
+    print_line("");
+    print_versions(&statuses);
     Ok(())
 }
 
-async fn ask(client: &Client, member: &Value) -> Value {
+/// Returns the status that a member reports; null if it is gone or unknown.
+async fn fetch_status(client: &Client, member: &Value) -> Value {
     let address: Option<SocketAddr> = member["operators"].as_str().and_then(|a| a.parse().ok());
     match address {
         Some(address) if member["liveness"] != "gone" => client
-            .at(address)
+            .for_entry(address)
             .get("/status")
             .await
             .unwrap_or(Value::Null),
@@ -39,8 +40,9 @@
     }
 }
 
-fn print_members(first: &Value, asked: &BTreeMap<String, Value>) {
-    let heads = [
+/// Prints the members as `first` lists them, beside the status of each.
+fn print_members(first: &Value, statuses: &BTreeMap<String, Value>) {
+    let headings = [
         "MEMBER",
         "DOMAIN",
         "SEEN AS",
@@ -49,30 +51,30 @@
         "IN FLIGHT",
         "TICKETS",
     ];
-    let mut rows = vec![heads.map(str::to_owned).to_vec()];
+    let mut rows = vec![headings.map(str::to_owned).to_vec()];
     for member in first["members"].as_array().into_iter().flatten() {
-        let name = text(&member["member"]);
-        let own = &asked[&name];
-        let says = if own.is_null() {
+        let name = cell_text(&member["member"]);
+        let status = &statuses[&name];
+        let phase = if status.is_null() {
             "could not be asked".to_owned()
         } else {
-            text(&own["phase"])
+            cell_text(&status["phase"])
         };
         rows.push(vec![
             name,
-            text(&member["domain"]),
-            text(&member["liveness"]),
-            says,
-            text(&own["confirmed_ms"]),
-            text(&own["in_flight"]),
-            text(&own["tickets"]),
+            cell_text(&member["domain"]),
+            cell_text(&member["liveness"]),
+            phase,
+            cell_text(&status["confirmed_ms"]),
+            cell_text(&status["in_flight"]),
+            cell_text(&status["tickets"]),
         ]);
     }
-    table(&rows);
+    print_table(&rows);
 }
 
-/// Each object with the entries that have each of its versions in force.
-fn print_versions(asked: &BTreeMap<String, Value>) {
+/// Prints the versions of each object, with the entries where each is in force.
+fn print_versions(statuses: &BTreeMap<String, Value>) {
     let mut rows = vec![
         ["OBJECT", "VERSION", "IN FORCE AT"]
             .map(str::to_owned)
@@ -80,7 +82,7 @@
     ];
     for (label, key) in [("template", "templates"), ("organisation", "organisations")] {
         let mut found: BTreeMap<(String, u64), Vec<&str>> = BTreeMap::new();
-        for (entry, status) in asked {
+        for (entry, status) in statuses {
             for (name, version) in status[key].as_object().into_iter().flatten() {
                 let version = version.as_u64().unwrap_or(0);
                 found
@@ -97,13 +99,13 @@
             ]);
         }
     }
-    table(&rows);
-    let silent: Vec<&str> = asked
+    print_table(&rows);
+    let unknown: Vec<&str> = statuses
         .iter()
         .filter(|(_, status)| status.is_null())
         .map(|(entry, _)| entry.as_str())
         .collect();
-    if !silent.is_empty() {
-        line(format_args!("could not be asked: {}", silent.join(" ")));
+    if !unknown.is_empty() {
+        print_line(format_args!("could not be asked: {}", unknown.join(" ")));
     }
 }
