--- a/crates/cli/tests/blackbox/bench.rs
+++ b/crates/cli/tests/blackbox/bench.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a small deployment and talks to them.
+//! Starts the processes of a small deployment, and sends requests to them.
 
 use std::{
     io::Write,
@@ -17,16 +17,16 @@
 };
 use serde_json::{Value, json};
 
-/// Longest wait for something that must come about. Nothing is concluded from
-/// how long it took.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time limit for a condition to become true; no test depends on how long it takes.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A child process, killed when dropped.
-pub struct Proc(Child);
+pub struct Process(Child);
 
-impl Proc {
+impl Process {
+    /// Starts `program` without standard input or output.
     pub fn spawn(program: &Path, args: &[&str]) -> Self {
         let child = Command::new(program)
             .args(args)
@@ -34,149 +34,156 @@
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .unwrap_or_else(|e| panic!("{}: {e}; run the whole workspace", program.display()));
+            .unwrap_or_else(|e| panic!("{}: {e}; build the workspace", program.display()));
         Self(child)
     }
 
+    /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.0.id() as i32);
         kill(pid, signal).unwrap();
     }
 
-    /// Stops the process and waits until all its threads stand still. The signal is sent
-    /// before they do: one that still ran answered as if nothing were wrong.
-    pub async fn freeze(&self) {
+    /// Suspends the process and waits until all its threads have stopped: a thread that
+    /// still runs after the signal was sent could answer a request.
+    pub async fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
-        let until = tokio::time::Instant::now() + PATIENCE;
-        while !self.stands_still() {
-            assert!(tokio::time::Instant::now() < until, "still running");
-            tokio::time::sleep(LOOK).await;
+        let deadline = tokio::time::Instant::now() + WAIT_LIMIT;
+        while !self.all_stopped() {
+            assert!(tokio::time::Instant::now() < deadline, "still running");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn stands_still(&self) -> bool {
+    /// Whether all threads are stopped, by their states in `/proc`.
+    fn all_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.0.id())).unwrap();
         tasks.map(Result::unwrap).all(|task| {
-            // A thread that has ended since the folder was read runs no more.
+            // A thread that exited after the directory was read counts as stopped.
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-            // The state follows the name, which may hold anything, in parentheses.
+            // The state follows the name in parentheses, which may contain any character.
             let state = stat.rsplit_once(") ").map(|(_, rest)| rest);
             state.is_none_or(|state| state.starts_with('T'))
         })
     }
 
-    /// Whether the process ended by itself with success.
-    pub async fn ended_well(&mut self) -> bool {
-        let until = tokio::time::Instant::now() + PATIENCE;
-        while tokio::time::Instant::now() < until {
+    /// Waits until the process exits; returns whether it did, and with status 0.
+    pub async fn exits_cleanly(&mut self) -> bool {
+        let deadline = tokio::time::Instant::now() + WAIT_LIMIT;
+        while tokio::time::Instant::now() < deadline {
             if let Some(status) = self.0.try_wait().unwrap() {
                 return status.success();
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
 }
 
-impl Drop for Proc {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A binary of this workspace, beside the one that cargo names.
+/// Path of another binary of this workspace, in the directory of `chestnut`.
 fn binary(name: &str) -> PathBuf {
     Path::new(env!("CARGO_BIN_EXE_chestnut")).with_file_name(name)
 }
 
-/// A deployment of separate processes.
-pub struct Bench {
+/// A deployment of separate processes: a platform, back ends and entries.
+pub struct Cluster {
+    /// The layout of the deployment.
     pub world: World,
-    pub entries: Vec<Option<Proc>>,
+    /// The entry processes, by number; `None` for one that was stopped.
+    pub entries: Vec<Option<Process>>,
+    /// The client for all requests.
     pub http: HttpClient,
-    folder: PathBuf,
-    _platform: Proc,
-    _targets: Proc,
+    dir: PathBuf,
+    _platform: Process,
+    _targets: Process,
 }
 
-static NEXT: AtomicU8 = AtomicU8::new(1);
+/// Last byte of the address that the next test takes.
+static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// An address of the loopback range that no other test of this machine uses.
-fn own_host() -> IpAddr {
+/// Returns a loopback address that no other test on this machine uses.
+fn unique_host() -> IpAddr {
     let pid = std::process::id();
-    let test = NEXT.fetch_add(1, Ordering::Relaxed);
+    let test = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let (high, low) = (1 + (pid / 250 % 250) as u8, 1 + (pid % 250) as u8);
     IpAddr::V4(Ipv4Addr::new(127, high, low, test))
 }
 
-impl Bench {
-    /// Starts a platform, 30 + 6 leafs and three entries, and waits until the
-    /// entries serve and know each other.
+impl Cluster {
+    /// Starts a platform, 30 + 6 leafs (back ends) and three entries, and waits until
+    /// the entries are ready and see each other as alive.
     pub async fn start() -> Self {
         Self::start_with("").await
     }
 
-    /// As [`Bench::start`], with further settings for each entry.
+    /// Does the same as [`Cluster::start`], with `settings` added to those of each entry.
     pub async fn start_with(settings: &str) -> Self {
-        let host = own_host();
-        let folder = std::env::temp_dir().join(format!("chestnut-{host}"));
-        write_folder(&folder, host);
-        let world = World::open(&folder.join("world.toml")).unwrap();
-        let at = folder.to_str().unwrap();
+        let host = unique_host();
+        let dir = std::env::temp_dir().join(format!("chestnut-{host}"));
+        write_files(&dir, host);
+        let world = World::open(&dir.join("world.toml")).unwrap();
+        let at = dir.to_str().unwrap();
         let fake = binary("chestnut-fake");
-        let platform = Proc::spawn(&fake, &["platform", "--folder", at]);
-        let targets = Proc::spawn(&fake, &["targets", "--folder", at]);
-        let mut bench = Self {
+        let platform = Process::spawn(&fake, &["platform", "--folder", at]);
+        let targets = Process::spawn(&fake, &["targets", "--folder", at]);
+        let mut cluster = Self {
             entries: Vec::new(),
             http: HttpClient::default(),
-            folder,
+            dir,
             _platform: platform,
             _targets: targets,
             world,
         };
-        let platform = bench.world.platform;
-        bench
-            .eventually("the platform answers", async |b: &Bench| {
-                b.get(platform, "/control/counts").await.is_some()
+        let platform = cluster.world.platform;
+        cluster
+            .eventually("the platform answers", async |c: &Cluster| {
+                c.get(platform, "/control/counts").await.is_some()
             })
             .await;
-        for number in 0..bench.world.entry.len() {
-            bench.write_settings(number, settings);
-            let entry = bench.spawn_entry(number);
-            bench.entries.push(Some(entry));
+        for number in 0..cluster.world.entry.len() {
+            cluster.write_settings(number, settings);
+            let entry = cluster.spawn_entry(number);
+            cluster.entries.push(Some(entry));
         }
-        bench.all_serve().await;
-        bench
+        cluster.all_ready().await;
+        cluster
     }
 
+    /// Writes the settings file of an entry, with the lines of `more` added.
     fn write_settings(&self, number: usize, more: &str) {
         let text = self.world.settings_of(&self.world.entry[number]);
         let control = "[control]\nttl = \"1s\"\nprobe = \"200ms\"\nrecords = \"500ms\"\n";
-        let path = self.folder.join(format!("entry-{number}.toml"));
+        let path = self.dir.join(format!("entry-{number}.toml"));
         std::fs::write(path, format!("{text}\n{control}\n{more}")).unwrap();
     }
 
     /// Starts the process of an entry.
-    pub fn spawn_entry(&self, number: usize) -> Proc {
-        let path = self.folder.join(format!("entry-{number}.toml"));
-        Proc::spawn(&binary("chestnutd"), &["--config", path.to_str().unwrap()])
+    pub fn spawn_entry(&self, number: usize) -> Process {
+        let path = self.dir.join(format!("entry-{number}.toml"));
+        Process::spawn(&binary("chestnutd"), &["--config", path.to_str().unwrap()])
     }
 
-    /// Waits until every running entry is ready and sees every other one.
-    pub async fn all_serve(&self) {
+    /// Waits until every running entry is ready and sees all the others as alive.
+    pub async fn all_ready(&self) {
         for (number, entry) in self.entries.iter().enumerate() {
             if entry.is_none() {
                 continue;
             }
             let running = self.entries.iter().flatten().count();
             self.eventually(
-                "the entry serves and knows the others",
-                async |b: &Bench| {
-                    let Some(ready) = b.get(b.operators(number), "/readyz").await else {
+                "the entry is ready and sees the others as alive",
+                async |c: &Cluster| {
+                    let Some(ready) = c.get(c.operators(number), "/readyz").await else {
                         return false;
                     };
-                    let Some(status) = b.get(b.operators(number), "/status").await else {
+                    let Some(status) = c.get(c.operators(number), "/status").await else {
                         return false;
                     };
                     let present = status["members"].as_array().unwrap().iter();
@@ -188,30 +195,34 @@
         }
     }
 
+    /// Returns an entry's address for callers.
     pub fn callers(&self, number: usize) -> SocketAddr {
         self.world.entry[number].callers
     }
 
+    /// Returns an entry's address for operators.
     pub fn operators(&self, number: usize) -> SocketAddr {
         self.world.entry[number].operators
     }
 
+    /// Returns the path of a file in the deployment's directory.
     pub fn path(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+        self.dir.join(name)
     }
 
-    /// Waits until `holds` does.
-    pub async fn eventually(&self, what: &str, holds: impl AsyncFn(&Bench) -> bool) {
-        let until = tokio::time::Instant::now() + PATIENCE;
-        while !holds(self).await {
+    /// Waits until `condition` is true; panics with `what` after the time limit.
+    pub async fn eventually(&self, what: &str, condition: impl AsyncFn(&Cluster) -> bool) {
+        let deadline = tokio::time::Instant::now() + WAIT_LIMIT;
+        while !condition(self).await {
             assert!(
-                tokio::time::Instant::now() < until,
-                "it never came about: {what}"
+                tokio::time::Instant::now() < deadline,
+                "timed out waiting for: {what}"
             );
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// Sends a GET request; returns the JSON of the reply, or `None` without a reply.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Option<Value> {
         let wait = Duration::from_secs(2);
         let call = self
@@ -220,14 +231,17 @@
         call.await.ok().map(|reply| reply.json())
     }
 
+    /// Sends a POST request with a JSON body.
     pub async fn post(&self, address: SocketAddr, path: &str, body: Value) -> HttpReply {
         self.send("POST", address, path, body).await
     }
 
+    /// Sends a PUT request with a JSON body.
     pub async fn put(&self, address: SocketAddr, path: &str, body: Value) -> HttpReply {
         self.send("PUT", address, path, body).await
     }
 
+    /// Sends a request with a JSON body; panics without a reply.
     async fn send(&self, method: &str, address: SocketAddr, path: &str, body: Value) -> HttpReply {
         let wait = Duration::from_secs(10);
         let body = body.to_string().into();
@@ -237,6 +251,7 @@
         call.await.unwrap()
     }
 
+    /// Sends a query of the given call type to an entry.
     pub async fn query(&self, number: usize, call: &str) -> HttpReply {
         let body = json!({
             "organisation": "galway", "service": "ladder", "call": call, "query": {"q": 1},
@@ -244,6 +259,7 @@
         self.post(self.callers(number), "/v1/query", body).await
     }
 
+    /// Gets a ticket from an entry, which becomes its keeper.
     pub async fn ticket(&self, number: usize) -> String {
         let reply = self
             .post(self.callers(number), "/v1/tickets", json!({}))
@@ -251,6 +267,7 @@
         reply.json()["ticket"].as_str().unwrap().to_owned()
     }
 
+    /// Sends a submission to an entry; returns the JSON of the reply.
     pub async fn submit(&self, number: usize, ticket: &str, id: &str) -> Value {
         let body = json!({
             "ticket": ticket, "organisation": "galway", "service": "scorecard",
@@ -261,7 +278,7 @@
             .json()
     }
 
-    /// How often a submission took effect, by the leafs' own accounts.
+    /// Returns how often the leafs have applied a submission.
     pub async fn applied(&self, id: &str) -> u64 {
         let mut times = 0;
         for leaf in self.world.leafs() {
@@ -271,7 +288,7 @@
         times
     }
 
-    /// Changes one key of every leaf's behaviour.
+    /// Changes one key in the configuration of every leaf of a service.
     pub async fn set_targets(&self, service: &str, key: &str, value: Value) {
         for leaf in self.world.leafs() {
             if leaf.service.as_str() != service {
@@ -283,7 +300,7 @@
         }
     }
 
-    /// Runs `chestnut` against an entry; gives its exit status and output.
+    /// Runs `chestnut` against an entry; returns its exit status and output.
     pub async fn chestnut(&self, number: usize, args: &[&str]) -> (i32, String) {
         let entry = self.operators(number).to_string();
         let mut all = vec!["--entry".to_owned(), entry];
@@ -303,16 +320,17 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-fn write_folder(folder: &Path, host: IpAddr) {
-    std::fs::create_dir_all(folder.join("templates")).unwrap();
-    std::fs::create_dir_all(folder.join("organisations")).unwrap();
-    let mut world = std::fs::File::create(folder.join("world.toml")).unwrap();
+/// Writes the layout, the template and the organisation of the deployment.
+fn write_files(dir: &Path, host: IpAddr) {
+    std::fs::create_dir_all(dir.join("templates")).unwrap();
+    std::fs::create_dir_all(dir.join("organisations")).unwrap();
+    let mut world = std::fs::File::create(dir.join("world.toml")).unwrap();
     writeln!(world, "host = \"{host}\"\nplatform = \"{host}:7000\"").unwrap();
     writeln!(world, "domains = [\"dub-a\", \"dub-b\", \"kdr-c\"]").unwrap();
     for (name, shards, leafs, port) in [("ladder", 10, 30, 7400), ("scorecard", 2, 6, 7440)] {
@@ -349,6 +367,6 @@
         "unconfirmed": "2h",
     });
     let org = json!({ "template": "league", "services": ["ladder", "scorecard"] });
-    std::fs::write(folder.join("templates/league.json"), template.to_string()).unwrap();
-    std::fs::write(folder.join("organisations/galway.json"), org.to_string()).unwrap();
+    std::fs::write(dir.join("templates/league.json"), template.to_string()).unwrap();
+    std::fs::write(dir.join("organisations/galway.json"), org.to_string()).unwrap();
 }
--- a/crates/cli/tests/blackbox/junk.rs
+++ b/crates/cli/tests/blackbox/junk.rs
@@ -1,4 +1,4 @@
-//! Bad input at every door.
+//! Tests of malformed input at every port of an entry.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
     net::{TcpStream, UdpSocket},
 };
 
-use crate::bench::Bench;
+use crate::bench::Cluster;
 
-/// Sends raw bytes, and waits until the other end answers or closes.
-async fn throw(address: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
+/// Sends raw bytes; returns what the other end answers until it closes the connection.
+async fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // The other end may close before all is written; that is an answer too.
+    // The other end may close the connection before all bytes are written.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let mut answer = Vec::new();
@@ -21,21 +21,24 @@
     answer
 }
 
+/// Guards against malformed input that crashes an entry or gets the wrong status.
 #[tokio::test]
-async fn junk_is_answered_with_an_error_and_costs_nothing_else() {
-    let bench = Bench::start().await;
-    let entry = &bench.world.entry[0];
-    let junk: Vec<u8> = (0..4096u32)
+async fn malformed_input_gets_an_error_and_later_queries_are_served() {
+    let cluster = Cluster::start().await;
+    let entry = &cluster.world.entry[0];
+    let malformed: Vec<u8> = (0..4096u32)
         .map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8)
         .collect();
     for address in [entry.callers, entry.operators, entry.peers] {
-        throw(address, &junk).await;
-        throw(address, b"GET / HTTP/1.1\r\n").await;
-        throw(address, b"").await;
+        send_raw(address, &malformed).await;
+        send_raw(address, b"GET / HTTP/1.1\r\n").await;
+        send_raw(address, b"").await;
     }
-    let probes = UdpSocket::bind((bench.world.host, 0)).await.unwrap();
+    let udp = UdpSocket::bind((cluster.world.host, 0)).await.unwrap();
     for length in [0, 1, 7, 64, 1400] {
-        probes.send_to(&junk[..length], entry.peers).await.unwrap();
+        udp.send_to(&malformed[..length], entry.peers)
+            .await
+            .unwrap();
     }
     for (path, body, status) in [
         ("/v1/query", "not json".to_owned(), 400),
@@ -75,39 +78,39 @@
         let wait = Duration::from_secs(10);
         let method = "POST".parse().unwrap();
         let length = body.len();
-        let reply = bench
+        let reply = cluster
             .http
             .call(method, entry.callers, path, body.into(), wait)
             .await
             .unwrap_or_else(|e| panic!("{path} with {length} bytes: {e}"));
         assert_eq!(reply.status.as_u16(), status, "{path}: {}", reply.json());
     }
-    let many = (0..200)
+    let headers = (0..200)
         .map(|n| format!("x-{n}: 1\r\n"))
         .collect::<String>();
-    let request = format!("GET /v1/entries HTTP/1.1\r\nhost: a\r\n{many}\r\n");
-    let answer = throw(entry.callers, request.as_bytes()).await;
+    let request = format!("GET /v1/entries HTTP/1.1\r\nhost: a\r\n{headers}\r\n");
+    let answer = send_raw(entry.callers, request.as_bytes()).await;
     assert!(
         answer.starts_with(b"HTTP/1.1 431"),
         "{}",
         String::from_utf8_lossy(&answer)
     );
-    let body = bench.query(0, "finals").await.json();
+    let body = cluster.query(0, "finals").await.json();
     assert_eq!(body["coverage"]["complete"], true, "{body}");
 }
 
-/// A caller that sends its request byte by byte is cut off, not waited for.
+/// Guards against a caller that occupies a connection by not finishing its request.
 #[tokio::test]
-async fn a_slow_writer_is_cut_off() {
-    let bench = Bench::start_with("[limits]\npatience = \"300ms\"\n").await;
-    let mut stream = TcpStream::connect(bench.callers(0)).await.unwrap();
+async fn an_unfinished_request_times_out() {
+    let cluster = Cluster::start_with("[limits]\npatience = \"300ms\"\n").await;
+    let mut stream = TcpStream::connect(cluster.callers(0)).await.unwrap();
     let head = "POST /v1/query HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{";
     stream.write_all(head.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
     tokio::time::timeout(Duration::from_secs(20), read)
         .await
-        .expect("the entry ends it")
+        .expect("the entry closes the connection")
         .unwrap();
     let text = String::from_utf8_lossy(&answer);
     assert!(text.starts_with("HTTP/1.1 408"), "{text}");
--- a/crates/cli/tests/blackbox/main.rs
+++ b/crates/cli/tests/blackbox/main.rs
@@ -1,5 +1,5 @@
-//! Black-box tests: separate processes on loopback, driven by their
-//! interfaces alone.
+//! Black-box tests: separate processes on loopback, used only through their
+//! network interfaces and the command line.
 
 mod bench;
 mod edits;
