--- a/crates/port/src/feed_rpc.rs
+++ b/crates/port/src/feed_rpc.rs
@@ -43,7 +43,7 @@
 pub struct RawBook {
     /// The version that results from applying the delta.
     pub version: BookVersion,
-    /// The delta, encoded by [`pack`](crate::pack); empty if there is no newer version.
+    /// The delta, encoded by [`pack`](fn@crate::pack); empty if there is no newer version.
     pub delta: Bytes,
 }
 
