--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -4,7 +4,7 @@
 
 use chestnut_unit::{Share, Time};
 
-use crate::kept::Reserve;
+use crate::reserve::Reserve;
 
 /// Limits extra calls to a share of first calls.
 ///
--- a/crates/route/src/query/mod.rs
+++ b/crates/route/src/query/mod.rs
@@ -1,18 +1,18 @@
 //! One fan-out over the shards of a snapshot, from the first calls to the merge.
 
-mod closing;
+mod calls;
+mod completion;
 mod config;
 mod gain;
-mod proof;
-mod tries;
+mod trial;
 mod wait;
 
 use std::{sync::Arc, time::Duration};
 
+use calls::kind_after;
 use chestnut_unit::{Coverage, IndexVersion, ShardName, Time};
 pub use config::{Action, CallId, CallKind, End, Give, Prospect, QueryConfig, Repeat, Trust};
 use rand::Rng;
-use tries::kind_after;
 use wait::Deferred;
 
 use crate::{Attempt, Ended, Failure, Ix, NotRun, PurseId, Refusal, Routes, Sent, Table};
--- a/crates/route/src/query/wait.rs
+++ b/crates/route/src/query/wait.rs
@@ -4,7 +4,7 @@
 
 use chestnut_unit::Time;
 
-use super::{CallKind, Context, End, Give, HOP_ALLOWANCE, Query, Shard, tries::may_repeat};
+use super::{CallKind, Context, End, Give, HOP_ALLOWANCE, Query, Shard, calls::may_repeat};
 use crate::{Ix, PurseId};
 
 /// Delay before the first check for capacity: about the time for a busy back end to free
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -11,8 +11,8 @@
     backend::{Backend, Guard, Ix, TableConfig},
     cold::Cold,
     failure::{Failure, Refusal},
-    faults::{Faults, Verdict},
-    handicap::HINT_MAX,
+    failure_rate::{Faults, Verdict},
+    penalty::HINT_MAX,
 };
 
 /// Capacity of the default budgets, in calls: enough to hedge or retry a whole fan-out
