--- a/crates/fake/src/experiment/entry.rs
+++ b/crates/fake/src/experiment/entry.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use chestnut_route::{
-    Admission, Backend, CallId, Class, ConnId, Ix, Pool, PurseId, Query, Route, Routes, Table,
+    Admission, Backend, BudgetId, CallId, Class, ConnId, Ix, Pool, Query, Route, Routes, Table,
     Versions,
 };
 use chestnut_unit::{IndexVersion, LeafId, ShardName, Snapshot, Time, Urgency};
@@ -72,7 +72,7 @@
             }
         }
         if let Some(goal) = shape.goal {
-            table.set_goal(Class::default(), goal);
+            table.set_objective(Class::default(), goal);
         }
         let link = || Link {
             pool: Pool::new(shape.pool, shape.spare),
@@ -104,7 +104,7 @@
             replicas: (0..shape.replicas)
                 .map(|r| self.ixs[(s * shape.replicas + r + shift) % shape.leafs])
                 .collect(),
-            purse: PurseId::default(),
+            budget: BudgetId::default(),
         };
         let routes = Routes {
             snapshot: Snapshot {
--- a/crates/fake/src/experiment/policy.rs
+++ b/crates/fake/src/experiment/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_route::{Adapt, AdmitConfig, Bounds, Choice, Guard, Hedge, TableConfig};
+use chestnut_route::{AdmitConfig, Bounds, Choice, Guard, Hedge, LimitMode, TableConfig};
 use chestnut_unit::Share;
 
 use super::Shape;
@@ -41,11 +41,11 @@
         match self {
             Self::Any => None,
             Self::Connections => Some(Bounds {
-                least: share.most,
+                min: share.max,
                 ..share
             }),
             Self::Slots => Some(Bounds {
-                most: share.least,
+                max: share.min,
                 ..share
             }),
             Self::Windows => Some(share),
@@ -62,9 +62,9 @@
 
 fn without_limits() -> AdmitConfig {
     AdmitConfig {
-        initial: UNLIMITED,
-        queue: 256,
-        adapt: Adapt::No,
+        initial_limit: UNLIMITED,
+        queue_capacity: 256,
+        limit_mode: LimitMode::Fixed,
     }
 }
 
@@ -134,7 +134,7 @@
 pub fn room_policies() -> Vec<Policy> {
     let table = TableConfig {
         choice: Choice::Predicted,
-        stall: PAUSE,
+        stall_backoff: PAUSE,
         ..TableConfig::default()
     };
     let policy = |name, admit, rooms| Policy {
--- a/crates/fake/src/experiment/requests.rs
+++ b/crates/fake/src/experiment/requests.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use chestnut_route::{
-    Action, Context, Decision, End, Give, Order, Query, QueryConfig, Ran, Release, Yields,
+    Action, AdmitRequest, Context, Decision, End, PartialReason, Query, QueryConfig, Release,
+    RequestStats, Sheddable,
 };
 use chestnut_unit::{IndexVersion, Reason, RequestId, Time, Urgency};
 use rand::Rng;
@@ -89,13 +90,13 @@
     }
 
     pub(super) fn offer(&mut self, at: usize, id: u64, request: Request) {
-        let order = Order {
+        let admit_request = AdmitRequest {
             id: RequestId(id),
             urgency: request.urgency,
             deadline: request.deadline,
-            yields: match request.urgency {
-                Urgency::Now => Yields::No,
-                Urgency::Normal | Urgency::Archive => Yields::Yes,
+            sheddable: match request.urgency {
+                Urgency::Now => Sheddable::No,
+                Urgency::Normal | Urgency::Archive => Sheddable::Yes,
             },
         };
         let mut out = Vec::new();
@@ -103,16 +104,16 @@
         entry.requests.insert(id, request);
         let decision = entry
             .admission
-            .offer(order, self.now, &mut entry.rng, &mut out);
+            .offer(admit_request, self.now, &mut entry.rng, &mut out);
         self.decided(at, id, decision);
         self.release(at, out);
         self.arm_expiry(at);
     }
 
     pub(super) fn arm_expiry(&mut self, at: usize) {
-        if let Some(wake) = self.entries[at].admission.wake() {
+        if let Some(next_expiry) = self.entries[at].admission.next_expiry() {
             let least = self.now + Duration::from_millis(1);
-            self.at(wake.max(least), Event::Expire { entry: at });
+            self.at(next_expiry.max(least), Event::Expire { entry: at });
         }
     }
 
@@ -155,7 +156,7 @@
             return;
         };
         let config = QueryConfig {
-            goal: self.shape.goal.map_or(deadline, |goal| now + goal),
+            objective: self.shape.goal.map_or(deadline, |goal| now + goal),
             ..QueryConfig::new(deadline, self.shape.least)
         };
         let mut actions = Vec::new();
@@ -164,7 +165,7 @@
             table: &mut entry.table,
             now,
             rng: &mut entry.rng,
-            out: &mut actions,
+            actions: &mut actions,
         };
         let query = Query::start(routes, None, config, &mut cx);
         if let Some(request) = entry.requests.get_mut(&id) {
@@ -178,7 +179,7 @@
             return;
         };
         self.count_refusal(&request, Reason::NoSnapshot);
-        self.admission_done(at, Ran::default());
+        self.admission_done(at, RequestStats::default());
     }
 
     /// Passes an event to a query and does what it asks for.
@@ -197,7 +198,7 @@
             table: &mut entry.table,
             now: self.now,
             rng: &mut entry.rng,
-            out: &mut actions,
+            actions: &mut actions,
         };
         event(query, &mut cx);
         self.act(at, id, actions);
@@ -242,11 +243,11 @@
             return;
         };
         let Some(end) = query.end() else {
-            let wake = query.wake();
-            if wake < request.ticking || request.ticking <= self.now {
-                request.ticking = wake;
+            let next_tick = query.next_tick();
+            if next_tick < request.ticking || request.ticking <= self.now {
+                request.ticking = next_tick;
                 self.at(
-                    wake,
+                    next_tick,
                     Event::Tick {
                         entry: at,
                         query: id,
@@ -255,7 +256,7 @@
             }
             return;
         };
-        if end == End::Partial(Give::SnapshotLost) && request.restarts < RESTARTS {
+        if end == End::Partial(PartialReason::SnapshotLost) && request.restarts < RESTARTS {
             request.restarts += 1;
             request.ticking = Time::MAX;
             self.start(at, id);
@@ -272,10 +273,10 @@
             return;
         };
         let span = self.now.since(request.started.unwrap_or(self.now));
-        let ran = Ran {
+        let stats = RequestStats {
             span,
             calls: query.calls() as u32,
-            sheds: query.sheds(),
+            shed_calls: query.shed_calls(),
         };
         let coverage = query.coverage();
         if let Some(goal) = self.shape.goal {
@@ -285,11 +286,11 @@
             };
             let share = coverage.answered as f64 / coverage.asked.max(1) as f64;
             if coverage.reaches(self.shape.least) {
-                self.count_served(&request, share, goal, ran.calls);
+                self.count_served(&request, share, goal, stats.calls);
             } else {
-                self.count_unserved(&request, ran.calls);
+                self.count_unserved(&request, stats.calls);
                 if self.comes_back(&request, how) {
-                    self.admission_done(at, ran);
+                    self.admission_done(at, stats);
                     return;
                 }
             }
@@ -298,11 +299,11 @@
             self.outcome.ran += 1;
             self.outcome.covered += coverage.answered as f64 / coverage.asked.max(1) as f64;
             match end {
-                End::Whole => self.count_whole(&request),
+                End::Complete => self.count_whole(&request),
                 End::Partial(_) => self.outcome.short += 1,
             }
         }
-        self.admission_done(at, ran);
+        self.admission_done(at, stats);
     }
 
     /// Whether the caller of a request that was not served comes back: at once
@@ -351,11 +352,13 @@
         }
     }
 
-    pub(super) fn admission_done(&mut self, at: usize, ran: Ran) {
+    pub(super) fn admission_done(&mut self, at: usize, stats: RequestStats) {
         let mut out = Vec::new();
         let entry = &mut self.entries[at];
         let now = self.now;
-        entry.admission.done(ran, now, &mut entry.rng, &mut out);
+        entry
+            .admission
+            .record_end(stats, now, &mut entry.rng, &mut out);
         self.release(at, out);
     }
 
--- a/crates/fake/src/experiment/sim.rs
+++ b/crates/fake/src/experiment/sim.rs
@@ -206,12 +206,12 @@
 
     fn finish(mut self) -> Outcome {
         for entry in &self.entries {
-            let gauge = entry.table.gauge();
-            self.outcome.first += gauge.first;
-            self.outcome.hedges += gauge.hedges;
-            self.outcome.retries += gauge.retries;
-            self.outcome.shards += gauge.shards;
-            self.outcome.evictions += gauge.evictions;
+            let counts = entry.table.counts();
+            self.outcome.first += counts.first;
+            self.outcome.hedges += counts.hedges;
+            self.outcome.retries += counts.retries;
+            self.outcome.shards += counts.shards;
+            self.outcome.evictions += counts.evictions;
             self.outcome.opened += entry.opened;
         }
         let peaks = self.leafs.iter().map(|leaf| leaf.connections_peak);
--- a/crates/fake/src/experiment/wires.rs
+++ b/crates/fake/src/experiment/wires.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_route::{CallId, ConnId, Failure, PATIENCE, Pick, Refusal};
+use chestnut_route::{CallId, ConnId, Failure, Pick, QUIET_TIMEOUT, Refusal};
 use chestnut_unit::Time;
 
 use super::{
@@ -27,7 +27,7 @@
                 self.open(at, leaf, conn);
             }
             Pick::Wait => link.waiting.push(call),
-            Pick::Down => self.fail(at, &call, Failure::NotSent),
+            Pick::Cooldown => self.fail(at, &call, Failure::NotSent),
         }
     }
 
@@ -100,7 +100,7 @@
         if link.silent.contains(&conn) {
             self.found_silent(at, leaf, conn);
         } else {
-            link.pool.alive(conn, now);
+            link.pool.probe_answered(conn, now);
         }
     }
 
@@ -116,7 +116,7 @@
         let link = &mut self.entries[at].links[leaf];
         link.pool.sent(conn, self.now);
         link.flying.insert((call.query, call.call), conn);
-        let looks = PATIENCE + Duration::from_millis(1);
+        let looks = QUIET_TIMEOUT + Duration::from_millis(1);
         self.after(looks, Event::Check { entry: at, leaf });
         let link = &self.entries[at].links[leaf];
         if link.silent.contains(&conn) {
@@ -224,7 +224,7 @@
             let Some(conn) = link.flying.remove(&(query, call)) else {
                 continue;
             };
-            link.pool.missed(conn);
+            link.pool.abandoned(conn);
             let span = self.latency(at, leaf);
             self.after(
                 span,
@@ -261,7 +261,7 @@
             .collect();
         for (query, call) in lost {
             self.entries[at].links[leaf].flying.remove(&(query, call));
-            self.event(at, query, |q, cx| q.fail(call, Failure::Cut, cx));
+            self.event(at, query, |q, c| q.fail(call, Failure::ConnectionSilent, c));
         }
     }
 
--- a/crates/fake/tests/silence.rs
+++ b/crates/fake/tests/silence.rs
@@ -52,7 +52,7 @@
         .expect("the leaf answers");
     server.silence();
     let caught = targets.query(call(&server)).await;
-    assert_eq!(caught, Err(Failure::Cut));
+    assert_eq!(caught, Err(Failure::ConnectionSilent));
     let next = targets.query(call(&server)).await;
     assert!(next.is_ok(), "{next:?}");
 }
--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -82,7 +82,7 @@
                 .remove(&release.id)
                 .is_some_and(|waiter| waiter.send(release.decision).is_ok());
             if !told && release.decision == Decision::Run {
-                self.gate(gate).give_back(now, rng, &mut releases);
+                self.gate(gate).release_slot(now, rng, &mut releases);
             }
         }
     }
--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -121,7 +121,7 @@
             table: &mut state.table,
             now,
             rng: &mut self.rng,
-            out: &mut self.actions,
+            actions: &mut self.actions,
         };
         self.query = Some(Query::start(routes, subset, config, &mut cx));
     }
@@ -133,7 +133,7 @@
             if query.end().is_some() {
                 return self.query.take().expect("just seen");
             }
-            let wake = self.host.clock.instant(query.wake());
+            let next_tick = self.host.clock.instant(query.next_tick());
             tokio::select! {
                 biased;
                 Some(reply) = self.flying.next(), if !self.flying.is_empty() => {
@@ -141,7 +141,7 @@
                         self.take(call, reply);
                     }
                 }
-                () = sleep_until(wake) => self.with_query(|query, cx| query.tick(cx)),
+                () = sleep_until(next_tick) => self.with_query(|query, cx| query.tick(cx)),
             }
         }
     }
@@ -240,7 +240,7 @@
         let part = match kind {
             CallKind::First => "choose",
             CallKind::Hedge => "hedge",
-            CallKind::Retry | CallKind::Reshed | CallKind::Reroute => "retry",
+            CallKind::Retry | CallKind::RetryAfterShed | CallKind::Reroute => "retry",
         };
         let backend = lock(&self.cell.state).table.backend(to).clone();
         debug!(self.host.log, "{part}: {backend} for {shards} shards";
@@ -268,7 +268,7 @@
             table: &mut state.table,
             now: self.host.now(),
             rng: &mut self.rng,
-            out: &mut self.actions,
+            actions: &mut self.actions,
         };
         event(query, &mut cx);
         let evictions = state.table.take_evictions();
@@ -283,6 +283,6 @@
 
 impl<C: Calls> Drop for Fanout<'_, C> {
     fn drop(&mut self) {
-        self.with_query(|query, cx| query.abandon(cx));
+        self.with_query(|query, cx| query.cancel_all(cx));
     }
 }
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_route::{Decision, Order, Ran};
+use chestnut_route::{AdmitRequest, Decision, RequestStats};
 use chestnut_unit::{Reason, RequestId, Time};
 use rand::Rng;
 use tokio::{sync::oneshot, time::sleep_until};
@@ -30,12 +30,12 @@
         let mut out = Vec::new();
         let gate = self.gate;
         let mut state = lock(&self.cell.state);
-        let ran = Ran {
+        let stats = RequestStats {
             span: now.since(self.start),
             calls: self.calls,
-            sheds: self.sheds,
+            shed_calls: self.sheds,
         };
-        state.gate(gate).done(ran, now, &mut rng, &mut out);
+        state.gate(gate).record_end(stats, now, &mut rng, &mut out);
         state.deliver(gate, out, now, &mut rng);
     }
 }
@@ -51,7 +51,7 @@
     fn drop(&mut self) {
         let mut state = lock(&self.cell.state);
         if state.waiting.remove(&self.id).is_some() {
-            state.gate(self.gate).forget(self.id);
+            state.gate(self.gate).remove_queued(self.id);
         }
     }
 }
@@ -65,12 +65,12 @@
     host: &'a Host,
     cell: &Arc<Cell<X>>,
     gate: GateId,
-    order: Order,
+    request: AdmitRequest,
 ) -> Result<Running<'a, X>, (Reason, Duration)> {
     let mut rng = host.rng();
-    let decision = match offer(host, cell, gate, order, &mut rng) {
+    let decision = match offer(host, cell, gate, request, &mut rng) {
         Ok(decision) => decision,
-        Err(waiter) => wait(host, cell, gate, order, waiter).await,
+        Err(waiter) => wait(host, cell, gate, request, waiter).await,
     };
     match decision {
         Decision::Run => Ok(Running {
@@ -91,19 +91,19 @@
     host: &Host,
     cell: &Cell<X>,
     gate: GateId,
-    order: Order,
+    request: AdmitRequest,
     rng: &mut dyn Rng,
 ) -> Result<Decision, oneshot::Receiver<Decision>> {
     let now = host.now();
     let mut out = Vec::new();
     let mut state = lock(&cell.state);
-    let decision = state.gate(gate).offer(order, now, rng, &mut out);
+    let decision = state.gate(gate).offer(request, now, rng, &mut out);
     state.deliver(gate, out, now, rng);
     if decision != Decision::Wait {
         return Ok(decision);
     }
     let (waiter, told) = oneshot::channel();
-    state.waiting.insert(order.id, waiter);
+    state.waiting.insert(request.id, waiter);
     Err(told)
 }
 
@@ -111,7 +111,7 @@
     host: &Host,
     cell: &Cell<X>,
     gate: GateId,
-    order: Order,
+    request: AdmitRequest,
     mut told: oneshot::Receiver<Decision>,
 ) -> Decision {
     /// Shortest time between two looks at the queue.
@@ -119,11 +119,13 @@
     let _waiting = Waiting {
         cell,
         gate,
-        id: order.id,
+        id: request.id,
     };
     loop {
-        let wake = lock(&cell.state).gate(gate).wake();
-        let wake = wake.unwrap_or(order.deadline).max(host.now() + LOOK);
+        let next_expiry = lock(&cell.state).gate(gate).next_expiry();
+        let next_expiry = next_expiry
+            .unwrap_or(request.deadline)
+            .max(host.now() + LOOK);
         tokio::select! {
             biased;
             decision = &mut told => {
@@ -132,7 +134,7 @@
                     after: Duration::from_secs(1),
                 });
             }
-            () = sleep_until(host.clock.instant(wake)) => expire(host, cell, gate),
+            () = sleep_until(host.clock.instant(next_expiry)) => expire(host, cell, gate),
         }
     }
 }
--- a/crates/port/src/target_http.rs
+++ b/crates/port/src/target_http.rs
@@ -11,7 +11,7 @@
 };
 
 use bytes::Bytes;
-use chestnut_route::{ConnId, Failure, PATIENCE, Pick, Pool, Refusal};
+use chestnut_route::{ConnId, Failure, Pick, Pool, QUIET_TIMEOUT, Refusal};
 use chestnut_unit::{LeafId, lock};
 use futures::{FutureExt, future::BoxFuture};
 use http_body_util::{BodyExt, Full, Limited};
@@ -139,7 +139,7 @@
                     opened.await;
                     continue;
                 }
-                Pick::Down => return Err(Failure::NotSent),
+                Pick::Cooldown => return Err(Failure::NotSent),
             };
             match usable(leaf, id) {
                 Some(sender) => return Ok((id, sender)),
@@ -183,7 +183,7 @@
         let answered = timeout(PROBE_WAIT, sender.send_request(request)).await;
         let mut pool = lock(&leaf.pool);
         if answered.is_ok() {
-            pool.0.alive(id, self.inner.clock.now());
+            pool.0.probe_answered(id, self.inner.clock.now());
             return;
         }
         pool.0.closed(id);
@@ -197,7 +197,7 @@
     /// in coming.
     async fn patiently<T>(&self, leaf: &Arc<LeafConns>, answer: impl Future<Output = T>) -> T {
         let mut answer = std::pin::pin!(answer);
-        if let Ok(answer) = timeout(PATIENCE, &mut answer).await {
+        if let Ok(answer) = timeout(QUIET_TIMEOUT, &mut answer).await {
             return answer;
         }
         // A little later, so that the connection counts as quiet by now.
@@ -282,7 +282,7 @@
 /// otherwise.
 fn lost_on(leaf: &LeafConns, id: ConnId) -> Failure {
     if lock(&leaf.silenced).contains(&id) {
-        Failure::Cut
+        Failure::ConnectionSilent
     } else {
         Failure::Lost
     }
@@ -319,7 +319,7 @@
         if self.over {
             return;
         }
-        lock(&self.leaf.pool).0.missed(self.id);
+        lock(&self.leaf.pool).0.abandoned(self.id);
     }
 }
 
@@ -371,7 +371,7 @@
             leafs.values().cloned().collect()
         };
         for leaf in kept {
-            lock(&leaf.pool).0.set_most(most, spare);
+            lock(&leaf.pool).0.set_limits(most, spare);
         }
         for (id, address) in keep {
             let this = self.clone();
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -258,9 +258,9 @@
             }
         }
         SubAnswer::Failed(Failure::Refused(refusal)) => to.set_refused(refusal_to(*refusal)),
-        SubAnswer::Failed(Failure::Lost | Failure::Cut | Failure::NotSent | Failure::Failed) => {
-            to.set_lost(())
-        }
+        SubAnswer::Failed(
+            Failure::Lost | Failure::ConnectionSilent | Failure::NotSent | Failure::Failed,
+        ) => to.set_lost(()),
     }
 }
 
@@ -333,7 +333,7 @@
         Ok(done) => to.set_done(done),
         Err(Failure::Refused(refusal)) => to.set_refused(refusal_to(*refusal)),
         Err(Failure::NotSent) => to.set_not_sent(()),
-        Err(Failure::Lost | Failure::Cut | Failure::Failed) => to.set_lost(()),
+        Err(Failure::Lost | Failure::ConnectionSilent | Failure::Failed) => to.set_lost(()),
     }
 }
 
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -12,7 +12,7 @@
 };
 use chestnut_flow::lock;
 use chestnut_port::FeedError;
-use chestnut_route::{Backend, COLD_WINDOW, Ix, Permit};
+use chestnut_route::{Backend, COLD_WINDOW, ColdPermit, Ix};
 use chestnut_unit::{ServiceName, Time};
 use futures::future::BoxFuture;
 use rand::Rng;
@@ -106,15 +106,15 @@
     }
 
     /// Returns what this entry may send to a cold leaf under its lease; nothing without one.
-    fn permit_for(&self, ix: Ix) -> Permit {
+    fn permit_for(&self, ix: Ix) -> ColdPermit {
         let endpoint = self.places.get(&ix);
         let bound = endpoint.and_then(|endpoint| self.cold_rate_limit(&endpoint.service));
         match (bound, self.cold.lease) {
-            (Some(bound), Some(lease)) => Permit {
-                calls: lease.id.part(bound),
-                until: lease.until,
+            (Some(bound), Some(lease)) => ColdPermit {
+                max_calls: lease.id.part(bound),
+                expires: lease.until,
             },
-            _ => Permit::default(),
+            _ => ColdPermit::default(),
         }
     }
 }
@@ -127,7 +127,7 @@
     if !bounded || until <= now {
         return;
     }
-    state.table.set_cold(ix, until, now);
+    state.table.start_cold_limit(ix, until, now);
     let permit = state.extra.permit_for(ix);
     state.table.permit(ix, permit);
     state.extra.cold.leafs.insert(ix, until);
@@ -140,7 +140,7 @@
         let endpoint = state.extra.places.get(&ix);
         if endpoint.is_none_or(|endpoint| state.extra.cold_rate_limit(&endpoint.service).is_none())
         {
-            state.table.set_warm(ix);
+            state.table.end_cold_limit(ix);
             state.extra.cold.leafs.remove(&ix);
         }
     }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -13,7 +13,9 @@
 use chestnut_flow::{InFlight, Running, admit, lock, run};
 use chestnut_port::{LeafReply, Message};
 use chestnut_quarantine::Fingerprint;
-use chestnut_route::{End, Give, Ix, Order, Prospect, Query, QueryConfig, Repeat, Yields};
+use chestnut_route::{
+    AdmitRequest, End, Ix, PartialReason, Query, QueryConfig, Repeat, Sheddable, Timeliness,
+};
 use chestnut_unit::{Coverage, Reason, Run, Share, Time, Urgency};
 use hyper::header::{AUTHORIZATION, HeaderValue};
 use rand::Rng;
@@ -187,29 +189,29 @@
         gate,
         class,
         ahead,
-        prospect,
+        timeliness,
     } = plan(&mut lock(&shared.cell.state), &rule, ask.left, draw, start);
-    log.send_by = (prospect == Prospect::InTime).then_some(ahead);
+    log.send_by = (timeliness == Timeliness::InTime).then_some(ahead);
     let timeout = ask.left.unwrap_or(rule.timeout).min(rule.timeout);
     let deadline = start + timeout;
-    let order = Order {
+    let request = AdmitRequest {
         id: shared.next_request(),
         urgency: urgency(rule.rank),
         deadline,
-        yields: Yields::Yes,
+        sheddable: Sheddable::Yes,
     };
-    let running = admit(&shared.host, &shared.cell, gate, order)
+    let running = admit(&shared.host, &shared.cell, gate, request)
         .await
         .map_err(|(reason, after)| not_run(Why::Declined(reason), Some(after)))?;
     let config = QueryConfig {
         deadline,
-        least: min_coverage(&rule),
-        goal: start + ahead,
-        prospect,
-        attempts: rule.attempts,
+        min_coverage: min_coverage(&rule),
+        objective: start + ahead,
+        timeliness,
+        max_attempts: rule.attempts,
         repeat: match rule.kind {
-            Kind::Idempotent => Repeat::Free,
-            Kind::Once => Repeat::Unrun,
+            Kind::Idempotent => Repeat::Idempotent,
+            Kind::Once => Repeat::OnlyIfNotRun,
         },
         trust,
         class,
@@ -225,13 +227,13 @@
         config,
     )
     .await;
-    log.cut_short = query.end() == Some(End::Partial(Give::Enough));
+    log.cut_short = query.end() == Some(End::Partial(PartialReason::Sufficient));
     log.calls = query.calls();
     log.withheld = query.withheld();
     log.coverage = Some(query.coverage());
-    log.failed_leafs = leaf_names(shared, &query.in_vain());
+    log.failed_leafs = leaf_names(shared, &query.unanswered_backends());
     log.full_shards = query
-        .full()
+        .without_capacity()
         .map(|name| name.as_str())
         .collect::<Vec<_>>()
         .join(" ");
@@ -267,7 +269,7 @@
 /// Releases the admission slot of a request and records its calls.
 fn release(mut running: Running<'_, Ground>, query: &Query<LeafReply>) {
     running.calls = query.calls() as u32;
-    running.sheds = query.sheds();
+    running.sheds = query.shed_calls();
 }
 
 fn urgency(rank: u32) -> Urgency {
@@ -322,14 +324,14 @@
 fn query_failure(query: &Query<LeafReply>, retry_after: Duration) -> Declined {
     if query.not_run().is_some() {
         let reason = match query.end() {
-            Some(End::Partial(Give::Deadline)) => Reason::Deadline,
-            Some(End::Partial(Give::Full)) => Reason::Overload,
+            Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
+            Some(End::Partial(PartialReason::NoCapacity)) => Reason::Overload,
             _ => Reason::TargetRefused,
         };
         return not_run(Why::Declined(reason), Some(retry_after));
     }
     let why = match query.end() {
-        Some(End::Partial(Give::Deadline)) => Why::Timeout,
+        Some(End::Partial(PartialReason::Deadline)) => Why::Timeout,
         _ => Why::Failed,
     };
     Declined {
--- a/crates/relay/src/ground.rs
+++ b/crates/relay/src/ground.rs
@@ -11,7 +11,9 @@
 use chestnut_book::{RECORD, RouteBook, Rule, Target, Turns};
 use chestnut_flow::GateId;
 use chestnut_port::Distance;
-use chestnut_route::{Adapt, Admission, AdmitConfig, Bounds, Class, Ix, Purse, PurseId, Routes};
+use chestnut_route::{
+    Admission, AdmitConfig, Bounds, BudgetId, Class, ExtraBudget, Ix, LimitMode, Routes,
+};
 use chestnut_unit::{DomainName, LeafId, ServiceName};
 
 use crate::{
@@ -87,7 +89,7 @@
     /// Classes of removed rules, free for reuse.
     pub(crate) free_classes: Vec<Class>,
     /// The extra-call budget of each service.
-    pub(crate) budgets: BTreeMap<ServiceName, PurseId>,
+    pub(crate) budgets: BTreeMap<ServiceName, BudgetId>,
     /// The admission gate of each list of services that a rule calls.
     pub(crate) gates: BTreeMap<Vec<ServiceName>, GateId>,
     /// Cached routes of each list of services; cleared when leafs change.
@@ -211,9 +213,9 @@
     let extra = state.extra.extra;
     let slack = state.extra.allotment.slack(&extra);
     for id in state.extra.budgets.values() {
-        if let Purse::Joint(budget) = state.table.purse(*id) {
+        if let ExtraBudget::Joint(budget) = state.table.budget_mut(*id) {
             budget.set_share(extra.share());
-            budget.set_slack(slack, extra.window);
+            budget.set_quota(slack, extra.window);
         }
     }
 }
@@ -221,8 +223,8 @@
 /// Creates the admission gate of one list of services.
 pub(crate) fn gate() -> Admission {
     Admission::new(AdmitConfig {
-        initial: MAX_CONCURRENT_REQUESTS,
-        queue: MAX_QUEUED_REQUESTS,
-        adapt: Adapt::No,
+        initial_limit: MAX_CONCURRENT_REQUESTS,
+        queue_capacity: MAX_QUEUED_REQUESTS,
+        limit_mode: LimitMode::Fixed,
     })
 }
--- a/crates/relay/src/moves.rs
+++ b/crates/relay/src/moves.rs
@@ -63,9 +63,9 @@
         true => Distance::Near,
         false => Distance::Far,
     };
-    state.table.set_far(ix, distance == Distance::Far);
+    state.table.set_remote(ix, distance == Distance::Far);
     let excluded = state.extra.evacuations.covers(&entry.domain);
-    state.table.set_barred(ix, excluded, now);
+    state.table.set_excluded(ix, excluded, now);
     let endpoint = Endpoint {
         leaf: id.clone(),
         address: entry.address,
@@ -101,7 +101,7 @@
         let leafs: Vec<LeafId> = state.extra.leafs.within(domain).cloned().collect();
         for id in leafs {
             if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-                state.table.set_barred(ix, excluded, now);
+                state.table.set_excluded(ix, excluded, now);
                 if !excluded {
                     assume_cold(state, &id, ix, now);
                 }
@@ -129,7 +129,7 @@
 /// for the new one.
 fn restart_leaf(state: &mut State, id: &LeafId, entry: &LeafEntry, own: &RelaySettings, now: Time) {
     remove_leaf(state, id, now);
-    state.table.renew(&Backend::Leaf(id.clone()));
+    state.table.retire(&Backend::Leaf(id.clone()));
     add_leaf(state, id, entry, own, now, now);
 }
 
@@ -143,6 +143,6 @@
 /// Marks a leaf as suspected, which is called only if no other can be, or as present.
 fn set_suspected(state: &mut State, id: &LeafId, suspected: bool) {
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-        state.table.set_doubt(ix, suspected);
+        state.table.set_suspected(ix, suspected);
     }
 }
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -4,7 +4,9 @@
 
 use chestnut_book::{Rule, Target, Turns};
 use chestnut_flow::GateId;
-use chestnut_route::{Backend, Budget, Class, Ix, Prospect, Purse, PurseId, Route, Routes};
+use chestnut_route::{
+    Backend, Budget, BudgetId, Class, ExtraBudget, Ix, Route, Routes, Timeliness,
+};
 use chestnut_unit::{IndexVersion, ServiceName, ShardName, Snapshot, Time};
 
 use crate::{
@@ -28,7 +30,7 @@
     /// objective.
     pub(crate) ahead: Duration,
     /// Whether the answer can still meet the objective.
-    pub(crate) prospect: Prospect,
+    pub(crate) timeliness: Timeliness,
 }
 
 /// Plans a request of `rule` whose caller has the time `remaining`; `draw` is a random
@@ -41,8 +43,8 @@
     now: Time,
 ) -> Plan {
     let class = class_of(state, rule);
-    state.table.set_goal(class, rule.goal);
-    let (ahead, prospect) = time_ahead(state, rule, class, remaining, now);
+    state.table.set_objective(class, rule.goal);
+    let (ahead, timeliness) = time_ahead(state, rule, class, remaining, now);
     let services = match &rule.target {
         Target::One(service) => vec![service.clone()],
         Target::Split(parts) => vec![pick_service(state, rule, parts, draw)],
@@ -69,7 +71,7 @@
         gate,
         class,
         ahead,
-        prospect,
+        timeliness,
     }
 }
 
@@ -83,11 +85,11 @@
     class: Class,
     remaining: Option<Duration>,
     now: Time,
-) -> (Duration, Prospect) {
+) -> (Duration, Timeliness) {
     let median = state.table.profile(class).calls.median();
     let ground = &mut state.extra;
     let Some(kept) = ground.rules.get_mut(&rule.name) else {
-        return (rule.goal, Prospect::InTime);
+        return (rule.goal, Timeliness::InTime);
     };
     let overhead = ground
         .callers
@@ -96,8 +98,8 @@
         .goal
         .saturating_sub(overhead + ground.transmission_delay(rule));
     match ahead > median {
-        true => (ahead, Prospect::InTime),
-        false => (rule.goal, Prospect::Late),
+        true => (ahead, Timeliness::InTime),
+        false => (rule.goal, Timeliness::Late),
     }
 }
 
@@ -144,7 +146,7 @@
         .map(|service| Route {
             name: ShardName::new(service.as_str()).expect("the same characters are legal"),
             replicas: replicas(state, service),
-            purse: budget_of(state, service),
+            budget: budget_of(state, service),
         })
         .collect();
     Routes {
@@ -167,14 +169,14 @@
 }
 
 /// Returns the extra-call budget of a service, creating it on first use.
-fn budget_of(state: &mut State, service: &ServiceName) -> PurseId {
+fn budget_of(state: &mut State, service: &ServiceName) -> BudgetId {
     if let Some(id) = state.extra.budgets.get(service) {
         return *id;
     }
     let extra = state.extra.extra;
     let mut budget = Budget::empty(extra.share(), 1);
-    budget.set_slack(state.extra.allotment.slack(&extra), extra.window);
-    let id = state.table.add_purse(Purse::Joint(budget));
+    budget.set_quota(state.extra.allotment.slack(&extra), extra.window);
+    let id = state.table.add_budget(ExtraBudget::Joint(budget));
     state.extra.budgets.insert(service.clone(), id);
     id
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -129,8 +129,8 @@
 /// The request is quarantined and must not run.
 pub(crate) fn admit(shared: &Shared, fingerprint: Fingerprint) -> Result<Trust, Declined> {
     match lock(&shared.ledger).admit(fingerprint, shared.now()) {
-        Stand::Free => Ok(Trust::Full),
-        Stand::Trial => Ok(Trust::Trial),
+        Stand::Free => Ok(Trust::Trusted),
+        Stand::Trial => Ok(Trust::Suspected),
         Stand::Refused(after) => Err(Declined {
             why: Why::Declined(Reason::Quarantined),
             run: Run::NotRun,
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -4,7 +4,7 @@
 
 use chestnut_flow::lock;
 use chestnut_port::{Distance, Flow, Purpose, Traffic};
-use chestnut_route::{Gauge, Tally};
+use chestnut_route::{BudgetTotals, CallCounts};
 use slog::info;
 use tokio::time::sleep;
 
@@ -65,8 +65,8 @@
 /// Totals of extra calls: their budget, and the calls made.
 #[derive(Clone, Copy, Default)]
 struct ExtraTotals {
-    tally: Tally,
-    gauge: Gauge,
+    totals: BudgetTotals,
+    counts: CallCounts,
 }
 
 /// Logs the use of bytes and calls since the last line, for as long as the entry runs.
@@ -84,25 +84,25 @@
         bytes = now;
         let (next, delay, samples, overrun) = {
             let state = lock(&shared.cell.state);
-            let (tally, gauge) = (state.table.tally(), state.table.gauge());
+            let (totals, counts) = (state.table.budget_totals(), state.table.counts());
             let callers = &state.extra.callers;
             (
-                ExtraTotals { tally, gauge },
+                ExtraTotals { totals, counts },
                 callers.way(Duration::ZERO),
                 callers.samples(),
                 callers.overrun(),
             )
         };
-        if next.gauge.first > extra.gauge.first {
+        if next.counts.first > extra.counts.first {
             info!(shared.host.log, "spend: extra calls";
-                "earned" => next.tally.earned - extra.tally.earned,
-                "lost" => next.tally.lost - extra.tally.lost,
-                "spent" => next.tally.spent - extra.tally.spent,
-                "first" => next.gauge.first - extra.gauge.first,
-                "hedges" => next.gauge.hedges - extra.gauge.hedges,
-                "retries" => next.gauge.retries - extra.gauge.retries,
-                "unpaid" => next.gauge.unpaid - extra.gauge.unpaid,
-                "spared" => next.gauge.spared - extra.gauge.spared,
+                "earned" => next.totals.earned - extra.totals.earned,
+                "lost" => next.totals.discarded - extra.totals.discarded,
+                "spent" => next.totals.spent - extra.totals.spent,
+                "first" => next.counts.first - extra.counts.first,
+                "hedges" => next.counts.hedges - extra.counts.hedges,
+                "retries" => next.counts.retries - extra.counts.retries,
+                "unpaid" => next.counts.over_budget - extra.counts.over_budget,
+                "spared" => next.counts.low_gain - extra.counts.low_gain,
                 "way_ms" => delay.as_secs_f64() * 1e3, "way_samples" => samples, "overrun_ms" => overrun.as_secs_f64() * 1e3);
         }
         extra = next;
@@ -115,25 +115,25 @@
         let bytes = shared.traffic.get(purpose, distance, flow);
         shared.metrics.set_bytes(purpose, distance, flow, bytes);
     }
-    let (tally, gauge, evacuated_calls) = {
+    let (totals, counts, evacuated_calls) = {
         let state = lock(&shared.cell.state);
         (
-            state.table.tally(),
-            state.table.gauge(),
-            state.table.outstanding_barred(),
+            state.table.budget_totals(),
+            state.table.counts(),
+            state.table.outstanding_excluded(),
         )
     };
     shared
         .metrics
         .evacuated_calls
         .set(i64::from(evacuated_calls));
-    shared.metrics.set_extra_calls("earned", tally.earned);
-    shared.metrics.set_extra_calls("lost", tally.lost);
-    shared.metrics.set_extra_calls("spent", tally.spent);
+    shared.metrics.set_extra_calls("earned", totals.earned);
+    shared.metrics.set_extra_calls("lost", totals.discarded);
+    shared.metrics.set_extra_calls("spent", totals.spent);
     shared
         .metrics
-        .set_extra_calls("unpaid", gauge.unpaid as f64);
+        .set_extra_calls("unpaid", counts.over_budget as f64);
     shared
         .metrics
-        .set_extra_calls("spared", gauge.spared as f64);
+        .set_extra_calls("spared", counts.low_gain as f64);
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -109,7 +109,7 @@
     ) -> Self {
         let config = TableConfig {
             choice: Choice::Predicted,
-            stall: STALL_COOLDOWN,
+            stall_backoff: STALL_COOLDOWN,
             ..TableConfig::default()
         };
         let ground = Ground::new(&settings);
--- a/crates/relay/tests/budget_model.rs
+++ b/crates/relay/tests/budget_model.rs
@@ -111,9 +111,9 @@
             // A new entry knows no other member yet.
             let carriers = if entry.age < VIEW_LAG { 1 } else { known };
             let slack = allotment(carriers).slack(&self.extra);
-            entry.budget.set_slack(slack, WINDOW);
+            entry.budget.set_quota(slack, WINDOW);
             // An entry's clock starts at zero with its process.
-            entry.budget.pass(Time::ZERO + STEP * entry.age as u32);
+            entry.budget.refill(Time::ZERO + STEP * entry.age as u32);
             entry.budget.earn(per_entry);
             while entry.budget.spend() {
                 step.extra += 1;
@@ -173,8 +173,8 @@
     for second in 0..SECONDS {
         for budget in &mut budgets {
             let slack = allotment(known(&mut rng)).slack(&extra);
-            budget.set_slack(slack, WINDOW);
-            budget.pass(Time::ZERO + Duration::from_secs(second as u64));
+            budget.set_quota(slack, WINDOW);
+            budget.refill(Time::ZERO + Duration::from_secs(second as u64));
             let calls = rate / count as f64;
             let calls = calls as usize + usize::from(rng.random_bool(calls.fract()));
             budget.earn(calls);
--- a/crates/route/benches/query.rs
+++ b/crates/route/benches/query.rs
@@ -21,7 +21,7 @@
         .map(|s| Route {
             name: ShardName::new(format!("s{s}")).expect("a legal name"),
             replicas: (0..REPLICAS).map(|r| leaf(s * REPLICAS + r)).collect(),
-            purse: chestnut_route::PurseId::default(),
+            budget: chestnut_route::BudgetId::default(),
         })
         .collect();
     Arc::new(Routes {
@@ -36,17 +36,17 @@
 /// Runs one query from its first calls to the merged answer, every call
 /// answered in order.
 fn run(table: &mut Table, routes: &Arc<Routes>, rng: &mut ChaCha8Rng) -> usize {
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     let start = Time::from_millis(10);
     let config = QueryConfig::new(Time::from_millis(1000), Share::WHOLE);
     let mut cx = Context {
         table,
         now: start,
         rng,
-        out: &mut out,
+        actions: &mut actions,
     };
     let mut query: Query<()> = Query::start(routes.clone(), None, config, &mut cx);
-    let calls: Vec<Action> = std::mem::take(cx.out);
+    let calls: Vec<Action> = std::mem::take(cx.actions);
     cx.now = start + Duration::from_millis(5);
     for action in calls {
         if let Action::Call { call, shards, .. } = action {
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -6,41 +6,41 @@
 use chestnut_unit::{Reason, RequestId, Time, Urgency};
 use rand::Rng;
 
-use crate::{Limit, Ran};
+use crate::{Limit, RequestStats};
 
 /// Parameters of the admission control of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmitConfig {
     /// Concurrency limit before any run time was recorded.
-    pub initial: u32,
+    pub initial_limit: u32,
     /// Capacity of the queue, in requests.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Whether the concurrency limit adapts to run times.
-    pub adapt: Adapt,
+    pub limit_mode: LimitMode,
 }
 
 /// Whether a concurrency limit adapts to the service's run times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adapt {
+pub enum LimitMode {
     /// The limit adapts.
-    Yes,
+    Adaptive,
     /// The limit stays at its initial value.
-    No,
+    Fixed,
 }
 
 impl Default for AdmitConfig {
     fn default() -> Self {
         Self {
-            initial: 16,
-            queue: 256,
-            adapt: Adapt::Yes,
+            initial_limit: 16,
+            queue_capacity: 256,
+            limit_mode: LimitMode::Adaptive,
         }
     }
 }
 
 /// A request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct AdmitRequest {
     /// Identifies the request.
     pub id: RequestId,
     /// Urgency of the request.
@@ -48,12 +48,12 @@
     /// Time by which the answer must be ready.
     pub deadline: Time,
     /// Whether the request may be refused for overload, as its template says.
-    pub yields: Yields,
+    pub sheddable: Sheddable,
 }
 
 /// Whether a request may be refused for overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Yields {
+pub enum Sheddable {
     /// It may be refused for overload.
     Yes,
     /// It is refused only when its deadline can't be met.
@@ -113,10 +113,10 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     limit: Limit,
-    adapt: Adapt,
+    limit_mode: LimitMode,
     queue_capacity: usize,
     running: u32,
-    queue: BTreeMap<Key, Yields>,
+    queue: BTreeMap<Key, Sheddable>,
     /// Consecutive releases that bypassed less urgent requests.
     bypasses: u32,
     /// Moving average of run times, in seconds.
@@ -128,9 +128,9 @@
     #[must_use]
     pub fn new(config: AdmitConfig) -> Self {
         Self {
-            limit: Limit::new(config.initial),
-            adapt: config.adapt,
-            queue_capacity: config.queue,
+            limit: Limit::new(config.initial_limit),
+            limit_mode: config.limit_mode,
+            queue_capacity: config.queue_capacity,
             running: 0,
             queue: BTreeMap::new(),
             bypasses: 0,
@@ -146,7 +146,7 @@
 
     /// Number of queued requests.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
@@ -160,38 +160,44 @@
     /// are appended to `out`.
     pub fn offer(
         &mut self,
-        order: Order,
+        request: AdmitRequest,
         now: Time,
         rng: &mut dyn Rng,
         out: &mut Vec<Release>,
     ) -> Decision {
-        if self.has_capacity(order.urgency) && !self.has_queued_ahead(order.urgency) {
+        if self.has_capacity(request.urgency) && !self.has_queued_ahead(request.urgency) {
             self.running += 1;
             return Decision::Run;
         }
-        let key = (order.urgency, order.deadline, order.id);
+        let key = (request.urgency, request.deadline, request.id);
         let wait = self.expected_wait(key);
-        let left = order.deadline.since(now).as_secs_f64();
+        let left = request.deadline.since(now).as_secs_f64();
         if wait + self.run_mean > left {
             return self.refuse(Reason::Deadline, rng);
         }
-        if order.yields == Yields::Yes && wait > left * MAX_WAIT_SHARE {
+        if request.sheddable == Sheddable::Yes && wait > left * MAX_WAIT_SHARE {
             return self.refuse(Reason::Overload, rng);
         }
         if self.queue.len() >= self.queue_capacity && !self.displace_after(key, rng, out) {
             return self.refuse(Reason::Overload, rng);
         }
-        self.queue.insert(key, order.yields);
+        self.queue.insert(key, request.sheddable);
         Decision::Wait
     }
 
     /// Records the end of a request that ran, and appends queued requests that
     /// now run or expire to `out`.
-    pub fn done(&mut self, ran: Ran, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
-        if self.adapt == Adapt::Yes {
-            self.limit.record(ran, self.running, now);
+    pub fn record_end(
+        &mut self,
+        stats: RequestStats,
+        now: Time,
+        rng: &mut dyn Rng,
+        out: &mut Vec<Release>,
+    ) {
+        if self.limit_mode == LimitMode::Adaptive {
+            self.limit.record(stats, self.running, now);
         }
-        let sample = ran.span.as_secs_f64();
+        let sample = stats.span.as_secs_f64();
         self.run_mean = match self.run_mean {
             0.0 => sample,
             mean => mean + RUN_TIME_WEIGHT * (sample - mean),
@@ -202,14 +208,14 @@
 
     /// Frees the slot of a running request whose caller has disconnected,
     /// without recording a run time.
-    pub fn give_back(&mut self, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
+    pub fn release_slot(&mut self, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
         self.running = self.running.saturating_sub(1);
         self.release(now, rng, out);
     }
 
     /// Removes a queued request whose caller has disconnected.
-    pub fn forget(&mut self, id: RequestId) {
-        self.queue.retain(|(_, _, waiting), _| *waiting != id);
+    pub fn remove_queued(&mut self, id: RequestId) {
+        self.queue.retain(|(_, _, queued), _| *queued != id);
     }
 
     /// Refuses queued requests that can no longer meet their deadline.
@@ -233,7 +239,7 @@
 
     /// Time at which [`Admission::expire`] has to be called next.
     #[must_use]
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_expiry(&self) -> Option<Time> {
         let run_time = Duration::from_secs_f64(self.run_mean);
         let earliest = self.queue.keys().map(|(_, deadline, _)| *deadline).min()?;
         Some(earliest - run_time)
@@ -312,7 +318,7 @@
             .queue
             .iter()
             .rev()
-            .find(|(_, yields)| **yields == Yields::Yes)
+            .find(|(_, sheddable)| **sheddable == Sheddable::Yes)
             .map(|(last, _)| *last);
         let Some(last) = last.filter(|last| *last > key) else {
             return false;
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -2,9 +2,9 @@
 //!
 //! A request may be reported as not run only if none of its attempts can have
 //! run. [`NotRun::prove`] is the only constructor of [`NotRun`] and takes the
-//! end of every attempt. An attempt that was sent ends as [`Fate::Unknown`]
-//! unless the target answered or refused it, so code that loses track of an
-//! attempt can't claim that it wasn't run.
+//! end of every attempt. An attempt that was sent ends as
+//! [`AttemptOutcome::Unknown`] unless the target answered or refused it, so code
+//! that loses track of an attempt can't claim that it wasn't run.
 
 use chestnut_unit::Time;
 
@@ -33,11 +33,11 @@
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// Nothing was handed to a connection.
     NeverSent,
     /// The target refused it before running any of it.
-    RefusedUnrun,
+    Refused,
     /// The target answered.
     Answered,
     /// It was sent and no answer came, so it may have run.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
     to: Ix,
-    fate: Fate,
+    outcome: AttemptOutcome,
 }
 
 impl Ended {
@@ -60,8 +60,8 @@
 
     /// The outcome of the attempt.
     #[must_use]
-    pub fn fate(&self) -> Fate {
-        self.fate
+    pub fn outcome(&self) -> AttemptOutcome {
+        self.outcome
     }
 }
 
@@ -100,7 +100,7 @@
     pub fn abandon(self) -> Ended {
         Ended {
             to: self.to,
-            fate: Fate::NeverSent,
+            outcome: AttemptOutcome::NeverSent,
         }
     }
 }
@@ -115,31 +115,34 @@
     /// Ends the attempt with an answer of the target.
     #[must_use]
     pub fn answer(self) -> Ended {
-        self.end(Fate::Answered)
+        self.end(AttemptOutcome::Answered)
     }
 
     /// Ends the attempt with the target's refusal to run any of it.
     #[must_use]
-    pub fn refuse_unrun(self) -> Ended {
-        self.end(Fate::RefusedUnrun)
+    pub fn refuse(self) -> Ended {
+        self.end(AttemptOutcome::Refused)
     }
 
     /// Ends the attempt with proof from the connection that none of it was
     /// written.
     #[must_use]
     pub fn prove_unsent(self) -> Ended {
-        self.end(Fate::NeverSent)
+        self.end(AttemptOutcome::NeverSent)
     }
 
     /// Ends the attempt without an answer: lost connection, timeout or
     /// cancellation.
     #[must_use]
-    pub fn lose(self) -> Ended {
-        self.end(Fate::Unknown)
+    pub fn end_unknown(self) -> Ended {
+        self.end(AttemptOutcome::Unknown)
     }
 
-    fn end(self, fate: Fate) -> Ended {
-        Ended { to: self.to, fate }
+    fn end(self, outcome: AttemptOutcome) -> Ended {
+        Ended {
+            to: self.to,
+            outcome,
+        }
     }
 }
 
@@ -160,7 +163,12 @@
     /// without attempts was not run.
     #[must_use]
     pub fn prove(ends: &[Ended]) -> Option<Self> {
-        let unrun = |end: &Ended| matches!(end.fate, Fate::NeverSent | Fate::RefusedUnrun);
-        ends.iter().all(unrun).then_some(Self(()))
+        let not_run = |end: &Ended| {
+            matches!(
+                end.outcome,
+                AttemptOutcome::NeverSent | AttemptOutcome::Refused
+            )
+        };
+        ends.iter().all(not_run).then_some(Self(()))
     }
 }
--- a/crates/route/src/backend.rs
+++ b/crates/route/src/backend.rs
@@ -52,7 +52,7 @@
     /// How long a back end with a late call is avoided unless it answers; zero
     /// disables this. It suits back ends that pause all their calls at once.
     /// Where single calls straggle it leaves healthy ones idle.
-    pub stall: Duration,
+    pub stall_backoff: Duration,
 }
 
 /// Whether a table protects itself against faulty back ends.
@@ -76,7 +76,7 @@
             hedge_share: Share::from_permille(80),
             retry_share: Share::from_permille(100),
             guard: Guard::On,
-            stall: Duration::ZERO,
+            stall_backoff: Duration::ZERO,
         }
     }
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -22,27 +22,27 @@
     /// Tokens saved from first calls while the quota is below one call.
     reserve: Option<Reserve>,
     updated: Time,
-    tally: Tally,
+    totals: BudgetTotals,
 }
 
 /// Totals of a budget, in calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct BudgetTotals {
     /// Tokens earned by first calls or by time.
     pub earned: f64,
     /// Earned tokens that were discarded because the bucket was full.
-    pub lost: f64,
+    pub discarded: f64,
     /// Tokens spent on extra calls.
     pub spent: f64,
 }
 
-impl Add for Tally {
+impl Add for BudgetTotals {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
         Self {
             earned: self.earned + other.earned,
-            lost: self.lost + other.lost,
+            discarded: self.discarded + other.discarded,
             spent: self.spent + other.spent,
         }
     }
@@ -65,7 +65,7 @@
             rate: 0.0,
             reserve: None,
             updated: Time::ZERO,
-            tally: Tally::default(),
+            totals: BudgetTotals::default(),
         }
     }
 
@@ -87,12 +87,12 @@
 
     /// Allows `quota` calls in any `window` in addition to the share. Half of the quota
     /// is the bucket's capacity and the other half is refilled over the window; tokens
-    /// above the capacity are lost.
+    /// above the capacity are discarded.
     ///
     /// The capacity is at least one call where the quota is: half of a small quota
     /// would be less than a call and could never be spent. For a quota below one call,
     /// a reserve saved from first calls pays instead.
-    pub fn set_slack(&mut self, quota: f64, window: Duration) {
+    pub fn set_quota(&mut self, quota: f64, window: Duration) {
         self.burst = match quota >= 1.0 {
             true => (quota / 2.0).max(1.0),
             false => quota / 2.0,
@@ -106,7 +106,7 @@
     }
 
     /// Refills the bucket for the time that has passed.
-    pub fn pass(&mut self, now: Time) {
+    pub fn refill(&mut self, now: Time) {
         let earned = self.rate * now.since(self.updated).as_secs_f64();
         self.deposit(earned);
         self.updated = self.updated.max(now);
@@ -118,8 +118,8 @@
         match &mut self.reserve {
             None => self.deposit(earned),
             Some(reserve) => {
-                self.tally.earned += earned;
-                self.tally.lost += reserve.earn(calls, self.share, self.updated);
+                self.totals.earned += earned;
+                self.totals.discarded += reserve.earn(calls, self.share, self.updated);
             }
         }
     }
@@ -127,8 +127,8 @@
     fn deposit(&mut self, earned: f64) {
         let uncapped = self.tokens + earned;
         self.tokens = uncapped.min(self.burst);
-        self.tally.earned += earned;
-        self.tally.lost += uncapped - self.tokens;
+        self.totals.earned += earned;
+        self.totals.discarded += uncapped - self.tokens;
     }
 
     fn available(&self) -> f64 {
@@ -139,26 +139,26 @@
     /// Spends one extra call; returns false if the budget doesn't allow it.
     #[must_use]
     pub fn spend(&mut self) -> bool {
-        self.spend_part(1.0)
+        self.spend_cost(1.0)
     }
 
     /// Spends an extra call that costs its target `cost` of a whole call; returns false
     /// if the budget doesn't allow it.
     #[must_use]
-    pub fn spend_part(&mut self, cost: f64) -> bool {
+    pub fn spend_cost(&mut self, cost: f64) -> bool {
         if self.available() < cost {
             return false;
         }
         let reserve = self.reserve.as_mut();
         let paid = reserve.map_or(0.0, |r| r.withdraw(cost, self.share, self.updated));
         self.tokens -= cost - paid;
-        self.tally.spent += cost;
+        self.totals.spent += cost;
         true
     }
 
     /// The filled part of the capacity, from 0 to 1.
     #[must_use]
-    pub fn part_left(&self) -> f64 {
+    pub fn fill_level(&self) -> f64 {
         let reserve = self.reserve.as_ref();
         let capacity =
             self.burst + reserve.map_or(0.0, |reserve| reserve.capacity(self.share, self.updated));
@@ -170,13 +170,13 @@
 
     /// The totals so far.
     #[must_use]
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn totals(&self) -> BudgetTotals {
+        self.totals
     }
 
     /// Number of whole calls that can be spent now.
     #[must_use]
-    pub fn left(&self) -> u32 {
+    pub fn available_calls(&self) -> u32 {
         self.available() as u32
     }
 }
--- a/crates/route/src/call_counts.rs
+++ b/crates/route/src/call_counts.rs
@@ -2,7 +2,7 @@
 
 /// Counters of one service's calls since its table was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Gauge {
+pub struct CallCounts {
     /// First calls made.
     pub first: u64,
     /// Shards covered by first calls.
@@ -12,10 +12,10 @@
     /// Retries made.
     pub retries: u64,
     /// Extra calls that were not made because their budget was used up.
-    pub unpaid: u64,
+    pub over_budget: u64,
     /// Extra calls that were not made because they add too little to the answer
     /// for what is left of their budget.
-    pub spared: u64,
+    pub low_gain: u64,
     /// Answers, or parts of them, that were dropped: the request or shard was
     /// already done, or they belong to another snapshot.
     pub dropped: u64,
@@ -23,7 +23,7 @@
     pub evictions: u64,
 }
 
-impl Gauge {
+impl CallCounts {
     /// Extra calls per first call.
     #[must_use]
     pub fn extra(&self) -> f64 {
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -4,7 +4,7 @@
 
 use chestnut_unit::{IndexVersion, Time};
 
-use crate::{Bounds, Class, Ix, PurseId, Table, choose::tiers};
+use crate::{Bounds, BudgetId, Class, Ix, Table, choose::tiers};
 
 /// Multiple of the class's median duration above which a call shrinks its back
 /// end's window. Random variation seldom exceeds it; a queue as long as the
@@ -31,8 +31,8 @@
     }
 
     /// Sets the callers' latency objective for a class.
-    pub fn set_goal(&mut self, class: Class, objective: Duration) {
-        self.profiles[class.index()].goal = Some(objective);
+    pub fn set_objective(&mut self, class: Class, objective: Duration) {
+        self.profiles[class.index()].objective = Some(objective);
     }
 
     /// Returns the number of calls that may be in flight at a back end.
@@ -43,7 +43,7 @@
 
     /// Returns whether a back end has capacity for one more call.
     #[must_use]
-    pub fn has_room(&self, ix: Ix) -> bool {
+    pub fn has_capacity(&self, ix: Ix) -> bool {
         let state = &self.states[ix.index()];
         state.outstanding < state.window.size()
     }
@@ -54,16 +54,20 @@
         // replicas into tiers for every shard of every query is expensive.
         let healthy = |ix: &&Ix| {
             self.is_open(**ix, version, now)
-                && !self.is_doubted(**ix)
-                && !self.is_resting(**ix, now)
+                && !self.is_suspected(**ix)
+                && !self.in_backoff(**ix, now)
                 && self.evicted_until(**ix, now).is_none()
         };
-        if replicas.iter().filter(healthy).any(|ix| self.has_room(*ix)) {
+        if replicas
+            .iter()
+            .filter(healthy)
+            .any(|ix| self.has_capacity(*ix))
+        {
             return true;
         }
         let tiers = tiers(self, replicas, &[], version, now);
         let first = tiers.into_iter().find(|tier| !tier.is_empty());
-        first.is_some_and(|tier| tier.into_iter().any(|ix| self.has_room(ix)))
+        first.is_some_and(|tier| tier.into_iter().any(|ix| self.has_capacity(ix)))
     }
 
     /// Returns the rate, in calls of `class` per second, at which capacity is
@@ -86,17 +90,17 @@
 
     /// Returns the number of queries queued for capacity at the service of a
     /// budget.
-    pub(crate) fn queued(&self, budget: PurseId) -> u32 {
+    pub(crate) fn queued(&self, budget: BudgetId) -> u32 {
         self.queued.get(&budget).copied().unwrap_or(0)
     }
 
     /// Counts a query that starts to wait for capacity.
-    pub(crate) fn enqueue(&mut self, budget: PurseId) {
+    pub(crate) fn enqueue(&mut self, budget: BudgetId) {
         *self.queued.entry(budget).or_default() += 1;
     }
 
     /// Removes a query from the count of those queued.
-    pub(crate) fn dequeue(&mut self, budget: PurseId) {
+    pub(crate) fn dequeue(&mut self, budget: BudgetId) {
         if let Some(queued) = self.queued.get_mut(&budget) {
             *queued = queued.saturating_sub(1);
         }
@@ -122,14 +126,14 @@
     ) -> bool {
         let late = self.late_after(class).filter(|late| span > *late);
         if let Some(round) = late {
-            self.states[ix.index()].window.cut(round, now);
+            self.states[ix.index()].window.shrink(round, now);
         }
         late.is_some()
     }
 
     /// Shrinks a window after a call that was refused for lack of capacity.
     pub(crate) fn shrink_for_refusal(&mut self, ix: Ix, now: Time) {
-        self.states[ix.index()].window.cut(REFUSAL_ROUND, now);
+        self.states[ix.index()].window.shrink(REFUSAL_ROUND, now);
     }
 
     /// Returns the duration above which a call of `class` is late, if enough
@@ -141,7 +145,7 @@
         }
         let usual = profile.calls.median().mul_f64(LATE_MEDIANS);
         let objective = profile
-            .goal
+            .objective
             .map(|objective| objective.mul_f64(LATE_OBJECTIVE));
         Some(objective.map_or(usual, |objective| usual.min(objective)))
     }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -67,7 +67,10 @@
     let best = tiers.into_iter().find(|tier| !tier.is_empty())?;
     // If the best tier has no capacity, waiting for it is better than calling
     // one that is backing off or suspected, so worse tiers aren't tried.
-    let candidates: Vec<Ix> = best.into_iter().filter(|ix| table.has_room(*ix)).collect();
+    let candidates: Vec<Ix> = best
+        .into_iter()
+        .filter(|ix| table.has_capacity(*ix))
+        .collect();
     pick_replica(table, &candidates, now, rng)
 }
 
@@ -90,12 +93,12 @@
     let confirmed: Vec<Ix> = open
         .iter()
         .copied()
-        .filter(|ix| !table.is_doubted(*ix))
+        .filter(|ix| !table.is_suspected(*ix))
         .collect();
     let healthy: Vec<Ix> = confirmed
         .iter()
         .copied()
-        .filter(|ix| !evicted.contains(ix) && !table.is_resting(*ix, now))
+        .filter(|ix| !evicted.contains(ix) && !table.in_backoff(*ix, now))
         .collect();
     [healthy, confirmed, open]
 }
@@ -104,9 +107,9 @@
     if candidates.len() <= 1 {
         return candidates.first().copied();
     }
-    table.turn = table.turn.wrapping_add(1);
+    table.round_robin = table.round_robin.wrapping_add(1);
     match table.config.choice {
-        Choice::RoundRobin => Some(candidates[table.turn as usize % candidates.len()]),
+        Choice::RoundRobin => Some(candidates[table.round_robin as usize % candidates.len()]),
         Choice::PowerOfTwo => Some(better_of_two(table, candidates, rng)),
         Choice::Damped => table.damped.pick(candidates, now, rng),
         Choice::LeastOutstanding => lowest(candidates, rng, |ix| f64::from(table.outstanding(ix))),
@@ -139,7 +142,7 @@
 
 fn peak_score(table: &Table, ix: Ix, now: Time) -> f64 {
     let state = &table.states[ix.index()];
-    let peak = state.estimate.peak_at(now).max(table.typical());
+    let peak = state.estimate.peak_at(now).max(table.typical_nanos());
     peak * f64::from(state.outstanding + 1)
 }
 
@@ -148,7 +151,7 @@
 fn predicted_score(table: &Table, ix: Ix, now: Time) -> f64 {
     let state = &table.states[ix.index()];
     let load = f64::from(state.outstanding) / f64::from(state.slots.max(1));
-    let expected = state.estimate.mean_at(now, table.typical());
+    let expected = state.estimate.mean_at(now, table.typical_nanos());
     expected * (1.0 + OUTSTANDING_WEIGHT * load) * table.score_penalty(ix, now)
 }
 
--- a/crates/route/src/cold.rs
+++ b/crates/route/src/cold.rs
@@ -14,27 +14,27 @@
 
 /// What this entry may send to each cold leaf of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Permit {
+pub struct ColdPermit {
     /// Calls to each cold leaf in any [`COLD_WINDOW`].
-    pub calls: u32,
+    pub max_calls: u32,
     /// Time at which the permit expires.
-    pub until: Time,
+    pub expires: Time,
 }
 
 /// Rate limit of one cold back end.
 #[derive(Clone, Debug)]
-pub(crate) struct Cold {
+pub(crate) struct ColdLimit {
     /// Time at which the back end is warm.
     until: Time,
     /// Earliest time of a call. It leaves a window without calls after those that were
     /// sent before the back end was known to be cold.
     callable_from: Time,
-    permit: Permit,
+    permit: ColdPermit,
     /// Times of the calls in the last window.
     calls: VecDeque<Time>,
 }
 
-impl Cold {
+impl ColdLimit {
     fn recent_calls(&self, now: Time) -> usize {
         let recent = self.calls.iter().rev();
         recent
@@ -45,8 +45,8 @@
     fn allows_call(&self, now: Time) -> bool {
         now >= self.until
             || now >= self.callable_from
-                && now < self.permit.until
-                && self.recent_calls(now) < self.permit.calls as usize
+                && now < self.permit.expires
+                && self.recent_calls(now) < self.permit.max_calls as usize
     }
 
     fn record_call(&mut self, now: Time) {
@@ -64,16 +64,16 @@
 impl Table {
     /// Rate-limits calls to a back end that is cold until `until`. No call is allowed
     /// before [`Table::permit`].
-    pub fn set_cold(&mut self, ix: Ix, until: Time, now: Time) {
+    pub fn start_cold_limit(&mut self, ix: Ix, until: Time, now: Time) {
         let state = &mut self.states[ix.index()];
-        let callable_from = state.called.map_or(Time::ZERO, |at| at + COLD_WINDOW);
+        let callable_from = state.last_call.map_or(Time::ZERO, |at| at + COLD_WINDOW);
         match &mut state.cold {
             Some(cold) if now < cold.until => cold.until = cold.until.max(until),
             cold => {
-                *cold = Some(Cold {
+                *cold = Some(ColdLimit {
                     until,
                     callable_from,
-                    permit: Permit::default(),
+                    permit: ColdPermit::default(),
                     calls: VecDeque::new(),
                 });
             }
@@ -81,14 +81,14 @@
     }
 
     /// Sets the permit for a cold back end; does nothing for a warm one.
-    pub fn permit(&mut self, ix: Ix, permit: Permit) {
+    pub fn permit(&mut self, ix: Ix, permit: ColdPermit) {
         if let Some(cold) = &mut self.states[ix.index()].cold {
             cold.permit = permit;
         }
     }
 
     /// Removes the rate limit of a back end that is warm.
-    pub fn set_warm(&mut self, ix: Ix) {
+    pub fn end_cold_limit(&mut self, ix: Ix) {
         self.states[ix.index()].cold = None;
     }
 
@@ -98,20 +98,20 @@
     pub fn permitted_until(&self, ix: Ix, now: Time) -> Option<Time> {
         let cold = self.states[ix.index()].cold.as_ref();
         let cold = cold.filter(|cold| now < cold.until)?;
-        Some(cold.permit.until)
+        Some(cold.permit.expires)
     }
 
     /// Whether a back end is cold and its rate limit allows no call now.
     #[must_use]
-    pub(crate) fn is_held_back(&self, ix: Ix, now: Time) -> bool {
+    pub(crate) fn is_rate_limited(&self, ix: Ix, now: Time) -> bool {
         let cold = self.states[ix.index()].cold.as_ref();
         cold.is_some_and(|cold| !cold.allows_call(now))
     }
 
     /// Records the time of a call, for the rate limit of a cold back end.
-    pub(crate) fn note_call(&mut self, ix: Ix, now: Time) {
+    pub(crate) fn record_call_time(&mut self, ix: Ix, now: Time) {
         let state = &mut self.states[ix.index()];
-        state.called = Some(now);
+        state.last_call = Some(now);
         if let Some(cold) = &mut state.cold {
             cold.record_call(now);
         }
--- a/crates/route/src/damped.rs
+++ b/crates/route/src/damped.rs
@@ -33,13 +33,13 @@
 
 /// Statistics of the recent windows of each back end, newest last.
 #[derive(Clone, Debug, Default)]
-pub struct Damped {
+pub struct DampedSplit {
     windows: BTreeMap<Ix, [Window; WINDOWS]>,
     /// Number of the current window since time zero.
     current: u64,
 }
 
-impl Damped {
+impl DampedSplit {
     /// Records the duration of an answered call.
     pub fn record(&mut self, ix: Ix, span: Duration, now: Time) {
         self.advance(now);
--- a/crates/route/src/extra_budget.rs
+++ b/crates/route/src/extra_budget.rs
@@ -2,11 +2,11 @@
 
 use chestnut_unit::{Share, Time};
 
-use crate::{Budget, CallKind, Tally};
+use crate::{Budget, BudgetTotals, CallKind};
 
 /// Index of a budget in its table. Index 0 is the table's default budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PurseId(pub(crate) u32);
+pub struct BudgetId(pub(crate) u32);
 
 /// Cost of a retry after a shed call, as a fraction of an executed call.
 const SHED_COST: f64 = 0.25;
@@ -18,27 +18,27 @@
 
 /// A budget's decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Paid {
+pub enum SpendResult {
     /// The call is paid for.
-    Yes,
+    Paid,
     /// The budget is exhausted.
-    Unpaid,
+    OverBudget,
     /// The call's gain is too small for what is left of the budget.
-    Spared,
+    LowGain,
 }
 
-impl Paid {
-    fn if_enough(enough: bool) -> Self {
+impl SpendResult {
+    fn paid_if(enough: bool) -> Self {
         match enough {
-            true => Self::Yes,
-            false => Self::Unpaid,
+            true => Self::Paid,
+            false => Self::OverBudget,
         }
     }
 }
 
 /// The budgets that pay for extra calls to a group of shards.
 #[derive(Clone, Debug)]
-pub enum Purse {
+pub enum ExtraBudget {
     /// Hedges and retries have separate budgets, and a retry after a shed call costs a
     /// fraction.
     Split {
@@ -52,7 +52,7 @@
     Joint(Budget),
 }
 
-impl Purse {
+impl ExtraBudget {
     /// Creates separate budgets for hedges and retries, each with a capacity of
     /// `burst` calls.
     #[must_use]
@@ -64,9 +64,9 @@
     }
 
     /// Adds the tokens that accrue with time until `now`.
-    pub fn pass(&mut self, now: Time) {
+    pub fn refill(&mut self, now: Time) {
         if let Self::Joint(budget) = self {
-            budget.pass(now);
+            budget.refill(now);
         }
     }
 
@@ -83,31 +83,31 @@
 
     /// Pays for a call of `kind` whose answer gains `gain` (0 to 1), if the budget
     /// allows it. The less of a joint budget is left, the higher the gain must be.
-    pub fn spend(&mut self, kind: CallKind, gain: f64) -> Paid {
+    pub fn spend(&mut self, kind: CallKind, gain: f64) -> SpendResult {
         match (self, kind) {
-            (_, CallKind::First) => Paid::Yes,
+            (_, CallKind::First) => SpendResult::Paid,
             (Self::Joint(budget), _) => {
-                let min_gain = 1.0 - budget.part_left() / (1.0 - FREE_FRACTION);
+                let min_gain = 1.0 - budget.fill_level() / (1.0 - FREE_FRACTION);
                 match gain >= min_gain {
-                    true => Paid::if_enough(budget.spend()),
-                    false => Paid::Spared,
+                    true => SpendResult::paid_if(budget.spend()),
+                    false => SpendResult::LowGain,
                 }
             }
-            (Self::Split { .. }, CallKind::Reroute) => Paid::Yes,
-            (Self::Split { hedges, .. }, CallKind::Hedge) => Paid::if_enough(hedges.spend()),
-            (Self::Split { retries, .. }, CallKind::Retry) => Paid::if_enough(retries.spend()),
-            (Self::Split { retries, .. }, CallKind::Reshed) => {
-                Paid::if_enough(retries.spend_part(SHED_COST))
+            (Self::Split { .. }, CallKind::Reroute) => SpendResult::Paid,
+            (Self::Split { hedges, .. }, CallKind::Hedge) => SpendResult::paid_if(hedges.spend()),
+            (Self::Split { retries, .. }, CallKind::Retry) => SpendResult::paid_if(retries.spend()),
+            (Self::Split { retries, .. }, CallKind::RetryAfterShed) => {
+                SpendResult::paid_if(retries.spend_cost(SHED_COST))
             }
         }
     }
 
     /// Returns the totals of the budget, hedges and retries combined.
     #[must_use]
-    pub fn tally(&self) -> Tally {
+    pub fn totals(&self) -> BudgetTotals {
         match self {
-            Self::Split { hedges, retries } => hedges.tally() + retries.tally(),
-            Self::Joint(budget) => budget.tally(),
+            Self::Split { hedges, retries } => hedges.totals() + retries.totals(),
+            Self::Joint(budget) => budget.totals(),
         }
     }
 }
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -28,7 +28,7 @@
     Lost,
     /// Its connection turned out to be silent. The answer is lost, but the
     /// target isn't at fault.
-    Cut,
+    ConnectionSilent,
     /// The target ran it and answered with an error.
     Failed,
 }
@@ -39,7 +39,7 @@
             Self::NotSent => f.write_str("not sent"),
             Self::Refused(refusal) => write!(f, "refused: {refusal:?}"),
             Self::Lost => f.write_str("lost"),
-            Self::Cut => f.write_str("cut off by a silent connection"),
+            Self::ConnectionSilent => f.write_str("cut off by a silent connection"),
             Self::Failed => f.write_str("answered with a failure"),
         }
     }
@@ -48,11 +48,11 @@
 impl Failure {
     /// Whether the failure counts against the back end. Shutting down, lacking
     /// a snapshot and a broken connection don't.
-    pub(crate) fn is_fault(self) -> bool {
+    pub(crate) fn is_target_fault(self) -> bool {
         match self {
             Self::NotSent | Self::Lost | Self::Failed => true,
             Self::Refused(refusal) => refusal == Refusal::Shed,
-            Self::Cut => false,
+            Self::ConnectionSilent => false,
         }
     }
 }
--- a/crates/route/src/failure_rate.rs
+++ b/crates/route/src/failure_rate.rs
@@ -13,27 +13,27 @@
 
 /// Outcome of a call, as far as its back end's failure rate is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum Outcome {
     /// It was answered.
-    Good,
+    Success,
     /// It failed or was refused.
-    Bad,
+    Failure,
 }
 
 /// Exponentially weighted moving average of failed calls. It exposes a back end
 /// that fails quickly, which its latency alone would make look fast.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Faults {
+pub(crate) struct FailureRate {
     share: f64,
     updated: Time,
 }
 
-impl Faults {
+impl FailureRate {
     /// Records the outcome of a call.
-    pub(crate) fn record(&mut self, verdict: Verdict, now: Time) {
-        let sample = match verdict {
-            Verdict::Good => 0.0,
-            Verdict::Bad => 1.0,
+    pub(crate) fn record(&mut self, outcome: Outcome, now: Time) {
+        let sample = match outcome {
+            Outcome::Success => 0.0,
+            Outcome::Failure => 1.0,
         };
         let share = self.share(now);
         self.share = share + SAMPLE_WEIGHT * (sample - share);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -30,8 +30,8 @@
 //! let mut table = Table::new(TableConfig::default());
 //! let leaf = Backend::Leaf(LeafId::new("ladder-l000").unwrap());
 //! let ix = table.add(leaf, 5, Time::ZERO);
-//! let refused = Attempt::plan(ix).queue().send(Time::ZERO).refuse_unrun();
-//! let lost = Attempt::plan(ix).queue().send(Time::ZERO).lose();
+//! let refused = Attempt::plan(ix).queue().send(Time::ZERO).refuse();
+//! let lost = Attempt::plan(ix).queue().send(Time::ZERO).end_unknown();
 //! assert!(NotRun::prove(&[refused]).is_some());
 //! assert!(NotRun::prove(&[refused, lost]).is_none());
 //! ```
@@ -64,24 +64,25 @@
 mod versions;
 mod window;
 
-pub use admit::{Adapt, Admission, AdmitConfig, Decision, Order, Release, Yields};
-pub use attempt::{Attempt, Ended, Fate, NotRun, Planned, Queued, Sent};
+pub use admit::{Admission, AdmitConfig, AdmitRequest, Decision, LimitMode, Release, Sheddable};
+pub use attempt::{Attempt, AttemptOutcome, Ended, NotRun, Planned, Queued, Sent};
 pub use backend::{Backend, Guard, Ix, TableConfig};
-pub use budget::{Budget, Tally};
-pub use call_counts::Gauge;
+pub use budget::{Budget, BudgetTotals};
+pub use call_counts::CallCounts;
 pub use choose::{Choice, choose_replica};
-pub use cold::{COLD_WINDOW, Permit};
-pub use damped::Damped;
+pub use cold::{COLD_WINDOW, ColdPermit};
+pub use damped::DampedSplit;
 pub use estimate::{Estimate, Quantiles};
-pub use extra_budget::{Paid, Purse, PurseId};
+pub use extra_budget::{BudgetId, ExtraBudget, SpendResult};
 pub use failure::{Failure, Refusal};
 pub use hedge::Hedge;
-pub use limit::{Limit, Ran};
-pub use orglimit::{OrgGate, OrgGates};
-pub use pool::{ConnId, PATIENCE, Pick, Pool};
+pub use limit::{Limit, RequestStats};
+pub use orglimit::{OrgLimiter, OrgLimiters};
+pub use pool::{ConnId, Pick, Pool, QUIET_TIMEOUT};
 pub use profile::{Class, Profile};
 pub use query::{
-    Action, CallId, CallKind, Context, End, Give, Prospect, Query, QueryConfig, Repeat, Trust,
+    Action, CallId, CallKind, Context, End, PartialReason, Query, QueryConfig, Repeat, Timeliness,
+    Trust,
 };
 pub use table::{Eviction, Table};
 pub use versions::{Route, Routes, Versions};
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -86,18 +86,18 @@
     /// Largest number of requests running at once in the window.
     peak: u32,
     calls: u32,
-    sheds: u32,
+    shed_calls: u32,
 }
 
 /// Statistics of a request that has ended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ran {
+pub struct RequestStats {
     /// Time from its admission to its end.
     pub span: Duration,
     /// Number of calls it made.
     pub calls: u32,
     /// Number of its calls that targets shed.
-    pub sheds: u32,
+    pub shed_calls: u32,
 }
 
 impl Limit {
@@ -113,7 +113,7 @@
             probe: Average::default(),
             peak: 0,
             calls: 0,
-            sheds: 0,
+            shed_calls: 0,
         }
     }
 
@@ -127,16 +127,16 @@
     }
 
     /// Records a request that ended while `running` requests were running.
-    pub fn record(&mut self, ran: Ran, running: u32, now: Time) {
-        self.calls += ran.calls;
-        self.sheds += ran.sheds;
+    pub fn record(&mut self, stats: RequestStats, running: u32, now: Time) {
+        self.calls += stats.calls;
+        self.shed_calls += stats.shed_calls;
         match self.phase {
-            Phase::Probe(since) => self.record_probe(ran.span, since, now),
+            Phase::Probe(since) => self.record_probe(stats.span, since, now),
             Phase::Steady(next) => {
                 let clip = self
                     .baseline
                     .map_or(f64::INFINITY, |baseline| baseline * CLIP_FACTOR);
-                self.window.add(ran.span.as_secs_f64().min(clip));
+                self.window.add(stats.span.as_secs_f64().min(clip));
                 self.peak = self.peak.max(running);
                 if self.window.count >= MIN_WINDOW_SAMPLES && now.since(self.start) >= WINDOW {
                     self.close_window(now);
@@ -178,7 +178,7 @@
             desired = desired.min(self.limit);
         }
         let mut next = self.limit + STEP_SHARE * (desired - self.limit);
-        if f64::from(self.sheds) > SHED_SHARE * f64::from(self.calls) {
+        if f64::from(self.shed_calls) > SHED_SHARE * f64::from(self.calls) {
             next = next.min(self.limit * SHED_FACTOR);
         }
         self.limit = next.clamp(MIN_LIMIT, MAX_LIMIT);
@@ -186,6 +186,6 @@
         self.window = Average::default();
         self.peak = 0;
         self.calls = 0;
-        self.sheds = 0;
+        self.shed_calls = 0;
     }
 }
--- a/crates/route/src/orglimit.rs
+++ b/crates/route/src/orglimit.rs
@@ -7,10 +7,10 @@
 
 /// Span of the rate limit that may be saved up as a burst.
 const BURST_SPAN: Duration = Duration::from_secs(1);
-/// Time without requests after which an organisation's gate may be dropped.
+/// Time without requests after which an organisation's limiter may be dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Number of gates above which idle ones are dropped before one is added.
-const MAX_GATES: usize = 10_000;
+/// Number of limiters above which idle ones are dropped before one is added.
+const MAX_LIMITERS: usize = 10_000;
 
 /// Token bucket and concurrency limit of one organisation at one entry.
 ///
@@ -18,13 +18,13 @@
 /// entries, so no coordination is needed. A caller that uses a single entry
 /// gets only that entry's share.
 #[derive(Clone, Debug)]
-pub struct OrgGate {
+pub struct OrgLimiter {
     tokens: f64,
     updated: Time,
     in_flight: u32,
 }
 
-impl OrgGate {
+impl OrgLimiter {
     fn new(now: Time) -> Self {
         Self {
             tokens: f64::INFINITY,
@@ -33,7 +33,7 @@
         }
     }
 
-    fn enter(&mut self, limits: &OrgLimits, entries: usize, now: Time) -> Result<(), Duration> {
+    fn admit(&mut self, limits: &OrgLimits, entries: usize, now: Time) -> Result<(), Duration> {
         let entries = entries.max(1) as f64;
         let rate = limits.rate.0 as f64 / entries;
         let capacity = (rate * BURST_SPAN.as_secs_f64()).max(1.0);
@@ -54,38 +54,38 @@
 
 /// The limits of all organisations at one entry.
 #[derive(Clone, Debug, Default)]
-pub struct OrgGates {
-    gates: BTreeMap<OrgName, OrgGate>,
+pub struct OrgLimiters {
+    limiters: BTreeMap<OrgName, OrgLimiter>,
 }
 
-impl OrgGates {
+impl OrgLimiters {
     /// Admits a request of an organisation.
     ///
     /// # Errors
     ///
     /// The organisation has reached its limit; the duration is the retry delay.
-    pub fn enter(
+    pub fn admit(
         &mut self,
         org: &OrgName,
         limits: &OrgLimits,
         entries: usize,
         now: Time,
     ) -> Result<(), Duration> {
-        if self.gates.len() >= MAX_GATES && !self.gates.contains_key(org) {
-            self.gates
-                .retain(|_, gate| gate.in_flight > 0 || now.since(gate.updated) < IDLE_TIMEOUT);
+        if self.limiters.len() >= MAX_LIMITERS && !self.limiters.contains_key(org) {
+            self.limiters
+                .retain(|_, limit| limit.in_flight > 0 || now.since(limit.updated) < IDLE_TIMEOUT);
         }
-        let gate = self
-            .gates
+        let limiter = self
+            .limiters
             .entry(org.clone())
-            .or_insert_with(|| OrgGate::new(now));
-        gate.enter(limits, entries, now)
+            .or_insert_with(|| OrgLimiter::new(now));
+        limiter.admit(limits, entries, now)
     }
 
     /// Records the end of a request that was admitted.
-    pub fn leave(&mut self, org: &OrgName) {
-        if let Some(gate) = self.gates.get_mut(org) {
-            gate.in_flight = gate.in_flight.saturating_sub(1);
+    pub fn release(&mut self, org: &OrgName) {
+        if let Some(limiter) = self.limiters.get_mut(org) {
+            limiter.in_flight = limiter.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/route/src/penalty.rs
+++ b/crates/route/src/penalty.rs
@@ -8,7 +8,7 @@
 
 /// Largest factor by which a health or load hint may raise a score. A small one
 /// keeps wrong or outdated hints from outweighing call durations.
-pub(crate) const HINT_MAX: f64 = 2.0;
+pub(crate) const MAX_HINT_FACTOR: f64 = 2.0;
 /// Factor on the score of a leaf in another failure domain. Local leafs are
 /// preferred until they are clearly busier.
 const REMOTE_FACTOR: f64 = 1.7;
@@ -31,14 +31,14 @@
         if self.config.guard == Guard::Off {
             return 1.0;
         }
-        let remote = if state.far { REMOTE_FACTOR } else { 1.0 };
-        let age = now.since(state.since).as_secs_f64() / SLOW_START.as_secs_f64();
-        let slow_start = if state.since > Time::ZERO && age < 1.0 {
+        let remote = if state.remote { REMOTE_FACTOR } else { 1.0 };
+        let age = now.since(state.available_since).as_secs_f64() / SLOW_START.as_secs_f64();
+        let slow_start = if state.available_since > Time::ZERO && age < 1.0 {
             SLOW_START_FACTOR - (SLOW_START_FACTOR - 1.0) * age
         } else {
             1.0
         };
-        let success = (1.0 - state.faults.share(now)).max(MIN_SUCCESS_RATE);
+        let success = (1.0 - state.failure_rate.share(now)).max(MIN_SUCCESS_RATE);
         let failures = success.powi(-FAILURE_EXPONENT);
         state.hint * slow_start * remote * failures
     }
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -19,13 +19,13 @@
     /// Wait for a connection that is already being opened.
     Wait,
     /// The leaf refused a connection just now; the call is not sent.
-    Down,
+    Cooldown,
 }
 
 /// Time without any answer after which a connection with outstanding calls
 /// counts as quiet and is probed. Stragglers seldom take as long, and a
 /// needless probe is cheap.
-pub const PATIENCE: Duration = Duration::from_millis(40);
+pub const QUIET_TIMEOUT: Duration = Duration::from_millis(40);
 /// Cooldown after a refused connection, before the next one is opened.
 const REFUSED_COOLDOWN: Duration = Duration::from_millis(100);
 
@@ -40,7 +40,7 @@
 impl Conn {
     fn is_quiet(&self, now: Time) -> bool {
         self.quiet_since
-            .is_some_and(|since| now.since(since) > PATIENCE)
+            .is_some_and(|since| now.since(since) > QUIET_TIMEOUT)
     }
 }
 
@@ -52,8 +52,8 @@
 /// quiet while calls are outstanding is avoided, another is opened beside it,
 /// and a probe call distinguishes slow from silent. The caller closes a silent
 /// connection and fails its calls at once with
-/// [`Failure::Cut`](crate::Failure::Cut). Idle silent connections are found by
-/// the connection's own keepalive pings.
+/// [`Failure::ConnectionSilent`](crate::Failure::ConnectionSilent). Idle
+/// silent connections are found by the connection's own keepalive pings.
 #[derive(Clone, Debug)]
 pub struct Pool {
     max: usize,
@@ -61,7 +61,7 @@
     conns: BTreeMap<ConnId, Conn>,
     next_id: u64,
     /// End of the cooldown after a refused connection.
-    down_until: Time,
+    cooldown_until: Time,
 }
 
 impl Pool {
@@ -75,7 +75,7 @@
             spare,
             conns: BTreeMap::new(),
             next_id: 0,
-            down_until: Time::ZERO,
+            cooldown_until: Time::ZERO,
         }
     }
 
@@ -93,7 +93,7 @@
 
     /// Changes the limits. Excess connections aren't closed, since calls run on
     /// them; they go when they close.
-    pub fn set_most(&mut self, max: usize, spare: usize) {
+    pub fn set_limits(&mut self, max: usize, spare: usize) {
         self.max = max.max(1);
         self.spare = spare;
     }
@@ -115,15 +115,15 @@
         let opening = self.conns.values().any(|conn| !conn.ready);
         match best {
             None if opening => Pick::Wait,
-            None if now < self.down_until => Pick::Down,
+            None if now < self.cooldown_until => Pick::Cooldown,
             None => Pick::Open(self.start_opening()),
             Some(id) => Pick::Use(id),
         }
     }
 
-    /// Checks for quiet connections; to be called [`PATIENCE`] after a call was
-    /// sent. Returns a connection to open if all are quiet and the limits allow
-    /// one.
+    /// Checks for quiet connections; to be called [`QUIET_TIMEOUT`] after a call
+    /// was sent. Returns a connection to open if all are quiet and the limits
+    /// allow one.
     pub fn check(&mut self, now: Time) -> Option<ConnId> {
         let opening = self.conns.values().any(|conn| !conn.ready);
         let all_quiet = self.conns.values().all(|conn| conn.is_quiet(now));
@@ -141,7 +141,7 @@
     }
 
     /// Records the answer to a probe: the connection is slow, not silent.
-    pub fn alive(&mut self, id: ConnId, now: Time) {
+    pub fn probe_answered(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.quiet_since = (conn.outstanding > 0).then_some(now);
         }
@@ -157,7 +157,7 @@
     /// Records that a connection could not be opened.
     pub fn refused(&mut self, id: ConnId, now: Time) {
         self.conns.remove(&id);
-        self.down_until = now + REFUSED_COOLDOWN;
+        self.cooldown_until = now + REFUSED_COOLDOWN;
     }
 
     /// Records that a connection was closed.
@@ -178,19 +178,19 @@
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding = conn.outstanding.saturating_sub(1);
         }
-        self.alive(id, now);
+        self.probe_answered(id, now);
     }
 
     /// Records that a call was abandoned without an answer. The connection
     /// stays quiet, since the end of the wait proves nothing about it.
-    pub fn missed(&mut self, id: ConnId) {
+    pub fn abandoned(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding = conn.outstanding.saturating_sub(1);
         }
     }
 
     fn may_open(&self, now: Time) -> bool {
-        self.conns.len() < self.max + self.spare && now >= self.down_until
+        self.conns.len() < self.max + self.spare && now >= self.cooldown_until
     }
 
     fn start_opening(&mut self) -> ConnId {
--- a/crates/route/src/profile.rs
+++ b/crates/route/src/profile.rs
@@ -29,7 +29,7 @@
     /// Time by which calls exceeded the expected duration for their back end.
     pub excess: Quantiles,
     /// Latency objective of the callers, if known.
-    pub goal: Option<Duration>,
+    pub objective: Option<Duration>,
 }
 
 impl Default for Profile {
@@ -37,7 +37,7 @@
         Self {
             calls: Quantiles::new(LATE_QUANTILE),
             excess: Quantiles::new(LATE_QUANTILE),
-            goal: None,
+            objective: None,
         }
     }
 }
--- a/crates/route/src/query/calls.rs
+++ b/crates/route/src/query/calls.rs
@@ -8,7 +8,7 @@
     Action, Call, CallId, CallKind, CallState, Context, HOP_ALLOWANCE, Query, Repeat, Shard,
     wait::MAX_ROUNDS,
 };
-use crate::{Attempt, Failure, Hedge, Ix, Paid, Refusal, choose::choose_replica};
+use crate::{Attempt, Failure, Hedge, Ix, Refusal, SpendResult, choose::choose_replica};
 
 /// Delay before late shards that could not be hedged are checked again.
 const RECHECK_DELAY: Duration = Duration::from_millis(2);
@@ -17,7 +17,7 @@
     /// Calls other replicas for shards whose calls have all ended, if the query
     /// allows it.
     pub(super) fn retry(&mut self, uncovered: &[usize], kind: CallKind, cx: &mut Context<'_>) {
-        let may_have_run = kind == CallKind::Retry && self.config.repeat == Repeat::Unrun;
+        let may_have_run = kind == CallKind::Retry && self.config.repeat == Repeat::OnlyIfNotRun;
         if may_have_run || cx.now + HOP_ALLOWANCE >= self.config.deadline {
             return;
         }
@@ -26,7 +26,7 @@
             return;
         }
         self.call(uncovered, kind, cx);
-        if kind == CallKind::Reshed {
+        if kind == CallKind::RetryAfterShed {
             self.back_off(uncovered, cx);
         }
     }
@@ -52,7 +52,7 @@
             })
             .collect();
         self.record_stalls(&late, cx);
-        if !late.is_empty() && self.config.repeat == Repeat::Free {
+        if !late.is_empty() && self.config.repeat == Repeat::Idempotent {
             self.call(&late, CallKind::Hedge, cx);
         }
         self.next_check = self.next_due(cx.now);
@@ -101,8 +101,8 @@
             }
         }
         if kind == CallKind::First {
-            cx.table.gauge.first += plan.len() as u64;
-            cx.table.gauge.shards += positions.len() as u64;
+            cx.table.counts.first += plan.len() as u64;
+            cx.table.counts.shards += positions.len() as u64;
         }
         for (to, shards) in plan {
             if self.pay(kind, &shards, cx) {
@@ -118,7 +118,7 @@
     /// be spent on calls that are not late.
     fn advance_hedge(&self, due: Time, cx: &Context<'_>) -> Time {
         let median = cx.table.profile(self.config.class).calls.median();
-        let latest = self.config.goal - median.mul_f64(HEDGE_HEADROOM);
+        let latest = self.config.objective - median.mul_f64(HEDGE_HEADROOM);
         due.min(latest.max(cx.now + median.mul_f64(HEDGE_DELAY_MIN)))
     }
 
@@ -128,27 +128,27 @@
         let Some(first) = shards.first() else {
             return false;
         };
-        let budget = self.routes.shards[self.shards[*first].route].purse;
+        let budget = self.routes.shards[self.shards[*first].route].budget;
         let gain = match kind {
             CallKind::First => 1.0,
             _ => self.gain(cx.now),
         };
-        let budget = cx.table.purse(budget);
-        budget.pass(cx.now);
+        let budget = cx.table.budget_mut(budget);
+        budget.refill(cx.now);
         if kind == CallKind::First {
             budget.earn(1);
         }
         let paid = budget.spend(kind, gain);
-        let gauge = &mut cx.table.gauge;
+        let counts = &mut cx.table.counts;
         match (paid, kind) {
-            (Paid::Yes, CallKind::Hedge) => gauge.hedges += 1,
-            (Paid::Yes, CallKind::Retry | CallKind::Reshed) => gauge.retries += 1,
-            (Paid::Yes, CallKind::First | CallKind::Reroute) => {}
-            (Paid::Unpaid, _) => gauge.unpaid += 1,
-            (Paid::Spared, _) => gauge.spared += 1,
+            (SpendResult::Paid, CallKind::Hedge) => counts.hedges += 1,
+            (SpendResult::Paid, CallKind::Retry | CallKind::RetryAfterShed) => counts.retries += 1,
+            (SpendResult::Paid, CallKind::First | CallKind::Reroute) => {}
+            (SpendResult::OverBudget, _) => counts.over_budget += 1,
+            (SpendResult::LowGain, _) => counts.low_gain += 1,
         }
-        self.withheld += u32::from(paid != Paid::Yes);
-        paid == Paid::Yes
+        self.withheld += u32::from(paid != SpendResult::Paid);
+        paid == SpendResult::Paid
     }
 
     /// Chooses the replica for a shard's next call, if one may be called and a
@@ -160,7 +160,7 @@
         cx: &mut Context<'_>,
     ) -> Option<Ix> {
         let shard = &self.shards[position];
-        if shard.ran >= self.config.attempts {
+        if shard.ran >= self.config.max_attempts {
             return None;
         }
         let replicas = &self.routes.shards[shard.route].replicas;
@@ -175,7 +175,8 @@
             }
             None => return None,
         };
-        let need = Duration::from_nanos(cx.table.expected(self.config.class, to, cx.now) as u64);
+        let need =
+            Duration::from_nanos(cx.table.expected_nanos(self.config.class, to, cx.now) as u64);
         let too_late = kind == CallKind::Hedge && cx.now + need >= self.config.deadline;
         (!too_late).then_some(to)
     }
@@ -201,7 +202,7 @@
             shard.late_at = due;
         }
         cx.table.sent(to, cx.now);
-        cx.out.push(Action::Call {
+        cx.actions.push(Action::Call {
             call: id,
             to,
             shards: shards.clone(),
@@ -240,11 +241,11 @@
         let span = cx.now.since(attempt.sent_at());
         cx.table
             .cancelled(self.config.class, attempt.to(), span, cx.now);
-        self.ends.push(attempt.lose());
+        self.ends.push(attempt.end_unknown());
         for position in &self.calls[id.0 as usize].shards {
             self.shards[*position].live -= 1;
         }
-        cx.out.push(Action::Cancel(id));
+        cx.actions.push(Action::Cancel(id));
     }
 }
 
@@ -253,13 +254,13 @@
     match failure {
         // Silence proves nothing: a call that must run at most once may have
         // run.
-        Failure::Cut if repeat == Repeat::Unrun => CallKind::Retry,
+        Failure::ConnectionSilent if repeat == Repeat::OnlyIfNotRun => CallKind::Retry,
         Failure::NotSent
-        | Failure::Cut
+        | Failure::ConnectionSilent
         | Failure::Refused(Refusal::Draining | Refusal::NoSnapshot | Refusal::Connections) => {
             CallKind::Reroute
         }
-        Failure::Refused(_) => CallKind::Reshed,
+        Failure::Refused(_) => CallKind::RetryAfterShed,
         Failure::Lost | Failure::Failed => CallKind::Retry,
     }
 }
@@ -273,7 +274,7 @@
 pub(super) fn may_repeat<P>(kind: CallKind, shard: &Shard<P>, replicas: &[Ix]) -> bool {
     let replaces = match kind {
         CallKind::Retry | CallKind::Reroute => true,
-        CallKind::Reshed => shard.backed_off,
+        CallKind::RetryAfterShed => shard.backed_off,
         CallKind::First | CallKind::Hedge => false,
     };
     replaces && shard.tried.len() < replicas.len() * MAX_ROUNDS
--- a/crates/route/src/query/completion.rs
+++ b/crates/route/src/query/completion.rs
@@ -2,14 +2,14 @@
 
 use chestnut_unit::Time;
 
-use super::{CallId, Context, End, Give, HOP_ALLOWANCE, Query};
+use super::{CallId, Context, End, HOP_ALLOWANCE, PartialReason, Query};
 
 impl<P> Query<P> {
     /// Returns whether the latency objective has passed and the answer has the
     /// minimum coverage.
     pub(super) fn is_sufficient(&self, now: Time) -> bool {
         let merged = self.shards.len() - self.pending;
-        now >= self.config.goal && merged > 0 && self.has_min_coverage(merged)
+        now >= self.config.objective && merged > 0 && self.has_min_coverage(merged)
     }
 
     /// Returns whether the minimum coverage is reached and all missing shards have
@@ -17,7 +17,7 @@
     /// recovered back end is detected by the next query.
     pub(super) fn only_unresponsive_left(&self, cx: &Context<'_>) -> bool {
         let merged = self.shards.len() - self.pending;
-        if self.config.goal >= self.config.deadline || !self.has_min_coverage(merged) {
+        if self.config.objective >= self.config.deadline || !self.has_min_coverage(merged) {
             return false;
         }
         let mut pending = self.shards.iter().filter(|shard| shard.part.is_none());
@@ -42,7 +42,7 @@
 
     /// Returns whether an answer over `shards` shards has the minimum coverage.
     pub(super) fn has_min_coverage(&self, shards: usize) -> bool {
-        shards as f64 >= self.config.least.as_f64() * self.shards.len() as f64
+        shards as f64 >= self.config.min_coverage.as_f64() * self.shards.len() as f64
     }
 
     /// Ends the query if no further shard can be merged or none is needed.
@@ -51,11 +51,11 @@
             return;
         }
         if self.pending == 0 {
-            self.finish(End::Whole, cx);
+            self.finish(End::Complete, cx);
             return;
         }
         if self.is_sufficient(cx.now) || self.only_unresponsive_left(cx) {
-            self.finish(End::Partial(Give::Enough), cx);
+            self.finish(End::Partial(PartialReason::Sufficient), cx);
             return;
         }
         if !self.maybe_exhausted {
@@ -78,9 +78,9 @@
     }
 
     /// Returns why the `exhausted` shards have no call in flight and get none.
-    pub(super) fn partial_reason(&self, exhausted: &[usize], cx: &Context<'_>) -> Give {
+    pub(super) fn partial_reason(&self, exhausted: &[usize], cx: &Context<'_>) -> PartialReason {
         if cx.now + HOP_ALLOWANCE >= self.config.deadline {
-            return Give::Deadline;
+            return PartialReason::Deadline;
         }
         let version = self.version();
         let lost = exhausted.iter().any(|position| {
@@ -92,9 +92,9 @@
                     .any(|ix| cx.table.is_open(*ix, version, cx.now))
         });
         if lost {
-            Give::SnapshotLost
+            PartialReason::SnapshotLost
         } else {
-            Give::NoReplica
+            PartialReason::NoReplica
         }
     }
 
--- a/crates/route/src/query/config.rs
+++ b/crates/route/src/query/config.rs
@@ -19,7 +19,7 @@
     Retry,
     /// A call after an earlier one was shed. Shedding costs a target little, so the
     /// budget allows more of these.
-    Reshed,
+    RetryAfterShed,
     /// A call after an earlier one that cost its target nothing: it was never sent,
     /// the target is leaving or lacks the snapshot, or the connection was silent. It
     /// adds no load and is limited by the number of replicas, not by a budget.
@@ -34,7 +34,7 @@
             Self::First => "first",
             Self::Hedge => "hedge",
             Self::Retry => "retry",
-            Self::Reshed => "retry after shed",
+            Self::RetryAfterShed => "retry after shed",
             Self::Reroute => "reroute",
         }
     }
@@ -62,41 +62,41 @@
 
 /// Why a query ended with some shards missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Give {
+pub enum PartialReason {
     /// The deadline passed.
     Deadline,
     /// A shard has no replica left to try, or no budget to try it.
     NoReplica,
     /// The back ends of too many shards are at capacity, and no call was made.
-    Full,
+    NoCapacity,
     /// A shard's replicas no longer have the snapshot.
     SnapshotLost,
     /// The answer has the minimum coverage and the latency objective has passed, or
     /// all missing shards have only unresponsive back ends.
-    Enough,
+    Sufficient,
 }
 
 /// How a query ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// All shards answered.
-    Whole,
+    Complete,
     /// Some shards are missing.
-    Partial(Give),
+    Partial(PartialReason),
 }
 
 /// Whether a call may be repeated when an earlier one may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// Yes: the call is idempotent.
-    Free,
+    Idempotent,
     /// Only after proof that none of the earlier calls ran.
-    Unrun,
+    OnlyIfNotRun,
 }
 
 /// Whether an answer can still meet the caller's latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Prospect {
+pub enum Timeliness {
     /// It can.
     InTime,
     /// The caller has already waited too long, at other entries or for a connection.
@@ -108,10 +108,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
     /// It is not suspected.
-    Full,
+    Trusted,
     /// Back ends crashed under it and none has answered it since. It gets a single
     /// call until one has answered.
-    Trial,
+    Suspected,
 }
 
 /// Parameters of one query.
@@ -121,14 +121,14 @@
     pub deadline: Time,
     /// Minimum coverage: the share of shards that the answer must include. The query
     /// ends once it is out of reach.
-    pub least: Share,
+    pub min_coverage: Share,
     /// Time at which the latency objective passes. From then on minimum coverage
     /// suffices.
-    pub goal: Time,
+    pub objective: Time,
     /// Whether the answer can still meet the latency objective.
-    pub prospect: Prospect,
+    pub timeliness: Timeliness,
     /// Maximum number of back ends that may run a shard's call, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether a call may be repeated.
     pub repeat: Repeat,
     /// Whether the request is suspected to crash back ends.
@@ -141,15 +141,15 @@
     /// Creates the parameters of a query that waits for a complete answer until its
     /// deadline and repeats calls freely.
     #[must_use]
-    pub fn new(deadline: Time, least: Share) -> Self {
+    pub fn new(deadline: Time, min_coverage: Share) -> Self {
         Self {
             deadline,
-            least,
-            goal: deadline,
-            prospect: Prospect::InTime,
-            attempts: u32::MAX,
-            repeat: Repeat::Free,
-            trust: Trust::Full,
+            min_coverage,
+            objective: deadline,
+            timeliness: Timeliness::InTime,
+            max_attempts: u32::MAX,
+            repeat: Repeat::Idempotent,
+            trust: Trust::Trusted,
             class: Class::default(),
         }
     }
--- a/crates/route/src/query/gain.rs
+++ b/crates/route/src/query/gain.rs
@@ -3,7 +3,7 @@
 use chestnut_unit::Time;
 
 use super::Query;
-use crate::Prospect;
+use crate::Timeliness;
 
 /// Value of an answer after the latency objective, relative to one that meets it.
 const LATE_VALUE: f64 = 0.2;
@@ -25,9 +25,9 @@
             0 => square(on_track + 1) - square(on_track),
             deficit => square(self.min_shards()) / deficit as f64,
         };
-        match self.config.prospect {
-            Prospect::InTime if now < self.config.goal => gain,
-            Prospect::InTime | Prospect::Late => gain * LATE_VALUE,
+        match self.config.timeliness {
+            Timeliness::InTime if now < self.config.objective => gain,
+            Timeliness::InTime | Timeliness::Late => gain * LATE_VALUE,
         }
     }
 
--- a/crates/route/src/query/mod.rs
+++ b/crates/route/src/query/mod.rs
@@ -11,11 +11,13 @@
 
 use calls::kind_after;
 use chestnut_unit::{Coverage, IndexVersion, ShardName, Time};
-pub use config::{Action, CallId, CallKind, End, Give, Prospect, QueryConfig, Repeat, Trust};
+pub use config::{
+    Action, CallId, CallKind, End, PartialReason, QueryConfig, Repeat, Timeliness, Trust,
+};
 use rand::Rng;
 use wait::Deferred;
 
-use crate::{Attempt, Ended, Failure, Ix, NotRun, PurseId, Refusal, Routes, Sent, Table};
+use crate::{Attempt, BudgetId, Ended, Failure, Ix, NotRun, Refusal, Routes, Sent, Table};
 
 /// Time reserved per hop for an answer to travel from a back end to the caller.
 const HOP_ALLOWANCE: Duration = Duration::from_millis(1);
@@ -65,7 +67,7 @@
     /// Random source.
     pub rng: &'a mut dyn Rng,
     /// Receives the actions to perform.
-    pub out: &'a mut Vec<Action>,
+    pub actions: &'a mut Vec<Action>,
 }
 
 /// One query. `P` is the partial result of one shard.
@@ -81,9 +83,9 @@
     start: Time,
     /// Budgets of the shards without capacity, while the query is queued and has
     /// made no call.
-    queued: Vec<PurseId>,
+    queued: Vec<BudgetId>,
     /// Shards whose lack of capacity ended the query, as positions in the routes.
-    full: Vec<usize>,
+    without_capacity: Vec<usize>,
     /// When to check for capacity or late shards.
     next_check: Time,
     /// Halfway to the deadline: from here on any number of missing shards may be
@@ -92,7 +94,7 @@
     /// Number of first calls.
     first_calls: usize,
     end: Option<End>,
-    sheds: u32,
+    shed_calls: u32,
     /// Calls that were lost with their back end or connection.
     lost: usize,
     /// Whether a back end has answered a call.
@@ -124,12 +126,12 @@
             ends: Vec::new(),
             start: cx.now,
             queued: Vec::new(),
-            full: Vec::new(),
+            without_capacity: Vec::new(),
             next_check: Time::MAX,
             midpoint: cx.now + config.deadline.since(cx.now) / 2,
             first_calls: 0,
             end: None,
-            sheds: 0,
+            shed_calls: 0,
             lost: 0,
             answered: false,
             withheld: 0,
@@ -158,7 +160,7 @@
         cx: &mut Context<'_>,
     ) {
         let Some(attempt) = self.take(id) else {
-            cx.table.gauge.dropped += parts.len() as u64;
+            cx.table.counts.dropped += parts.len() as u64;
             return;
         };
         let to = attempt.to();
@@ -168,8 +170,8 @@
         if version == self.version() {
             self.merge(id, parts, cx);
         } else {
-            cx.table.gauge.dropped += parts.len() as u64;
-            cx.table.lacks(to, self.version(), cx.now);
+            cx.table.counts.dropped += parts.len() as u64;
+            cx.table.mark_missing(to, self.version(), cx.now);
         }
         self.record_first_answer(cx);
         self.detach(id, CallKind::Retry, cx);
@@ -183,8 +185,8 @@
         };
         let to = attempt.to();
         self.ends.push(match failure {
-            Failure::Lost | Failure::Cut => attempt.lose(),
-            Failure::Refused(_) => attempt.refuse_unrun(),
+            Failure::Lost | Failure::ConnectionSilent => attempt.end_unknown(),
+            Failure::Refused(_) => attempt.refuse(),
             Failure::NotSent => attempt.prove_unsent(),
             Failure::Failed => attempt.answer(),
         });
@@ -193,10 +195,10 @@
             self.revert_run(id);
         }
         if failure == Failure::Refused(Refusal::NoSnapshot) {
-            cx.table.lacks(to, self.version(), cx.now);
+            cx.table.mark_missing(to, self.version(), cx.now);
         }
         self.lost += usize::from(failure == Failure::Lost);
-        self.sheds += u32::from(failure == Failure::Refused(Refusal::Shed));
+        self.shed_calls += u32::from(failure == Failure::Refused(Refusal::Shed));
         self.detach(id, kind_after(failure, self.config.repeat), cx);
         self.check_end(cx);
     }
@@ -207,7 +209,7 @@
             return;
         }
         if cx.now >= self.config.deadline {
-            self.finish(End::Partial(Give::Deadline), cx);
+            self.finish(End::Partial(PartialReason::Deadline), cx);
             return;
         }
         if !self.queued.is_empty() {
@@ -216,9 +218,9 @@
             }
             return;
         }
-        self.objective_passed |= cx.now >= self.config.goal;
+        self.objective_passed |= cx.now >= self.config.objective;
         if self.is_sufficient(cx.now) {
-            self.finish(End::Partial(Give::Enough), cx);
+            self.finish(End::Partial(PartialReason::Sufficient), cx);
             return;
         }
         self.make_due_calls(cx);
@@ -236,19 +238,24 @@
     }
 
     /// Ends a query whose caller is gone.
-    pub fn abandon(&mut self, cx: &mut Context<'_>) {
+    pub fn cancel_all(&mut self, cx: &mut Context<'_>) {
         if self.end.is_none() {
-            self.finish(End::Partial(Give::Deadline), cx);
+            self.finish(End::Partial(PartialReason::Deadline), cx);
         }
     }
 
     /// Returns when [`Query::tick`] must be called next.
     #[must_use]
-    pub fn wake(&self) -> Time {
+    pub fn next_tick(&self) -> Time {
         let started = self.queued.is_empty();
-        let waits = started && self.config.goal < self.config.deadline && !self.objective_passed;
-        let goal = if waits { self.config.goal } else { Time::MAX };
-        self.next_check.min(self.config.deadline).min(goal)
+        let waits =
+            started && self.config.objective < self.config.deadline && !self.objective_passed;
+        let objective = if waits {
+            self.config.objective
+        } else {
+            Time::MAX
+        };
+        self.next_check.min(self.config.deadline).min(objective)
     }
 
     /// Returns how the query ended, if it has.
@@ -259,8 +266,8 @@
 
     /// Returns the number of calls of this query that targets shed.
     #[must_use]
-    pub fn sheds(&self) -> u32 {
-        self.sheds
+    pub fn shed_calls(&self) -> u32 {
+        self.shed_calls
     }
 
     /// Returns the number of extra calls of this query that no budget paid for.
@@ -312,13 +319,15 @@
 
     /// Returns the shards whose lack of capacity ended the query before its first
     /// call.
-    pub fn full(&self) -> impl Iterator<Item = &ShardName> {
-        self.full.iter().map(|at| &self.routes.shards[*at].name)
+    pub fn without_capacity(&self) -> impl Iterator<Item = &ShardName> {
+        self.without_capacity
+            .iter()
+            .map(|at| &self.routes.shards[*at].name)
     }
 
     /// Returns the back ends that were called for the missing shards, in order.
     #[must_use]
-    pub fn in_vain(&self) -> Vec<Ix> {
+    pub fn unanswered_backends(&self) -> Vec<Ix> {
         let missing = self.shards.iter().filter(|shard| shard.part.is_none());
         missing
             .flat_map(|shard| shard.tried.iter().copied())
@@ -351,7 +360,7 @@
         for (position, part) in parts {
             let wanted = asked.contains(&position) && self.shards[position].part.is_none();
             if !wanted {
-                cx.table.gauge.dropped += 1;
+                cx.table.counts.dropped += 1;
                 continue;
             }
             self.shards[position].part = Some(part);
--- a/crates/route/src/query/trial.rs
+++ b/crates/route/src/query/trial.rs
@@ -14,7 +14,7 @@
 impl<P> Query<P> {
     /// Returns whether the query must get a first answer before it calls more back ends.
     pub(super) fn needs_first_answer(&self) -> bool {
-        let suspected = self.config.trust == Trust::Trial || self.lost >= MAX_LOST;
+        let suspected = self.config.trust == Trust::Suspected || self.lost >= MAX_LOST;
         suspected && !self.answered
     }
 
--- a/crates/route/src/query/wait.rs
+++ b/crates/route/src/query/wait.rs
@@ -4,8 +4,10 @@
 
 use chestnut_unit::Time;
 
-use super::{CallKind, Context, End, Give, HOP_ALLOWANCE, Query, Shard, calls::may_repeat};
-use crate::{Ix, PurseId};
+use super::{
+    CallKind, Context, End, HOP_ALLOWANCE, PartialReason, Query, Shard, calls::may_repeat,
+};
+use crate::{BudgetId, Ix};
 
 /// Delay before the first check for capacity: about the time for a busy back end to free
 /// a slot.
@@ -28,9 +30,9 @@
 /// Capacity that a query lacks before its first call.
 struct Shortage {
     /// The shards without capacity, as positions in the pinned routes.
-    full: Vec<usize>,
+    without_capacity: Vec<usize>,
     /// Their budgets, which identify their services.
-    budgets: Vec<PurseId>,
+    budgets: Vec<BudgetId>,
     /// Queries per second for which capacity is freed, given how much each needs.
     rate: f64,
 }
@@ -75,7 +77,7 @@
     fn split_first_calls(&self, cx: &Context<'_>) -> (Vec<usize>, Vec<usize>) {
         let version = self.version();
         let route = |position: usize| &self.routes.shards[self.shards[position].route];
-        let demand = |position: &usize| cx.table.queued(route(*position).purse);
+        let demand = |position: &usize| cx.table.queued(route(*position).budget);
         let mut order: Vec<usize> = (0..self.shards.len()).collect();
         if order.iter().all(|position| demand(position) == 0) {
             return (order, Vec::new());
@@ -96,12 +98,13 @@
         let routes = self.shards.iter().map(|s| s.route);
         let route = |number: usize| &self.routes.shards[number];
         let has_capacity = |number| cx.table.any_free(&route(number).replicas, version, cx.now);
-        let full: Vec<usize> = routes.filter(|number| !has_capacity(*number)).collect();
-        let available = self.shards.len() - full.len();
-        let needed = (1..=full.len()).find(|more| self.has_min_coverage(available + more));
+        let without_capacity: Vec<usize> = routes.filter(|number| !has_capacity(*number)).collect();
+        let available = self.shards.len() - without_capacity.len();
+        let needed =
+            (1..=without_capacity.len()).find(|more| self.has_min_coverage(available + more));
         let needed = match available > 0 && self.has_min_coverage(available) {
             true => return None,
-            false => needed.unwrap_or(full.len()),
+            false => needed.unwrap_or(without_capacity.len()),
         };
         let class = self.config.class;
         let rate = |number: &usize| {
@@ -109,15 +112,18 @@
             cx.table.drain_rate(class, replicas, version, cx.now)
         };
         Some(Shortage {
-            rate: full.iter().map(rate).sum::<f64>() / needed.max(1) as f64,
-            budgets: full.iter().map(|number| route(*number).purse).collect(),
-            full,
+            rate: without_capacity.iter().map(rate).sum::<f64>() / needed.max(1) as f64,
+            budgets: without_capacity
+                .iter()
+                .map(|number| route(*number).budget)
+                .collect(),
+            without_capacity,
         })
     }
 
     /// Queues the query for capacity, or ends it if it would wait too long.
     fn enqueue(&mut self, shortage: Shortage, cx: &mut Context<'_>) {
-        let until = self.start + self.config.goal.since(self.start) / QUEUE_DIVISOR;
+        let until = self.start + self.config.objective.since(self.start) / QUEUE_DIVISOR;
         let new = self.queued.is_empty();
         let queued = shortage
             .budgets
@@ -127,8 +133,8 @@
         let left = until.since(cx.now).as_secs_f64();
         let too_long = new && f64::from(ahead + 1) > shortage.rate * left;
         if too_long || cx.now >= until {
-            self.full = shortage.full;
-            self.finish(End::Partial(Give::Full), cx);
+            self.without_capacity = shortage.without_capacity;
+            self.finish(End::Partial(PartialReason::NoCapacity), cx);
             return;
         }
         if new {
@@ -157,7 +163,7 @@
     /// capacity.
     pub(super) fn defer_for_capacity(&mut self, position: usize, kind: CallKind, cx: &Context<'_>) {
         let shard = &self.shards[position];
-        let attempts = shard.ran < self.config.attempts;
+        let attempts = shard.ran < self.config.max_attempts;
         if kind == CallKind::Hedge || shard.live > 0 || !attempts {
             return;
         }
@@ -174,18 +180,18 @@
     }
 
     /// Defers calls that no budget paid for. A query of a single shard fails instead,
-    /// since a new request costs no more than the unpaid call and no other shard's work
-    /// is lost. So does a query that needs several such shards while its caller can
+    /// since a new request costs no more than the call over budget and no other shard's
+    /// work is lost. So does a query that needs several such shards while its caller can
     /// still retry in time: the wait would rarely succeed and would make the retry late.
     pub(super) fn defer_for_budget(&mut self, shards: &[usize], kind: CallKind, cx: &Context<'_>) {
         let alone = self.shards.len() == 1;
-        if kind == CallKind::Hedge || alone || cx.now >= self.config.goal {
+        if kind == CallKind::Hedge || alone || cx.now >= self.config.objective {
             return;
         }
-        if self.config.goal >= self.config.deadline {
+        if self.config.objective >= self.config.deadline {
             return;
         }
-        let early = cx.now < self.start + self.config.goal.since(self.start) / RETRY_DIVISOR;
+        let early = cx.now < self.start + self.config.objective.since(self.start) / RETRY_DIVISOR;
         if early && self.deficit(cx.now) > 1 {
             return;
         }
@@ -213,7 +219,7 @@
             let replicas = self.routes.shards[shard.route].replicas.len();
             let idle = shard.live == 0 && shard.deferred.is_none();
             if idle && shard.tried.len() < replicas * MAX_ROUNDS {
-                self.defer_call(*position, CallKind::Reshed, cx.now + SHED_BACKOFF);
+                self.defer_call(*position, CallKind::RetryAfterShed, cx.now + SHED_BACKOFF);
             }
         }
     }
@@ -224,7 +230,7 @@
         let route = &self.routes.shards[self.shards[position].route];
         let on_track = |shard: &&Shard<P>| shard.part.is_some() || shard.live > 0;
         let enough = self.has_min_coverage(self.shards.iter().filter(on_track).count());
-        let yields = enough && cx.table.queued(route.purse) > 0;
+        let yields = enough && cx.table.queued(route.budget) > 0;
         if yields {
             self.defer_call(position, CallKind::First, self.check_time(cx.now));
         }
@@ -241,7 +247,7 @@
                 continue;
             };
             shard.deferred = None;
-            shard.backed_off |= deferred.kind == CallKind::Reshed;
+            shard.backed_off |= deferred.kind == CallKind::RetryAfterShed;
             due.entry(deferred.kind).or_default().push(position);
         }
         if due.is_empty() {
--- a/crates/route/src/reserve.rs
+++ b/crates/route/src/reserve.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds the earnings of `calls` first calls; returns the tokens that are lost.
+    /// Adds the earnings of `calls` first calls; returns the tokens that are discarded.
     pub(crate) fn earn(&mut self, calls: usize, share: f64, now: Time) -> f64 {
         self.advance(now);
         let count = u32::try_from(calls).unwrap_or(u32::MAX);
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -7,12 +7,12 @@
 use chestnut_unit::{IndexVersion, Time};
 
 use crate::{
-    Class, Damped, Estimate, Gauge, Profile, Purse, PurseId, Tally, Window,
+    BudgetId, BudgetTotals, CallCounts, Class, DampedSplit, Estimate, ExtraBudget, Profile, Window,
     backend::{Backend, Guard, Ix, TableConfig},
-    cold::Cold,
+    cold::ColdLimit,
     failure::{Failure, Refusal},
-    failure_rate::{Faults, Verdict},
-    penalty::HINT_MAX,
+    failure_rate::{FailureRate, Outcome},
+    penalty::MAX_HINT_FACTOR,
 };
 
 /// Capacity of the default budgets, in calls: enough to hedge or retry a whole fan-out
@@ -73,21 +73,21 @@
     /// Times of the first and the latest late call since the last answer.
     unanswered: Option<(Time, Time)>,
     /// Recent failure rate.
-    pub(crate) faults: Faults,
+    pub(crate) failure_rate: FailureRate,
     leaving: bool,
     excluded: bool,
     suspected: bool,
     /// Whether it is in another failure domain.
-    pub(crate) far: bool,
+    pub(crate) remote: bool,
     /// When it was added or became available again.
-    pub(crate) since: Time,
+    pub(crate) available_since: Time,
     /// Factor of its health or load endpoint, 1 or more.
     pub(crate) hint: f64,
     missing: BTreeMap<IndexVersion, Time>,
     /// Time of the last call to it.
-    pub(crate) called: Option<Time>,
+    pub(crate) last_call: Option<Time>,
     /// Limit on its calls while it is cold.
-    pub(crate) cold: Option<Cold>,
+    pub(crate) cold: Option<ColdLimit>,
 }
 
 /// The back ends of one service as seen by one entry, with the budgets and counters of
@@ -101,17 +101,17 @@
     index: BTreeMap<Backend, Ix>,
     /// Call durations, by [`Class`].
     pub(crate) profiles: Vec<Profile>,
-    /// Budgets, by [`PurseId`].
-    pub(crate) budgets: Vec<Purse>,
+    /// Budgets, by [`BudgetId`].
+    pub(crate) budgets: Vec<ExtraBudget>,
     /// Counters of the calls.
-    pub(crate) gauge: Gauge,
+    pub(crate) counts: CallCounts,
     /// Counter for round-robin choice.
-    pub(crate) turn: u64,
+    pub(crate) round_robin: u64,
     /// State of the damped choice.
-    pub(crate) damped: Damped,
+    pub(crate) damped: DampedSplit,
     /// Number of queries queued for capacity, by the budget of the shard that lacks
     /// it.
-    pub(crate) queued: BTreeMap<PurseId, u32>,
+    pub(crate) queued: BTreeMap<BudgetId, u32>,
     new_evictions: Vec<Eviction>,
 }
 
@@ -120,14 +120,18 @@
     #[must_use]
     pub fn new(config: TableConfig) -> Self {
         Self {
-            budgets: vec![Purse::split(config.hedge_share, config.retry_share, BURST)],
+            budgets: vec![ExtraBudget::split(
+                config.hedge_share,
+                config.retry_share,
+                BURST,
+            )],
             profiles: vec![Profile::default()],
             config,
             states: Vec::new(),
             index: BTreeMap::new(),
-            gauge: Gauge::default(),
-            turn: 0,
-            damped: Damped::default(),
+            counts: CallCounts::default(),
+            round_robin: 0,
+            damped: DampedSplit::default(),
             queued: BTreeMap::new(),
             new_evictions: Vec::new(),
         }
@@ -153,15 +157,15 @@
             backoff_until: Time::ZERO,
             stalled_until: Time::ZERO,
             unanswered: None,
-            faults: Faults::default(),
+            failure_rate: FailureRate::default(),
             leaving: false,
             excluded: false,
             suspected: false,
-            far: false,
-            since: now,
+            remote: false,
+            available_since: now,
             hint: 1.0,
             missing: BTreeMap::new(),
-            called: None,
+            last_call: None,
             cold: None,
         });
         ix
@@ -170,7 +174,7 @@
     /// Ends the incarnation of a back end: the next one with the same name gets an
     /// index and state of its own. Results of calls in flight still count for the old
     /// one, which gets no more calls.
-    pub fn renew(&mut self, backend: &Backend) {
+    pub fn retire(&mut self, backend: &Backend) {
         if let Some(ix) = self.index.remove(backend) {
             self.states[ix.index()].leaving = true;
         }
@@ -192,24 +196,24 @@
     pub fn set_leaving(&mut self, ix: Ix, leaving: bool, now: Time) {
         let state = &mut self.states[ix.index()];
         if state.leaving && !leaving {
-            state.since = now;
+            state.available_since = now;
         }
         state.leaving = leaving;
     }
 
     /// Excludes a back end from all calls while its failure domain is evacuated, or
     /// readmits it. Its state is kept, but it is cold again once readmitted.
-    pub fn set_barred(&mut self, ix: Ix, excluded: bool, now: Time) {
+    pub fn set_excluded(&mut self, ix: Ix, excluded: bool, now: Time) {
         let state = &mut self.states[ix.index()];
         if state.excluded && !excluded {
-            state.since = now;
+            state.available_since = now;
         }
         state.excluded = excluded;
     }
 
     /// Returns whether the back end is excluded.
     #[must_use]
-    pub fn is_barred(&self, ix: Ix) -> bool {
+    pub fn is_excluded(&self, ix: Ix) -> bool {
         self.states[ix.index()].excluded
     }
 
@@ -217,20 +221,20 @@
     /// end worse than its calls do. It affects only the order of back ends; it never
     /// evicts one, because endpoints lag and can be wrong.
     pub fn set_hint(&mut self, ix: Ix, factor: f64) {
-        self.states[ix.index()].hint = factor.clamp(1.0, HINT_MAX);
+        self.states[ix.index()].hint = factor.clamp(1.0, MAX_HINT_FACTOR);
     }
 
     /// Marks a back end as suspected to be gone, or clears the mark. A suspected back
     /// end is called only if no other can be.
-    pub fn set_doubt(&mut self, ix: Ix, suspected: bool) {
+    pub fn set_suspected(&mut self, ix: Ix, suspected: bool) {
         self.states[ix.index()].suspected = suspected;
     }
 
     /// Marks a back end as remote, that is, in another failure domain. Local ones are
     /// preferred until they are busier, because calls between domains take longer and
     /// their traffic is billed.
-    pub fn set_far(&mut self, ix: Ix, far: bool) {
-        self.states[ix.index()].far = far;
+    pub fn set_remote(&mut self, ix: Ix, remote: bool) {
+        self.states[ix.index()].remote = remote;
     }
 
     /// Returns the number of calls in flight at a back end.
@@ -241,7 +245,7 @@
 
     /// Returns the number of calls in flight at excluded back ends.
     #[must_use]
-    pub fn outstanding_barred(&self) -> u32 {
+    pub fn outstanding_excluded(&self) -> u32 {
         let excluded = self.states.iter().filter(|state| state.excluded);
         excluded.map(|state| state.outstanding).sum()
     }
@@ -262,8 +266,8 @@
 
     /// Returns the counters of the calls.
     #[must_use]
-    pub fn gauge(&self) -> Gauge {
-        self.gauge
+    pub fn counts(&self) -> CallCounts {
+        self.counts
     }
 
     /// Adds a class of calls with a profile of its own.
@@ -293,22 +297,22 @@
     /// # Panics
     ///
     /// Panics if there are 2^32 budgets already.
-    pub fn add_purse(&mut self, budget: Purse) -> PurseId {
-        let id = PurseId(u32::try_from(self.budgets.len()).expect("fewer than 2^32 budgets"));
+    pub fn add_budget(&mut self, budget: ExtraBudget) -> BudgetId {
+        let id = BudgetId(u32::try_from(self.budgets.len()).expect("fewer than 2^32 budgets"));
         self.budgets.push(budget);
         id
     }
 
     /// Returns a budget for modification.
-    pub fn purse(&mut self, id: PurseId) -> &mut Purse {
+    pub fn budget_mut(&mut self, id: BudgetId) -> &mut ExtraBudget {
         &mut self.budgets[id.0 as usize]
     }
 
     /// Returns the totals of all budgets.
     #[must_use]
-    pub fn tally(&self) -> Tally {
-        let tallies = self.budgets.iter().map(Purse::tally);
-        tallies.fold(Tally::default(), Tally::add)
+    pub fn budget_totals(&self) -> BudgetTotals {
+        let totals = self.budgets.iter().map(ExtraBudget::totals);
+        totals.fold(BudgetTotals::default(), BudgetTotals::add)
     }
 
     /// Returns the durations of recent calls of a class.
@@ -334,7 +338,7 @@
     }
 
     /// Returns the duration of a typical call in the common unit.
-    pub(crate) fn typical(&self) -> f64 {
+    pub(crate) fn typical_nanos(&self) -> f64 {
         if self.profiles.len() == 1 {
             self.profiles[0].calls.median().as_nanos() as f64
         } else {
@@ -355,7 +359,7 @@
     /// Records that a call is sent.
     pub fn sent(&mut self, ix: Ix, now: Time) {
         self.states[ix.index()].outstanding += 1;
-        self.note_call(ix, now);
+        self.record_call_time(ix, now);
     }
 
     /// Records an answer after `span` to a call of the first class.
@@ -380,19 +384,20 @@
         state.evicted_until = None;
         state.stalled_until = Time::ZERO;
         state.unanswered = None;
-        state.faults.record(Verdict::Good, now);
+        state.failure_rate.record(Outcome::Success, now);
     }
 
     /// Records the failure of a call.
     pub fn failed(&mut self, ix: Ix, failure: Failure, now: Time) {
         let state = &mut self.states[ix.index()];
         state.outstanding = state.outstanding.saturating_sub(1);
-        if failure.is_fault() {
-            state.faults.record(Verdict::Bad, now);
+        if failure.is_target_fault() {
+            state.failure_rate.record(Outcome::Failure, now);
         }
         match failure {
             Failure::Refused(Refusal::Draining) => state.leaving = true,
-            Failure::Cut | Failure::Refused(Refusal::NoSnapshot | Refusal::Deadline) => {}
+            Failure::ConnectionSilent
+            | Failure::Refused(Refusal::NoSnapshot | Refusal::Deadline) => {}
             Failure::Refused(refusal) => {
                 state.backoff_until = now + REFUSAL_BACKOFF;
                 if refusal == Refusal::Shed {
@@ -426,7 +431,7 @@
     /// preferred until this one answers or the configured time passes: a paused leaf
     /// delays all its calls until the pause ends.
     pub fn stalled(&mut self, ix: Ix, now: Time) {
-        let backoff = self.config.stall;
+        let backoff = self.config.stall_backoff;
         let state = &mut self.states[ix.index()];
         state.stalled_until = now + backoff;
         let (first, _) = state.unanswered.unwrap_or((now, now));
@@ -442,11 +447,11 @@
             .unanswered
             .is_some_and(|(first, last)| last.since(first) >= UNRESPONSIVE_AFTER);
         let evicted = self.evicted_until(ix, now).is_some();
-        state.leaving || state.excluded || unanswered || evicted || self.is_held_back(ix, now)
+        state.leaving || state.excluded || unanswered || evicted || self.is_rate_limited(ix, now)
     }
 
     /// Marks a back end as lacking a snapshot for a while.
-    pub fn lacks(&mut self, ix: Ix, version: IndexVersion, now: Time) {
+    pub fn mark_missing(&mut self, ix: Ix, version: IndexVersion, now: Time) {
         let state = &mut self.states[ix.index()];
         state.missing.retain(|_, until| now < *until);
         state.missing.insert(version, now + SNAPSHOT_BACKOFF);
@@ -461,33 +466,33 @@
             .missing
             .get(&version)
             .is_some_and(|until| now < *until);
-        !state.leaving && !state.excluded && !lacking && !self.is_held_back(ix, now)
+        !state.leaving && !state.excluded && !lacking && !self.is_rate_limited(ix, now)
     }
 
     /// Returns whether a back end is in backoff after a refused or late call.
     #[must_use]
-    pub(crate) fn is_resting(&self, ix: Ix, now: Time) -> bool {
+    pub(crate) fn in_backoff(&self, ix: Ix, now: Time) -> bool {
         let state = &self.states[ix.index()];
         self.config.guard == Guard::On && (now < state.backoff_until || now < state.stalled_until)
     }
 
     /// Returns whether a back end is suspected to be gone.
     #[must_use]
-    pub(crate) fn is_doubted(&self, ix: Ix) -> bool {
+    pub(crate) fn is_suspected(&self, ix: Ix) -> bool {
         self.states[ix.index()].suspected
     }
 
     /// Returns the expected duration of a call of `class` in nanoseconds.
     #[must_use]
-    pub fn expected(&self, class: Class, ix: Ix, now: Time) -> f64 {
+    pub fn expected_nanos(&self, class: Class, ix: Ix, now: Time) -> f64 {
         let estimate = &self.states[ix.index()].estimate;
-        estimate.mean_at(now, self.typical()) / self.scale(class)
+        estimate.mean_at(now, self.typical_nanos()) / self.scale(class)
     }
 
-    /// Returns [`Table::expected`] as a duration.
+    /// Returns [`Table::expected_nanos`] as a duration.
     #[must_use]
     pub fn expected_span(&self, class: Class, ix: Ix, now: Time) -> Duration {
-        Duration::from_nanos(self.expected(class, ix, now) as u64)
+        Duration::from_nanos(self.expected_nanos(class, ix, now) as u64)
     }
 
     /// Returns the delay between sending a call of `class` to `ix` and its hedge.
@@ -513,7 +518,7 @@
         let span = (EVICT_FIRST * 2u32.pow(state.evictions.min(8))).min(EVICT_MAX);
         state.evictions += 1;
         state.evicted_until = Some(now + span);
-        self.gauge.evictions += 1;
+        self.counts.evictions += 1;
         self.new_evictions.push(Eviction {
             backend: state.backend.clone(),
             span,
--- a/crates/route/src/versions.rs
+++ b/crates/route/src/versions.rs
@@ -7,7 +7,7 @@
 
 use chestnut_unit::{IndexVersion, ShardName, Snapshot, Time};
 
-use crate::{Ix, PurseId, Table};
+use crate::{BudgetId, Ix, Table};
 
 /// Number of index versions kept for pinning and for queries in flight.
 const VERSIONS_KEPT: usize = 8;
@@ -20,7 +20,7 @@
     /// Back ends that hold the shard, or peers that call such leafs.
     pub replicas: Vec<Ix>,
     /// Budget that pays for extra calls to it.
-    pub purse: PurseId,
+    pub budget: BudgetId,
 }
 
 /// The back ends of every shard of a snapshot. A query uses the routes that it
--- a/crates/route/src/window.rs
+++ b/crates/route/src/window.rs
@@ -14,9 +14,9 @@
 pub struct Bounds {
     /// This entry's share of the back end's slots: fewer calls would leave slots
     /// idle while callers wait.
-    pub least: u32,
+    pub min: u32,
     /// Connections that this entry may open to the back end.
-    pub most: u32,
+    pub max: u32,
 }
 
 impl Bounds {
@@ -25,10 +25,10 @@
     #[must_use]
     pub fn share(slots: u32, entries: usize, connections: usize) -> Self {
         let entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
-        let most = u32::try_from(connections.max(1)).unwrap_or(u32::MAX);
+        let max = u32::try_from(connections.max(1)).unwrap_or(u32::MAX);
         Self {
-            least: slots.div_ceil(entries).clamp(1, most),
-            most,
+            min: slots.div_ceil(entries).clamp(1, max),
+            max,
         }
     }
 }
@@ -72,7 +72,7 @@
     /// the slots, so that entries that start together don't fill every queue.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         let size = match self.bounds {
-            None => f64::from(bounds.least) * 2.0,
+            None => f64::from(bounds.min) * 2.0,
             Some(_) => self.size,
         };
         self.bounds = Some(bounds);
@@ -91,7 +91,7 @@
 
     /// Shrinks the window after a late or refused call, at most once per
     /// `round`: calls sent in the same round are mostly affected together.
-    pub fn cut(&mut self, round: Duration, now: Time) {
+    pub fn shrink(&mut self, round: Duration, now: Time) {
         if now < self.next_decrease {
             return;
         }
@@ -101,7 +101,7 @@
 
     fn bounded(&self, size: f64) -> f64 {
         self.bounds.map_or(f64::INFINITY, |bounds| {
-            size.clamp(f64::from(bounds.least), f64::from(bounds.most))
+            size.clamp(f64::from(bounds.min), f64::from(bounds.max))
         })
     }
 }
--- a/crates/route/tests/admit_model.rs
+++ b/crates/route/tests/admit_model.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use chestnut_route::{Adapt, Admission, AdmitConfig, Decision, Order, Ran, Release, Yields};
+use chestnut_route::{
+    Admission, AdmitConfig, AdmitRequest, Decision, LimitMode, Release, RequestStats, Sheddable,
+};
 use chestnut_unit::{Reason, RequestId, Time, Urgency};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -14,7 +16,7 @@
     Offer {
         urgency: usize,
         deadline: u64,
-        yields: bool,
+        sheddable: bool,
     },
     Done(u64),
     Forget(usize),
@@ -24,7 +26,11 @@
 fn step_strategy() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0usize..3, 1u64..200, any::<bool>())
-            .prop_map(|(urgency, deadline, yields)| Step::Offer { urgency, deadline, yields }),
+            .prop_map(|(urgency, deadline, sheddable)| Step::Offer {
+                urgency,
+                deadline,
+                sheddable,
+            }),
         3 => (1u64..20).prop_map(Step::Done),
         1 => (0usize..50).prop_map(Step::Forget),
         1 => (1u64..30).prop_map(Step::Advance),
@@ -40,23 +46,23 @@
 }
 
 struct Model {
-    orders: BTreeMap<RequestId, (Order, State)>,
+    requests: BTreeMap<RequestId, (AdmitRequest, State)>,
 }
 
 impl Model {
     fn set_state(&mut self, id: RequestId, state: State) {
-        self.orders.get_mut(&id).unwrap().1 = state;
+        self.requests.get_mut(&id).unwrap().1 = state;
     }
 
     fn running(&self) -> usize {
-        self.orders
+        self.requests
             .values()
             .filter(|(_, p)| *p == State::Running)
             .count()
     }
 
     fn queued(&self) -> usize {
-        self.orders
+        self.requests
             .values()
             .filter(|(_, p)| *p == State::Queued)
             .count()
@@ -65,21 +71,21 @@
     /// Applies releases, each of which must be of a queued request.
     fn apply_releases(&mut self, out: &mut Vec<Release>) {
         for release in out.drain(..) {
-            let (order, state) = self.orders[&release.id];
+            let (request, state) = self.requests[&release.id];
             assert_eq!(state, State::Queued, "released though not queued");
-            let next = self.state_after(order, release.decision);
+            let next = self.state_after(request, release.decision);
             self.set_state(release.id, next);
         }
     }
 
-    fn state_after(&self, order: Order, decision: Decision) -> State {
+    fn state_after(&self, request: AdmitRequest, decision: Decision) -> State {
         match decision {
             Decision::Run => State::Running,
             Decision::Wait => State::Queued,
             Decision::Refuse { reason, after } => {
                 assert!(after > Duration::ZERO, "no retry delay");
                 let queue_full = self.queued() >= QUEUE_CAPACITY;
-                if order.yields == Yields::No && !queue_full {
+                if request.sheddable == Sheddable::No && !queue_full {
                     assert_eq!(
                         reason,
                         Reason::Deadline,
@@ -109,47 +115,54 @@
         steps in prop::collection::vec(step_strategy(), 0..120),
         seed: u64,
     ) {
-        let config = AdmitConfig { initial: LIMIT, queue: QUEUE_CAPACITY, adapt: Adapt::No };
+        let config = AdmitConfig {
+            initial_limit: LIMIT,
+            queue_capacity: QUEUE_CAPACITY,
+            limit_mode: LimitMode::Fixed,
+        };
         let mut admission = Admission::new(config);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut model = Model { orders: BTreeMap::new() };
+        let mut model = Model { requests: BTreeMap::new() };
         let mut out = Vec::new();
         let mut now = Time::from_millis(1);
         for (number, step) in (0..).zip(steps) {
             match step {
-                Step::Offer { urgency, deadline, yields } => {
-                    let order = Order {
+                Step::Offer { urgency, deadline, sheddable } => {
+                    let request = AdmitRequest {
                         id: RequestId(number),
                         urgency: Urgency::ALL[urgency],
                         deadline: now + Duration::from_millis(deadline),
-                        yields: if yields { Yields::Yes } else { Yields::No },
+                        sheddable: if sheddable { Sheddable::Yes } else { Sheddable::No },
                     };
-                    let decision = admission.offer(order, now, &mut rng, &mut out);
+                    let decision = admission.offer(request, now, &mut rng, &mut out);
                     model.apply_releases(&mut out);
-                    let state = model.state_after(order, decision);
-                    let now_queued = model.orders.values().any(|(o, p)| {
+                    let state = model.state_after(request, decision);
+                    let now_queued = model.requests.values().any(|(o, p)| {
                         *p == State::Queued && o.urgency == Urgency::Now
                     });
-                    let less_urgent = order.urgency > Urgency::Now;
+                    let less_urgent = request.urgency > Urgency::Now;
                     prop_assert!(!(state == State::Running && less_urgent && now_queued));
-                    model.orders.insert(order.id, (order, state));
+                    model.requests.insert(request.id, (request, state));
                 }
                 Step::Done(ms) => {
-                    let running = model.orders.iter().find(|(_, (_, p))| *p == State::Running);
+                    let running = model.requests.iter().find(|(_, (_, p))| *p == State::Running);
                     if let Some(id) = running.map(|(id, _)| *id) {
-                        let ran = Ran { span: Duration::from_millis(ms), ..Ran::default() };
-                        admission.done(ran, now, &mut rng, &mut out);
+                        let stats = RequestStats {
+                            span: Duration::from_millis(ms),
+                            ..RequestStats::default()
+                        };
+                        admission.record_end(stats, now, &mut rng, &mut out);
                         model.set_state(id, State::Finished);
                         model.apply_releases(&mut out);
                     }
                 }
                 Step::Forget(at) => {
-                    let queued: Vec<_> = model.orders.iter()
+                    let queued: Vec<_> = model.requests.iter()
                         .filter(|(_, (_, p))| *p == State::Queued)
                         .map(|(id, _)| *id)
                         .collect();
                     if let Some(id) = queued.get(at) {
-                        admission.forget(*id);
+                        admission.remove_queued(*id);
                         model.set_state(*id, State::Finished);
                     }
                 }
@@ -160,7 +173,7 @@
                 }
             }
             prop_assert_eq!(admission.running() as usize, model.running());
-            prop_assert_eq!(admission.waiting(), model.queued());
+            prop_assert_eq!(admission.queued(), model.queued());
             prop_assert!(model.running() <= (LIMIT + LIMIT / 2) as usize);
             prop_assert!(model.queued() <= QUEUE_CAPACITY);
         }
@@ -171,32 +184,32 @@
 #[test]
 fn archive_requests_run_while_normal_requests_fill_the_queue() {
     let config = AdmitConfig {
-        initial: 2,
-        queue: 64,
-        adapt: Adapt::No,
+        initial_limit: 2,
+        queue_capacity: 64,
+        limit_mode: LimitMode::Fixed,
     };
     let mut admission = Admission::new(config);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut out = Vec::new();
     let now = Time::from_millis(1);
-    let order = |id: u64, urgency| Order {
+    let request = |id: u64, urgency| AdmitRequest {
         id: RequestId(id),
         urgency,
         deadline: Time::from_millis(1_000_000),
-        yields: Yields::No,
+        sheddable: Sheddable::No,
     };
-    admission.offer(order(0, Urgency::Normal), now, &mut rng, &mut out);
-    admission.offer(order(1, Urgency::Normal), now, &mut rng, &mut out);
-    admission.offer(order(2, Urgency::Archive), now, &mut rng, &mut out);
+    admission.offer(request(0, Urgency::Normal), now, &mut rng, &mut out);
+    admission.offer(request(1, Urgency::Normal), now, &mut rng, &mut out);
+    admission.offer(request(2, Urgency::Archive), now, &mut rng, &mut out);
     for id in 3..60 {
-        admission.offer(order(id, Urgency::Normal), now, &mut rng, &mut out);
+        admission.offer(request(id, Urgency::Normal), now, &mut rng, &mut out);
     }
     for _ in 0..20 {
-        let ran = Ran {
+        let stats = RequestStats {
             span: Duration::from_millis(5),
-            ..Ran::default()
+            ..RequestStats::default()
         };
-        admission.done(ran, now, &mut rng, &mut out);
+        admission.record_end(stats, now, &mut rng, &mut out);
     }
     assert!(
         out.iter()
--- a/crates/route/tests/budget.rs
+++ b/crates/route/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_route::{Budget, CallKind, Paid, Purse};
+use chestnut_route::{Budget, CallKind, ExtraBudget, SpendResult};
 use chestnut_unit::{Share, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,7 +12,7 @@
 
 fn budget(quota: f64) -> Budget {
     let mut budget = Budget::empty(Share::from_permille(200), 1);
-    budget.set_slack(quota, WINDOW);
+    budget.set_quota(quota, WINDOW);
     budget
 }
 
@@ -27,20 +27,20 @@
     const SHARDS: usize = 90;
     const INTERVAL: f64 = 3.4;
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut purses: Vec<Purse> = (0..SHARDS)
-        .map(|_| Purse::Joint(budget(33.0 / 17.0)))
+    let mut budgets: Vec<ExtraBudget> = (0..SHARDS)
+        .map(|_| ExtraBudget::Joint(budget(33.0 / 17.0)))
         .collect();
     let (mut requested, mut granted) = (0, 0);
     for search in 1..=30 {
         let now = at(INTERVAL * f64::from(search));
-        for purse in &mut purses {
-            purse.pass(now);
-            purse.earn(1);
+        for budget in &mut budgets {
+            budget.refill(now);
+            budget.earn(1);
             if rng.random_range(0..24) > 0 {
                 continue;
             }
             requested += 1;
-            granted += usize::from(purse.spend(CallKind::Hedge, 0.02) == Paid::Yes);
+            granted += usize::from(budget.spend(CallKind::Hedge, 0.02) == SpendResult::Paid);
         }
     }
     assert!(requested > 100, "{requested}");
@@ -68,7 +68,7 @@
             if step % 70 == 0 {
                 rate = [0, 1, 4, 20][rng.random_range(0..4)];
             }
-            budget.pass(at(STEP * f64::from(step)));
+            budget.refill(at(STEP * f64::from(step)));
             let calls = rng.random_range(0..=rate);
             budget.earn(calls);
             let spends = rng.random_range(0..100) < 40;
@@ -96,7 +96,7 @@
     let mut budget = budget(0.22);
     let mut granted = 0;
     for second in 0..60 {
-        budget.pass(at(f64::from(second)));
+        budget.refill(at(f64::from(second)));
         budget.earn(8);
         granted += u32::from(budget.spend());
     }
--- a/crates/route/tests/choice_model.rs
+++ b/crates/route/tests/choice_model.rs
@@ -88,7 +88,7 @@
                     model[leaf].leaving = false;
                 }
                 Step::LackSnapshot(leaf) => {
-                    table.lacks(replicas[leaf], V1, now);
+                    table.mark_missing(replicas[leaf], V1, now);
                     model[leaf].lacks_until = ms + 1000;
                 }
                 Step::Advance(span) => ms += span,
--- a/crates/route/tests/extra_call_gain.rs
+++ b/crates/route/tests/extra_call_gain.rs
@@ -7,8 +7,8 @@
 };
 
 use chestnut_route::{
-    Action, Backend, Budget, CallId, Context, Failure, Prospect, Purse, Query, QueryConfig,
-    Refusal, Route, Routes, Table, TableConfig,
+    Action, Backend, Budget, CallId, Context, ExtraBudget, Failure, Query, QueryConfig, Refusal,
+    Route, Routes, Table, TableConfig, Timeliness,
 };
 use chestnut_unit::{IndexVersion, LeafId, ServiceName, ShardName, Share, Snapshot, Time};
 use rand::RngExt;
@@ -29,11 +29,11 @@
 const QUERIES: usize = 600;
 
 /// Budget of one shard's service: a share of the first calls plus one entry's share of
-/// the slack.
-fn shard_budget() -> Purse {
+/// the quota.
+fn shard_budget() -> ExtraBudget {
     let mut budget = Budget::empty(Share::from_permille(200), 1);
-    budget.set_slack(52.0 / 6.0, WINDOW);
-    Purse::Joint(budget)
+    budget.set_quota(52.0 / 6.0, WINDOW);
+    ExtraBudget::Joint(budget)
 }
 
 /// Creates a table and shards with a budget each.
@@ -47,7 +47,7 @@
                 table.add(Backend::Leaf(leaf), 2, Time::ZERO)
             })
             .collect(),
-        purse: table.add_purse(shard_budget()),
+        budget: table.add_budget(shard_budget()),
     });
     let shards = shards.collect();
     let snapshot = Snapshot {
@@ -92,21 +92,21 @@
         }
     }
 
-    fn start_query(&mut self, number: usize, least: Share, now: Time) {
+    fn start_query(&mut self, number: usize, min_coverage: Share, now: Time) {
         let config = QueryConfig {
-            goal: now + OBJECTIVE,
-            ..QueryConfig::new(now + DEADLINE, least)
+            objective: now + OBJECTIVE,
+            ..QueryConfig::new(now + DEADLINE, min_coverage)
         };
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut cx = Context {
             table: &mut self.table,
             now,
             rng: &mut self.rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         let query = Query::start(self.routes.clone(), None, config, &mut cx);
         self.queries.insert(number, (query, now));
-        self.apply(number, out, now);
+        self.apply(number, actions, now);
     }
 
     fn event(
@@ -118,21 +118,21 @@
         let Some((query, _)) = self.queries.get_mut(&number) else {
             return;
         };
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut cx = Context {
             table: &mut self.table,
             now,
             rng: &mut self.rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         event(query, &mut cx);
-        self.apply(number, out, now);
+        self.apply(number, actions, now);
     }
 
     /// Schedules the calls that a query requests, and removes the query if it has
     /// ended.
-    fn apply(&mut self, number: usize, out: Vec<Action>, now: Time) {
-        for action in out {
+    fn apply(&mut self, number: usize, actions: Vec<Action>, now: Time) {
+        for action in actions {
             let Action::Call { call, shards, .. } = action else {
                 continue;
             };
@@ -167,8 +167,14 @@
     fn run_until(&mut self, until: Time) {
         loop {
             let call_end = self.call_ends.keys().next().map(|(at, _)| *at);
-            let wake = self.queries.values().map(|(query, _)| query.wake()).min();
-            let next = call_end.unwrap_or(Time::MAX).min(wake.unwrap_or(Time::MAX));
+            let next_tick = self
+                .queries
+                .values()
+                .map(|(query, _)| query.next_tick())
+                .min();
+            let next = call_end
+                .unwrap_or(Time::MAX)
+                .min(next_tick.unwrap_or(Time::MAX));
             if next > until {
                 return;
             }
@@ -179,11 +185,11 @@
             }
             let due: VecDeque<usize> = self.queries.keys().copied().collect();
             for number in due {
-                let woken = self
+                let is_due = self
                     .queries
                     .get(&number)
-                    .is_some_and(|(q, _)| q.wake() <= next);
-                if woken {
+                    .is_some_and(|(q, _)| q.next_tick() <= next);
+                if is_due {
                     self.event(number, next, Query::tick);
                 }
             }
@@ -232,50 +238,50 @@
 fn a_late_query_gets_no_extra_call_from_a_low_budget() {
     let (mut table, routes) = shards();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut out = Vec::new();
-    let mut retried = |prospect| {
+    let mut actions = Vec::new();
+    let mut retried = |timeliness| {
         let now = Time::ZERO + Duration::from_secs(1);
         let mut cx = Context {
             table: &mut table,
             now,
             rng: &mut rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         let config = QueryConfig {
-            goal: now + OBJECTIVE,
-            prospect,
+            objective: now + OBJECTIVE,
+            timeliness,
             ..QueryConfig::new(now + DEADLINE, Share::from_permille(890))
         };
         // Budget of the first shard: not quite three of the four calls that it can
         // save.
-        *cx.table.purse(routes.shards[0].purse) = {
+        *cx.table.budget_mut(routes.shards[0].budget) = {
             let mut budget = shard_budget();
             budget.earn(11);
             budget
         };
         let mut query: Query<()> = Query::start(routes.clone(), None, config, &mut cx);
         let calls: Vec<CallId> = cx
-            .out
+            .actions
             .iter()
             .filter_map(|action| match action {
                 Action::Call { call, shards, .. } if shards[0] == 0 => Some(*call),
                 _ => None,
             })
             .collect();
-        cx.out.clear();
+        cx.actions.clear();
         query.fail(calls[0], Failure::Refused(Refusal::Shed), &mut cx);
-        let retried = !cx.out.is_empty();
-        cx.out.clear();
-        query.abandon(&mut cx);
-        cx.out.clear();
+        let retried = !cx.actions.is_empty();
+        cx.actions.clear();
+        query.cancel_all(&mut cx);
+        cx.actions.clear();
         retried
     };
-    assert!(retried(Prospect::InTime));
-    assert!(!retried(Prospect::Late));
+    assert!(retried(Timeliness::InTime));
+    assert!(!retried(Timeliness::Late));
 }
 
-/// Guards against a query waiting for several unpaid shards until its caller's retry is
-/// late too. For one such shard it waits, to keep the other shards' work.
+/// Guards against a query waiting for several shards without budget until its caller's
+/// retry is late too. For one such shard it waits, to keep the other shards' work.
 #[rstest]
 #[case::one(1, false)]
 #[case::two(2, true)]
@@ -286,21 +292,21 @@
 ) {
     let (mut table, routes) = shards();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     let start = Time::ZERO + Duration::from_secs(1);
     let mut cx = Context {
         table: &mut table,
         now: start,
         rng: &mut rng,
-        out: &mut out,
+        actions: &mut actions,
     };
     let config = QueryConfig {
-        goal: start + OBJECTIVE,
+        objective: start + OBJECTIVE,
         ..QueryConfig::new(start + DEADLINE, Share::WHOLE)
     };
     let mut query: Query<()> = Query::start(routes, None, config, &mut cx);
     let calls: Vec<CallId> = cx
-        .out
+        .actions
         .iter()
         .filter_map(|action| match action {
             Action::Call { call, .. } => Some(*call),
@@ -312,7 +318,7 @@
         query.fail(*call, Failure::Refused(Refusal::Shed), &mut cx);
     }
     // After a backoff, in which a slot may be freed, they are checked once more.
-    cx.now = query.wake();
+    cx.now = query.next_tick();
     query.tick(&mut cx);
     assert_eq!(query.end().is_some(), ends, "{:?}", query.end());
     assert!(cx.now < start + OBJECTIVE / 4);
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use chestnut_route::{
-    Action, Backend, CallId, Context, End, Failure, Ix, PurseId, Query, QueryConfig, Refusal,
+    Action, Backend, BudgetId, CallId, Context, End, Failure, Ix, Query, QueryConfig, Refusal,
     Route, Routes, Table, TableConfig, Trust,
 };
 use chestnut_unit::{IndexVersion, LeafId, ServiceName, ShardName, Share, Snapshot, Time};
@@ -37,7 +37,7 @@
                     table.add(Backend::Leaf(leaf), 5, Time::ZERO)
                 })
                 .collect(),
-            purse: PurseId::default(),
+            budget: BudgetId::default(),
         });
         let routes = Routes {
             snapshot: Snapshot {
@@ -50,12 +50,12 @@
             trust,
             ..QueryConfig::new(at(2000), Share::from_permille(800))
         };
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut cx = Context {
             table: &mut table,
             now: at(0),
             rng: &mut rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         let query = Query::start(Arc::new(routes), None, config, &mut cx);
         let mut search = Self {
@@ -65,12 +65,12 @@
             outstanding: Vec::new(),
             made: 0,
         };
-        search.apply(out);
+        search.apply(actions);
         search
     }
 
-    fn apply(&mut self, out: Vec<Action>) {
-        for action in out {
+    fn apply(&mut self, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::Call {
                     call, to, shards, ..
@@ -84,15 +84,15 @@
     }
 
     fn event(&mut self, ms: u64, event: impl FnOnce(&mut Query<()>, &mut Context<'_>)) {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut cx = Context {
             table: &mut self.table,
             now: at(ms),
             rng: &mut self.rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         event(&mut self.query, &mut cx);
-        self.apply(out);
+        self.apply(actions);
     }
 
     fn fail(&mut self, ms: u64, failure: Failure) {
@@ -122,7 +122,7 @@
 /// call, without hedge or retry.
 #[test]
 fn a_trial_makes_a_single_call() {
-    let mut search = Search::start(Trust::Trial);
+    let mut search = Search::start(Trust::Suspected);
     assert_eq!(search.made, 1);
     search.advance(0, 500);
     assert_eq!(search.made, 1);
@@ -136,13 +136,13 @@
 /// is answered.
 #[test]
 fn an_answered_trial_continues_with_all_shards() {
-    let mut search = Search::start(Trust::Trial);
+    let mut search = Search::start(Trust::Suspected);
     search.answer(10);
     assert_eq!(search.made, SHARDS);
     while !search.outstanding.is_empty() {
         search.answer(20);
     }
-    assert_eq!(search.query.end(), Some(End::Whole));
+    assert_eq!(search.query.end(), Some(End::Complete));
 }
 
 /// A trial call that nothing ran must move to another shard instead of failing the query;
@@ -151,7 +151,7 @@
 #[case::not_sent(Failure::NotSent)]
 #[case::shed(Failure::Refused(Refusal::Shed))]
 fn a_trial_that_ran_nowhere_moves_to_the_next_shard(#[case] failure: Failure) {
-    let mut search = Search::start(Trust::Trial);
+    let mut search = Search::start(Trust::Suspected);
     let mut now = 1;
     let first_shard = |search: &Search| search.outstanding.first().map(|(_, shards, _)| shards[0]);
     while first_shard(&search).is_none_or(|shard| shard == 0) {
@@ -173,7 +173,7 @@
 /// A request that no leaf accepted must be reported as not run, not as unknown.
 #[test]
 fn a_trial_that_no_leaf_accepted_is_not_run() {
-    let mut search = Search::start(Trust::Trial);
+    let mut search = Search::start(Trust::Suspected);
     let mut now = 1;
     while search.query.end().is_none() {
         match search.outstanding.is_empty() {
@@ -190,7 +190,7 @@
 /// calls, retries wait for a first answer.
 #[test]
 fn lost_calls_are_not_retried_before_a_first_answer() {
-    let mut search = Search::start(Trust::Full);
+    let mut search = Search::start(Trust::Trusted);
     while !search.outstanding.is_empty() {
         search.fail(10, Failure::Lost);
     }
@@ -202,7 +202,7 @@
 /// after it.
 #[test]
 fn lost_calls_are_retried_after_the_first_answer() {
-    let mut search = Search::start(Trust::Full);
+    let mut search = Search::start(Trust::Trusted);
     for _ in 0..5 {
         search.fail(10, Failure::Lost);
     }
@@ -212,5 +212,5 @@
     while !search.outstanding.is_empty() {
         search.answer(20);
     }
-    assert_eq!(search.query.end(), Some(End::Whole));
+    assert_eq!(search.query.end(), Some(End::Complete));
 }
--- a/crates/route/tests/query_model.rs
+++ b/crates/route/tests/query_model.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use chestnut_route::{
-    Action, Backend, CallId, Context, Failure, PurseId, Query, QueryConfig, Refusal, Route, Routes,
-    Table, TableConfig,
+    Action, Backend, BudgetId, CallId, Context, Failure, Query, QueryConfig, Refusal, Route,
+    Routes, Table, TableConfig,
 };
 use chestnut_unit::{IndexVersion, LeafId, ServiceName, ShardName, Share, Snapshot, Time};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -43,7 +43,7 @@
     match how {
         0 => Failure::NotSent,
         1 => Failure::Lost,
-        2 => Failure::Cut,
+        2 => Failure::ConnectionSilent,
         3 => Failure::Refused(Refusal::Shed),
         4 => Failure::Refused(Refusal::Draining),
         _ => Failure::Refused(Refusal::NoSnapshot),
@@ -58,7 +58,7 @@
     let shard = |s: usize, replicas| Route {
         name: ShardName::new(format!("s{s}")).unwrap(),
         replicas,
-        purse: PurseId::default(),
+        budget: BudgetId::default(),
     };
     let shards = (0..SHARDS)
         .map(|s| shard(s, (0..REPLICAS).map(|r| leaf(s + r * SHARDS)).collect()))
@@ -126,13 +126,13 @@
         let mut table = Table::new(TableConfig::default());
         let routes = routes(&mut table);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut now = Time::from_millis(100);
         let config = QueryConfig::new(Time::from_millis(400), Share::WHOLE);
         let mut model = Model::default();
-        let mut cx = Context { table: &mut table, now, rng: &mut rng, out: &mut out };
+        let mut cx = Context { table: &mut table, now, rng: &mut rng, actions: &mut actions };
         let mut query: Query<usize> = Query::start(routes.clone(), None, config, &mut cx);
-        model.take(cx.out);
+        model.take(cx.actions);
         for step in steps {
             cx.now = now;
             let over = query.end().is_some();
@@ -153,7 +153,8 @@
                     let id = CallId(call as u32);
                     query.fail(id, failure(how), &mut cx);
                     if model.end(id) {
-                        model.ran |= matches!(failure(how), Failure::Lost | Failure::Cut);
+                        model.ran |=
+                            matches!(failure(how), Failure::Lost | Failure::ConnectionSilent);
                     }
                 }
                 Step::Pass(ms) => {
@@ -162,7 +163,7 @@
                     query.tick(&mut cx);
                 }
             }
-            model.take(cx.out);
+            model.take(cx.actions);
             let coverage = query.coverage();
             prop_assert_eq!(coverage.answered, model.merged.iter().filter(|m| **m).count());
             prop_assert_eq!(coverage.is_complete(), model.merged.iter().all(|m| *m));
--- a/crates/route/tests/regressions.rs
+++ b/crates/route/tests/regressions.rs
@@ -4,9 +4,9 @@
 
 use chestnut_conf::OrgLimits;
 use chestnut_route::{
-    Action, Backend, Budget, Choice, Context, End, Failure, Give, Ix, Limit, OrgGates, Pick, Pool,
-    PurseId, Query, QueryConfig, Ran, Refusal, Route, Routes, Table, TableConfig, Versions,
-    choose_replica,
+    Action, Backend, Budget, BudgetId, Choice, Context, End, Failure, Ix, Limit, OrgLimiters,
+    PartialReason, Pick, Pool, Query, QueryConfig, Refusal, RequestStats, Route, Routes, Table,
+    TableConfig, Versions, choose_replica,
 };
 use chestnut_unit::{
     IndexVersion, LeafId, OrgName, Rate, ServiceName, ShardName, Share, Snapshot, Time,
@@ -36,7 +36,7 @@
         shards: vec![Route {
             name: ShardName::new("s0").unwrap(),
             replicas,
-            purse: PurseId::default(),
+            budget: BudgetId::default(),
         }],
     }
 }
@@ -45,7 +45,7 @@
 struct OneShard {
     table: Table,
     rng: ChaCha8Rng,
-    out: Vec<Action>,
+    actions: Vec<Action>,
     query: Query<()>,
 }
 
@@ -56,19 +56,19 @@
 
     fn start_over(mut table: Table, routes: Routes, now: Time) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let config = QueryConfig::new(now + Duration::from_secs(1), Share::WHOLE);
         let mut cx = Context {
             table: &mut table,
             now,
             rng: &mut rng,
-            out: &mut out,
+            actions: &mut actions,
         };
         let query = Query::start(Arc::new(routes), None, config, &mut cx);
         Self {
             table,
             rng,
-            out,
+            actions,
             query,
         }
     }
@@ -83,10 +83,10 @@
             table: &mut self.table,
             now,
             rng: &mut self.rng,
-            out: &mut self.out,
+            actions: &mut self.actions,
         };
         event(&mut self.query, &mut cx);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 }
 
@@ -104,8 +104,8 @@
         table.answered(replicas[n % 3], Duration::from_millis(4), at(n as u64));
     }
     let mut one = OneShard::start(table, replicas.clone(), at(1000));
-    one.out.clear();
-    let due = one.query.wake();
+    one.actions.clear();
+    let due = one.query.next_tick();
     for _ in 0..64 {
         let span = Duration::from_millis(9);
         one.table.answered(replicas[0], span, at(1001));
@@ -121,10 +121,10 @@
     let mut table = Table::new(TableConfig::default());
     let replicas = leafs(&mut table, 1);
     let mut one = OneShard::start(table, replicas, at(1));
-    let Action::Call { call, .. } = one.out.remove(0) else {
+    let Action::Call { call, .. } = one.actions.remove(0) else {
         panic!("no call");
     };
-    let asked = one.event(at(2), |query, cx| query.fail(call, Failure::Cut, cx));
+    let asked = one.event(at(2), |q, cx| q.fail(call, Failure::ConnectionSilent, cx));
     assert_eq!(one.query.end(), None);
     assert!(matches!(asked[..], [Action::Call { .. }]), "{asked:?}");
 }
@@ -135,7 +135,7 @@
     let mut table = Table::new(TableConfig::default());
     let replicas = leafs(&mut table, 3);
     let mut one = OneShard::start(table, replicas, at(1));
-    let mut asked = std::mem::take(&mut one.out);
+    let mut asked = std::mem::take(&mut one.actions);
     while one.query.end().is_none() {
         let Some(Action::Call { call, .. }) = asked.pop() else {
             panic!("neither a call nor the end");
@@ -143,7 +143,10 @@
         let refusal = Failure::Refused(Refusal::NoSnapshot);
         asked = one.event(at(2), |query, cx| query.fail(call, refusal, cx));
     }
-    assert_eq!(one.query.end(), Some(End::Partial(Give::SnapshotLost)));
+    assert_eq!(
+        one.query.end(),
+        Some(End::Partial(PartialReason::SnapshotLost))
+    );
     assert!(one.query.not_run().is_some());
 }
 
@@ -158,7 +161,7 @@
     versions.insert(one_shard(vec![replicas[1]], IndexVersion(2)));
     let pinned = |table: &Table| versions.pin(table, at(5)).unwrap().snapshot.version;
     assert_eq!(pinned(&table), IndexVersion(2));
-    table.lacks(replicas[1], IndexVersion(2), at(1));
+    table.mark_missing(replicas[1], IndexVersion(2), at(1));
     assert_eq!(pinned(&table), V1);
 }
 
@@ -209,7 +212,7 @@
     });
     let replicas = leafs(&mut table, 4);
     table.set_leaving(replicas[0], true, at(1));
-    table.lacks(replicas[1], V1, at(1));
+    table.mark_missing(replicas[1], V1, at(1));
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..100 {
         let tried = [replicas[2]];
@@ -242,11 +245,11 @@
     for number in 0..4000u64 {
         let now = at(5 * number);
         let straggles = number > 400 && number.is_multiple_of(10);
-        let ran = Ran {
+        let stats = RequestStats {
             span: Duration::from_millis(if straggles { 120 } else { 8 }),
-            ..Ran::default()
+            ..RequestStats::default()
         };
-        limit.record(ran, limit.get(), now);
+        limit.record(stats, limit.get(), now);
         if number > 3000 {
             seen = seen.max(limit.get());
         }
@@ -277,7 +280,7 @@
     pool.opened(second);
     assert_eq!(pool.quiet(at(100)), vec![first]);
     assert_eq!(pool.pick(at(100)), Pick::Use(second));
-    pool.alive(first, at(101));
+    pool.probe_answered(first, at(101));
     assert!(pool.quiet(at(102)).is_empty());
     assert_eq!(pool.len(), 2);
 }
@@ -293,11 +296,11 @@
     let org = OrgName::new("galway").unwrap();
     let mut passed = 0;
     for _ in 0..7 {
-        let mut gates = OrgGates::default();
+        let mut limiters = OrgLimiters::default();
         for ms in 0..10_000 {
-            if gates.enter(&org, &limits, 7, at(ms)).is_ok() {
+            if limiters.admit(&org, &limits, 7, at(ms)).is_ok() {
                 passed += 1;
-                gates.leave(&org);
+                limiters.release(&org);
             }
         }
     }
@@ -308,9 +311,9 @@
 /// table configured for back ends that pause avoids one after a late call.
 #[test]
 fn one_late_call_does_not_exclude_its_back_end() {
-    let chosen = |stall| {
+    let chosen = |stall_backoff| {
         let config = TableConfig {
-            stall,
+            stall_backoff,
             choice: Choice::LeastOutstanding,
             ..TableConfig::default()
         };
@@ -330,12 +333,12 @@
 #[test]
 fn a_back_end_in_backoff_is_preferred_to_a_suspected_one() {
     let config = TableConfig {
-        stall: Duration::from_millis(250),
+        stall_backoff: Duration::from_millis(250),
         ..TableConfig::default()
     };
     let mut table = Table::new(config);
     let replicas = leafs(&mut table, 3);
-    table.set_doubt(replicas[0], true);
+    table.set_suspected(replicas[0], true);
     table.sent(replicas[1], Time::ZERO);
     table.failed(replicas[1], Failure::Refused(Refusal::Shed), at(10));
     table.stalled(replicas[2], at(10));
@@ -366,7 +369,7 @@
     let mut table = Table::new(config);
     table.add_class();
     let replicas = leafs(&mut table, 2);
-    table.set_far(replicas[1], true);
+    table.set_remote(replicas[1], true);
     for _ in 0..calls {
         table.sent(replicas[0], Time::ZERO);
     }
@@ -389,7 +392,7 @@
         ..routes.shards[0].clone()
     });
     let mut one = OneShard::start_over(table, routes, at(1));
-    let calls = std::mem::take(&mut one.out);
+    let calls = std::mem::take(&mut one.actions);
     let [Action::Call { call, shards, .. }] = &calls[..] else {
         panic!("{calls:?}");
     };
@@ -418,7 +421,7 @@
         table.add(Backend::Leaf(leaf), 2, Time::ZERO)
     };
     let (local, remote) = (add("local"), add("remote"));
-    table.set_far(remote, true);
+    table.set_remote(remote, true);
     let call = Duration::from_millis(11);
     let mut now = Time::ZERO;
     for n in 0..100 {
--- a/crates/route/tests/window.rs
+++ b/crates/route/tests/window.rs
@@ -12,9 +12,9 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-fn bounded(least: u32, most: u32) -> Window {
+fn bounded(min: u32, max: u32) -> Window {
     let mut window = Window::default();
-    window.set_bounds(Bounds { least, most });
+    window.set_bounds(Bounds { min, max });
     window
 }
 
@@ -30,17 +30,17 @@
     #[case] slots: u32,
     #[case] entries: usize,
     #[case] connections: usize,
-    #[case] least: u32,
-    #[case] most: u32,
+    #[case] min: u32,
+    #[case] max: u32,
 ) {
     let bounds = Bounds::share(slots, entries, connections);
-    assert_eq!(bounds, Bounds { least, most });
+    assert_eq!(bounds, Bounds { min, max });
 }
 
 #[test]
 fn a_window_without_bounds_limits_nothing() {
     let mut window = Window::default();
-    window.cut(ROUND, at(1));
+    window.shrink(ROUND, at(1));
     assert_eq!(window.size(), u32::MAX);
 }
 
@@ -71,15 +71,15 @@
 }
 
 /// A single pause of a leaf makes all its calls late; counted one by one they
-/// would cut any window to its minimum.
+/// would shrink any window to its minimum.
 #[test]
-fn late_calls_sent_together_cut_the_window_once() {
+fn late_calls_sent_together_shrink_the_window_once() {
     let mut window = bounded(5, 40);
     for ms in 0..10 {
-        window.cut(ROUND, at(100 + ms));
+        window.shrink(ROUND, at(100 + ms));
     }
     assert_eq!(window.size(), 8);
-    window.cut(ROUND, at(131));
+    window.shrink(ROUND, at(131));
     assert_eq!(window.size(), 6);
 }
 
@@ -87,7 +87,7 @@
 fn a_window_never_falls_below_its_share_of_the_slots() {
     let mut window = bounded(5, 40);
     for round in 1..100 {
-        window.cut(ROUND, at(round * 31));
+        window.shrink(ROUND, at(round * 31));
     }
     assert_eq!(window.size(), 5);
 }
@@ -98,14 +98,14 @@
     let mut table = Table::new(TableConfig::default());
     let class = table.add_class();
     if let Some(objective) = objective {
-        table.set_goal(class, objective);
+        table.set_objective(class, objective);
     }
     let leaf = Backend::Leaf(LeafId::new("l0").unwrap());
     let ix = table.add(leaf, 5, Time::ZERO);
     for ms in 0..64 {
         answer(&mut table, class, ix, Duration::from_millis(10), at(ms));
     }
-    table.set_bounds(ix, Bounds { least: 1, most: 40 });
+    table.set_bounds(ix, Bounds { min: 1, max: 40 });
     for _ in 0..2 {
         table.sent(ix, Time::ZERO);
     }
@@ -120,9 +120,9 @@
 #[test]
 fn a_back_end_has_capacity_until_its_window_is_full() {
     let (mut table, class, ix) = table(None);
-    assert_eq!((table.window(ix), table.has_room(ix)), (2, false));
+    assert_eq!((table.window(ix), table.has_capacity(ix)), (2, false));
     table.answered_in(class, ix, Duration::from_millis(10), at(100));
-    assert!(table.has_room(ix));
+    assert!(table.has_capacity(ix));
 }
 
 /// If all back ends are overloaded alike, late calls look usual. Half of the
@@ -131,7 +131,7 @@
 #[case::normal_call(Duration::from_millis(15), None, 3)]
 #[case::three_medians(Duration::from_millis(35), None, 1)]
 #[case::half_of_the_objective(Duration::from_millis(15), Some(Duration::from_millis(20)), 1)]
-fn late_calls_cut_the_window(
+fn late_calls_shrink_the_window(
     #[case] span: Duration,
     #[case] objective: Option<Duration>,
     #[case] size: u32,
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_shed_call_cuts_the_window() {
+fn a_shed_call_shrinks_the_window() {
     let (mut table, _, ix) = table(None);
     table.failed(ix, Failure::Refused(Refusal::Shed), at(100));
     assert_eq!(table.window(ix), 1);
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -75,7 +75,7 @@
         });
         if let Some(until) = silent.flatten() {
             sleep_until(until).await;
-            return Err(Failure::Cut);
+            return Err(Failure::ConnectionSilent);
         }
         sleep(LATENCY).await;
         let dead = self.with(id, |leaf| leaf.dead).unwrap_or(true);
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -5,8 +5,8 @@
 //! before it. The decisions are in the crates below; this one runs them.
 //!
 //! Shared tables are locked one at a time. Where two are needed the order is:
-//! configuration, members, services, one service, gates, keeper, journal. No
-//! lock is held across an await.
+//! configuration, members, services, one service, organisation limiters,
+//! keeper, journal. No lock is held across an await.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -4,7 +4,7 @@
 
 use chestnut_conf::{Kind, Service as ServiceObject};
 use chestnut_fleet::{HolderPlan, Member};
-use chestnut_route::{Backend, Ix, PurseId, Route, Routes};
+use chestnut_route::{Backend, BudgetId, Ix, Route, Routes};
 use chestnut_unit::{DomainName, Layout, LeafId, ServiceName};
 use slog::info;
 use tokio::time::sleep;
@@ -142,8 +142,8 @@
             let holders = self.plan.of(leaf.group);
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
-                let barred = self.evacuated.contains(&leaf.domain);
-                state.table.set_barred(ix, barred, self.shared.now());
+                let excluded = self.evacuated.contains(&leaf.domain);
+                state.table.set_excluded(ix, excluded, self.shared.now());
                 places.insert(ix, Place::Leaf(id.clone(), leaf.address));
                 held.insert((id.clone(), leaf.address));
                 backends.insert(id, vec![ix]);
@@ -229,12 +229,12 @@
             local.push(Route {
                 name: shard.name.clone(),
                 replicas: replicas.iter().copied().filter(here).collect(),
-                purse: PurseId::default(),
+                budget: BudgetId::default(),
             });
             all.push(Route {
                 name: shard.name.clone(),
                 replicas,
-                purse: PurseId::default(),
+                budget: BudgetId::default(),
             });
         }
         let snapshot = layout.snapshot.clone();
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -9,7 +9,9 @@
 use chestnut_conf::{CallKind, CallPolicy, OrgPolicy};
 use chestnut_flow::{GateId, InFlight, Running, Trace, admit, run};
 use chestnut_port::{SubAnswer, SubQuery};
-use chestnut_route::{End, Failure, Give, Order, Query, QueryConfig, Refusal, Routes, Yields};
+use chestnut_route::{
+    AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal, Routes, Sheddable,
+};
 use chestnut_unit::{Reason, Run, Share, Time};
 use slog::debug;
 
@@ -34,7 +36,7 @@
 
 impl Drop for OrgPass<'_> {
     fn drop(&mut self) {
-        lock(&self.shared.gates).leave(&self.org);
+        lock(&self.shared.org_limiters).release(&self.org);
     }
 }
 
@@ -108,7 +110,7 @@
     }
     let entries = lock(&shared.swim).view.working().count();
     let now = shared.now();
-    let entered = lock(&shared.gates).enter(org, &ground.policy.limits, entries, now);
+    let entered = lock(&shared.org_limiters).admit(org, &ground.policy.limits, entries, now);
     match entered {
         Ok(()) => Ok(Some(OrgPass {
             shared,
@@ -122,16 +124,20 @@
     }
 }
 
-/// The order for admission of one request.
-pub(crate) fn order(subject: &Subject, policy: &CallPolicy, deadline: Time) -> Order {
-    Order {
+/// The [`AdmitRequest`] of one request.
+pub(crate) fn admit_request(
+    subject: &Subject,
+    policy: &CallPolicy,
+    deadline: Time,
+) -> AdmitRequest {
+    AdmitRequest {
         id: subject.request,
         urgency: policy.urgency,
         deadline,
-        yields: if policy.may_refuse(Reason::Overload) {
-            Yields::Yes
+        sheddable: if policy.may_refuse(Reason::Overload) {
+            Sheddable::Yes
         } else {
-            Yields::No
+            Sheddable::No
         },
     }
 }
@@ -177,8 +183,8 @@
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "the platform lists no such service"))?;
     let _pass = pass(shared, &ask.organisation, &ground, policy)?;
     let deadline = deadline(shared, ask.deadline, policy);
-    let order = order(subject, policy, deadline);
-    let mut running = admit(&shared.host, &service, GateId::default(), order)
+    let request = admit_request(subject, policy, deadline);
+    let mut running = admit(&shared.host, &service, GateId::default(), request)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     if shared.host.trace > Trace::None {
@@ -234,9 +240,9 @@
         };
         let query = run(&shared.host, service, &asked, routes, None, config).await;
         running.calls += query.calls() as u32;
-        running.sheds += query.sheds();
+        running.sheds += query.shed_calls();
         unrun &= query.not_run().is_some();
-        let lost = query.end() == Some(End::Partial(Give::SnapshotLost));
+        let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         let better = best
             .as_ref()
             .is_none_or(|b| query.coverage().answered > b.coverage().answered);
@@ -265,7 +271,7 @@
 fn why_short(query: &Query<Bytes>, run: Run) -> Why {
     let coverage = query.coverage();
     let reason = match query.end() {
-        Some(End::Partial(Give::Deadline)) => Reason::Deadline,
+        Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
         _ if run == Run::NotRun => Reason::TargetRefused,
         _ => Reason::Incomplete,
     };
@@ -353,7 +359,7 @@
     )
     .await;
     if query.coverage().answered == 0 {
-        let lost = query.end() == Some(End::Partial(Give::SnapshotLost));
+        let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         return SubAnswer::Failed(match query.not_run() {
             Some(_) if lost => Failure::Refused(Refusal::NoSnapshot),
             Some(_) => Failure::Refused(Refusal::Shed),
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -45,7 +45,7 @@
         ..TableConfig::default()
     };
     let admission = AdmitConfig {
-        queue: route.queue,
+        queue_capacity: route.queue,
         ..AdmitConfig::default()
     };
     let admission = Admission::new(admission);
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -15,7 +15,7 @@
 use chestnut_flow::{Host, Trace};
 use chestnut_once::{Keeper, KeeperConfig};
 use chestnut_port::{Clock, Peers, Platform, Probes, SubmitReply, Targets};
-use chestnut_route::OrgGates;
+use chestnut_route::OrgLimiters;
 use chestnut_unit::{DomainName, LeafId, MemberId, OrgName, RequestId, ServiceName, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -119,7 +119,7 @@
     pub(crate) conf: Mutex<Conf>,
     pub(crate) swim: Mutex<Swim>,
     services: Mutex<BTreeMap<ServiceName, Arc<Service>>>,
-    pub(crate) gates: Mutex<OrgGates>,
+    pub(crate) org_limiters: Mutex<OrgLimiters>,
     pub(crate) keeper: Mutex<Keeper>,
     pub(crate) dispatches: Mutex<Dispatches>,
     pub(crate) journal: Mutex<Journal>,
@@ -190,7 +190,7 @@
             own,
             conf: Mutex::new(Conf::default()),
             services: Mutex::new(BTreeMap::new()),
-            gates: Mutex::new(OrgGates::default()),
+            org_limiters: Mutex::new(OrgLimiters::default()),
             dispatches: Mutex::new(BTreeMap::new()),
             leaving: Mutex::new(BTreeSet::new()),
             phase: watch::Sender::new(Phase::Starting),
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -157,13 +157,13 @@
                 place: place_word,
                 state: match evicted {
                     _ if state.table.is_leaving(*ix) => "leaving",
-                    _ if state.table.is_barred(*ix) => "evacuated",
+                    _ if state.table.is_excluded(*ix) => "evacuated",
                     Some(_) => "evicted",
                     None => "open",
                 },
                 evicted_ms: evicted.map_or(0, |until| until.since(now).as_millis() as u64),
                 outstanding: state.table.outstanding(*ix),
-                expected_ms: state.table.expected(Class::default(), *ix, now) / 1e6,
+                expected_ms: state.table.expected_nanos(Class::default(), *ix, now) / 1e6,
                 connections,
             });
         }
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -242,8 +242,8 @@
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no such service"))?;
     let _pass = query::pass(shared, &ask.organisation, &ground, policy)?;
     let deadline = query::deadline(shared, Some(ask.deadline), policy);
-    let order = query::order(subject, policy, deadline);
-    let _running = admit(&shared.host, &service, GateId::default(), order)
+    let request = query::admit_request(subject, policy, deadline);
+    let _running = admit(&shared.host, &service, GateId::default(), request)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     let now = shared.now();
@@ -326,8 +326,8 @@
                 attempts.answer = Some(answer);
                 return attempts;
             }
-            Err(failure @ (Failure::Lost | Failure::Cut | Failure::Failed)) => {
-                attempts.ends.push(attempt.lose());
+            Err(failure @ (Failure::Lost | Failure::ConnectionSilent | Failure::Failed)) => {
+                attempts.ends.push(attempt.end_unknown());
                 attempts.last = failure;
                 return attempts;
             }
@@ -336,7 +336,7 @@
                 attempts.last = failure;
             }
             Err(failure @ Failure::Refused(_)) => {
-                attempts.ends.push(attempt.refuse_unrun());
+                attempts.ends.push(attempt.refuse());
                 attempts.last = failure;
             }
         }
