--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -83,7 +83,7 @@
                 .remove(&release.id)
                 .is_some_and(|waiter| waiter.send(release.decision).is_ok());
             if !delivered && release.decision == Decision::Run {
-                self.gate(gate).give_back(now, rng, &mut releases);
+                self.gate(gate).release_slot(now, rng, &mut releases);
             }
         }
     }
--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -125,7 +125,7 @@
             table: &mut state.table,
             now,
             rng: &mut self.rng,
-            out: &mut self.actions,
+            actions: &mut self.actions,
         };
         self.query = Some(Query::start(routes, subset, config, &mut cx));
     }
@@ -138,7 +138,7 @@
             if query.end().is_some() {
                 return self.query.take().expect("the query has ended");
             }
-            let wake = self.host.clock.instant(query.wake());
+            let next_tick = self.host.clock.instant(query.next_tick());
             tokio::select! {
                 biased;
                 Some(reply) = self.in_flight.next(), if !self.in_flight.is_empty() => {
@@ -146,7 +146,7 @@
                         self.handle_reply(call, reply);
                     }
                 }
-                () = sleep_until(wake) => self.with_query(|query, cx| query.tick(cx)),
+                () = sleep_until(next_tick) => self.with_query(|query, cx| query.tick(cx)),
             }
         }
     }
@@ -250,7 +250,7 @@
         let part = match kind {
             CallKind::First => "choose",
             CallKind::Hedge => "hedge",
-            CallKind::Retry | CallKind::Reshed | CallKind::Reroute => "retry",
+            CallKind::Retry | CallKind::RetryAfterShed | CallKind::Reroute => "retry",
         };
         let backend = lock(&self.cell.state).table.backend(to).clone();
         debug!(self.host.log, "{part}: {backend} for {shards} shards";
@@ -280,7 +280,7 @@
             table: &mut state.table,
             now: self.host.now(),
             rng: &mut self.rng,
-            out: &mut self.actions,
+            actions: &mut self.actions,
         };
         event(query, &mut cx);
         let evictions = state.table.take_evictions();
@@ -295,6 +295,6 @@
 
 impl<C: Calls> Drop for Fanout<'_, C> {
     fn drop(&mut self) {
-        self.with_query(|query, cx| query.abandon(cx));
+        self.with_query(|query, cx| query.cancel_all(cx));
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -17,8 +17,8 @@
 //! - A *receipt* is the text that a refused caller gets; it encodes the reason.
 //!
 //! Shared tables are locked one at a time. Code that needs two takes them in
-//! this order: configuration, members, services, one service, gates, keeper,
-//! journal. No lock is held across an await.
+//! this order: configuration, members, services, one service, organisation limiters,
+//! keeper, journal. No lock is held across an await.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -8,7 +8,7 @@
 
 use chestnut_conf::{Kind, Service as ServiceObject};
 use chestnut_fleet::{HolderPlan, Member};
-use chestnut_route::{Backend, Ix, PurseId, Route, Routes};
+use chestnut_route::{Backend, BudgetId, Ix, Route, Routes};
 use chestnut_unit::{DomainName, Layout, LeafId, ServiceName};
 use slog::info;
 use tokio::time::sleep;
@@ -156,7 +156,7 @@
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
                 let excluded = self.evacuated.contains(&leaf.domain);
-                state.table.set_barred(ix, excluded, self.shared.now());
+                state.table.set_excluded(ix, excluded, self.shared.now());
                 places.insert(ix, Place::Leaf(id.clone(), leaf.address));
                 held.insert((id.clone(), leaf.address));
                 backends.insert(id, vec![ix]);
@@ -245,12 +245,12 @@
             local.push(Route {
                 name: shard.name.clone(),
                 replicas: replicas.iter().copied().filter(is_local).collect(),
-                purse: PurseId::default(),
+                budget: BudgetId::default(),
             });
             all.push(Route {
                 name: shard.name.clone(),
                 replicas,
-                purse: PurseId::default(),
+                budget: BudgetId::default(),
             });
         }
         let snapshot = layout.snapshot.clone();
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -12,7 +12,9 @@
 use chestnut_conf::{CallKind, CallPolicy, OrgPolicy};
 use chestnut_flow::{GateId, InFlight, Running, Trace, admit, run};
 use chestnut_port::{SubAnswer, SubQuery};
-use chestnut_route::{End, Failure, Give, Order, Query, QueryConfig, Refusal, Routes, Yields};
+use chestnut_route::{
+    AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal, Routes, Sheddable,
+};
 use chestnut_unit::{Reason, Run, Share, Time};
 use slog::debug;
 
@@ -37,7 +39,7 @@
 
 impl Drop for OrgPermit<'_> {
     fn drop(&mut self) {
-        lock(&self.shared.gates).leave(&self.org);
+        lock(&self.shared.org_limiters).release(&self.org);
     }
 }
 
@@ -117,7 +119,7 @@
     }
     let entries = lock(&shared.swim).view.working().count();
     let now = shared.now();
-    let entered = lock(&shared.gates).enter(org, &effective.policy.limits, entries, now);
+    let entered = lock(&shared.org_limiters).admit(org, &effective.policy.limits, entries, now);
     match entered {
         Ok(()) => Ok(Some(OrgPermit {
             shared,
@@ -131,16 +133,20 @@
     }
 }
 
-/// Builds the admission order of a request.
-pub(crate) fn order(subject: &Subject, policy: &CallPolicy, deadline: Time) -> Order {
-    Order {
+/// Builds the [`AdmitRequest`] of a request.
+pub(crate) fn admit_request(
+    subject: &Subject,
+    policy: &CallPolicy,
+    deadline: Time,
+) -> AdmitRequest {
+    AdmitRequest {
         id: subject.request,
         urgency: policy.urgency,
         deadline,
-        yields: if policy.may_refuse(Reason::Overload) {
-            Yields::Yes
+        sheddable: if policy.may_refuse(Reason::Overload) {
+            Sheddable::Yes
         } else {
-            Yields::No
+            Sheddable::No
         },
     }
 }
@@ -187,8 +193,8 @@
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "the platform lists no such service"))?;
     let _permit = org_permit(shared, &request.organisation, &effective, policy)?;
     let deadline = deadline(shared, request.deadline, policy);
-    let order = order(subject, policy, deadline);
-    let mut running = admit(&shared.host, &service, GateId::default(), order)
+    let admission = admit_request(subject, policy, deadline);
+    let mut running = admit(&shared.host, &service, GateId::default(), admission)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     if shared.host.trace > Trace::None {
@@ -244,9 +250,9 @@
         };
         let query = run(&shared.host, service, &asked, routes, None, config).await;
         running.calls += query.calls() as u32;
-        running.sheds += query.sheds();
+        running.sheds += query.shed_calls();
         none_ran &= query.not_run().is_some();
-        let lost = query.end() == Some(End::Partial(Give::SnapshotLost));
+        let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         let better = best
             .as_ref()
             .is_none_or(|b| query.coverage().answered > b.coverage().answered);
@@ -276,7 +282,7 @@
 fn coverage_refusal(query: &Query<Bytes>, run: Run) -> Why {
     let coverage = query.coverage();
     let reason = match query.end() {
-        Some(End::Partial(Give::Deadline)) => Reason::Deadline,
+        Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
         _ if run == Run::NotRun => Reason::TargetRefused,
         _ => Reason::Incomplete,
     };
@@ -364,7 +370,7 @@
     )
     .await;
     if query.coverage().answered == 0 {
-        let lost = query.end() == Some(End::Partial(Give::SnapshotLost));
+        let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         return SubAnswer::Failed(match query.not_run() {
             Some(_) if lost => Failure::Refused(Refusal::NoSnapshot),
             Some(_) => Failure::Refused(Refusal::Shed),
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -262,8 +262,8 @@
         .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no such service"))?;
     let _permit = query::org_permit(shared, &submission.organisation, &effective, policy)?;
     let deadline = query::deadline(shared, Some(submission.deadline), policy);
-    let order = query::order(subject, policy, deadline);
-    let _running = admit(&shared.host, &service, GateId::default(), order)
+    let admission = query::admit_request(subject, policy, deadline);
+    let _running = admit(&shared.host, &service, GateId::default(), admission)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     let now = shared.now();
@@ -347,8 +347,8 @@
                 attempts.answer = Some(answer);
                 return attempts;
             }
-            Err(failure @ (Failure::Lost | Failure::Cut | Failure::Failed)) => {
-                attempts.ends.push(attempt.lose());
+            Err(failure @ (Failure::Lost | Failure::ConnectionSilent | Failure::Failed)) => {
+                attempts.ends.push(attempt.end_unknown());
                 attempts.last = failure;
                 return attempts;
             }
@@ -357,7 +357,7 @@
                 attempts.last = failure;
             }
             Err(failure @ Failure::Refused(_)) => {
-                attempts.ends.push(attempt.refuse_unrun());
+                attempts.ends.push(attempt.refuse());
                 attempts.last = failure;
             }
         }
