--- a/crates/port/src/platform.rs
+++ b/crates/port/src/platform.rs
@@ -1,4 +1,4 @@
-//! The port to the platform.
+//! Access to the platform: its versioned object store and its list of VMs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -24,16 +24,16 @@
 
 impl std::error::Error for PlatformError {}
 
-/// All objects of one kind.
+/// All objects of one kind, at one revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
     /// The objects.
     pub objects: Vec<Object>,
-    /// Point in the platform's history from which a watch may follow.
+    /// The store's revision, from which a watch can continue without a gap.
     pub revision: u64,
 }
 
-/// What has changed since a revision.
+/// The objects of one kind that changed after a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
     /// The objects that changed, oldest change first.
@@ -42,34 +42,34 @@
     pub revision: u64,
 }
 
-/// What a VM of the platform's list is for.
+/// What a VM runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmRole {
-    /// An entry of ours.
+    /// An entry: a process of the tier, to which callers connect.
     Entry,
-    /// A leaf.
+    /// A leaf: a back end that serves shards.
     Leaf,
 }
 
-/// One VM of the platform's list.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name: that of the member or of the leaf.
+    /// The name of the member or leaf that it runs.
     pub name: String,
-    /// What it is for.
+    /// What it runs.
     pub role: VmRole,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Whether the platform is taking it down.
+    /// Whether the platform is about to shut it down.
     pub leaving: bool,
-    /// Where an entry listens for callers, operators and peers.
+    /// An entry's addresses for callers, operators and peers, in this order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub addresses: Option<[SocketAddr; 3]>,
 }
 
 impl Vm {
-    /// The member that an entry's VM runs.
+    /// Returns the member that this VM runs, `None` if it runs a leaf.
     #[must_use]
     pub fn member(&self) -> Option<MemberId> {
         match self.role {
@@ -79,17 +79,18 @@
     }
 }
 
-/// The port to the platform's object API. Every call counts against its rates.
+/// The platform's object API. Every call counts against the platform's rate
+/// limits.
 pub trait Platform: Send + Sync {
-    /// Reads one object.
+    /// Reads one object; `None` if it does not exist.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Option<Object>, PlatformError>>;
 
     /// Reads all objects of a kind.
     fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>>;
 
-    /// Writes an object if it is at version `expected` (0: if there is none).
-    /// Returns the new version. After [`PlatformError::Unavailable`] the write
-    /// may have taken effect.
+    /// Writes an object if its version is `expected`; 0 means that it must not
+    /// exist. Returns the new version. After [`PlatformError::Unavailable`] the
+    /// write may have taken effect.
     fn put(
         &self,
         key: ObjectKey,
@@ -97,7 +98,8 @@
         value: serde_json::Value,
     ) -> BoxFuture<'_, Result<u64, PlatformError>>;
 
-    /// Waits up to `wait` for objects of a kind to change after `revision`.
+    /// Long poll: waits up to `wait` for objects of a kind to change after
+    /// `revision`.
     fn watch(
         &self,
         kind: Kind,
@@ -105,6 +107,6 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>>;
 
-    /// Reads the lagging list of VMs.
+    /// Reads the list of VMs, which may be out of date.
     fn vms(&self) -> BoxFuture<'_, Result<Vec<Vm>, PlatformError>>;
 }
--- a/crates/port/src/platform_http.rs
+++ b/crates/port/src/platform_http.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform's object API: HTTP with JSON.
+//! Client of the platform's object API over HTTP with JSON.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,10 +10,10 @@
 
 use crate::{Changes, HttpClient, HttpReply, Listing, Platform, PlatformError, Vm};
 
-/// Time beyond a watch's own wait in which its answer must come.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
+/// Added to a watch's wait time to get the timeout of its HTTP call.
+const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// The adapter to the platform.
+/// HTTP client of the platform.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: HttpClient,
@@ -22,7 +22,8 @@
 }
 
 impl HttpPlatform {
-    /// An adapter to the platform at the address in the settings.
+    /// Creates a client with the address and timeout of the settings. Connects
+    /// to nothing yet.
     #[must_use]
     pub fn new(settings: &PlatformSettings) -> Self {
         Self {
@@ -32,7 +33,9 @@
         }
     }
 
-    async fn ask(
+    /// Sends one request, and maps a version conflict and server errors to
+    /// [`PlatformError`].
+    async fn request(
         &self,
         method: Method,
         path: &str,
@@ -56,16 +59,16 @@
         path: &str,
         wait: Duration,
     ) -> Result<T, PlatformError> {
-        parse(&self.ask(Method::GET, path, Bytes::new(), wait).await?)
+        parse(&self.request(Method::GET, path, Bytes::new(), wait).await?)
     }
 }
 
 impl Platform for HttpPlatform {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Option<Object>, PlatformError>> {
         async move {
-            let path = path_of(&key);
+            let path = object_path(&key);
             let reply = self
-                .ask(Method::GET, &path, Bytes::new(), self.timeout)
+                .request(Method::GET, &path, Bytes::new(), self.timeout)
                 .await?;
             if reply.status == StatusCode::NOT_FOUND {
                 return Ok(None);
@@ -86,10 +89,10 @@
         value: serde_json::Value,
     ) -> BoxFuture<'_, Result<u64, PlatformError>> {
         async move {
-            let path = format!("{}?if_version={expected}", path_of(&key));
+            let path = format!("{}?if_version={expected}", object_path(&key));
             let body = Bytes::from(value.to_string());
-            let reply = self.ask(Method::PUT, &path, body, self.timeout).await?;
-            let written: Written = parse(&reply)?;
+            let reply = self.request(Method::PUT, &path, body, self.timeout).await?;
+            let written: PutReply = parse(&reply)?;
             Ok(written.version)
         }
         .boxed()
@@ -104,7 +107,7 @@
         async move {
             let wait_ms = wait.as_millis();
             let path = format!("/watch/{kind}?after={revision}&wait_ms={wait_ms}");
-            self.read(&path, wait + WATCH_SLACK).await
+            self.read(&path, wait + WATCH_MARGIN).await
         }
         .boxed()
     }
@@ -114,15 +117,18 @@
     }
 }
 
+/// Body of the answer to a write.
 #[derive(Deserialize)]
-struct Written {
+struct PutReply {
     version: u64,
 }
 
-fn path_of(key: &ObjectKey) -> String {
+fn object_path(key: &ObjectKey) -> String {
     format!("/objects/{}/{}", key.kind, key.name)
 }
 
+/// Decodes a successful reply; any other status is a refusal with the body as
+/// its reason.
 fn parse<T: DeserializeOwned>(reply: &HttpReply) -> Result<T, PlatformError> {
     if !reply.status.is_success() {
         let text = String::from_utf8_lossy(&reply.body).into_owned();
--- a/crates/port/src/target.rs
+++ b/crates/port/src/target.rs
@@ -1,4 +1,7 @@
-//! The port to targets.
+//! Calls to targets, the back ends.
+//!
+//! The targets here are leafs. A leaf serves some shards, the parts of an
+//! index, from its snapshots, each of which has one index version.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,73 +16,75 @@
 /// A query call to one leaf.
 #[derive(Clone, Debug)]
 pub struct LeafQuery {
-    /// The leaf.
+    /// The leaf to call.
     pub leaf: LeafId,
-    /// Where it listens.
+    /// The leaf's address.
     pub address: SocketAddr,
-    /// The request that it is for.
+    /// The request that the call belongs to.
     pub request: RequestId,
-    /// The service.
+    /// The service that is called.
     pub service: ServiceName,
-    /// The index version that it must read.
+    /// The index version that the leaf must answer from.
     pub version: IndexVersion,
-    /// The shards that are asked.
+    /// The shards to search.
     pub shards: Vec<ShardName>,
-    /// The caller's query, JSON.
+    /// The caller's query, as JSON.
     pub body: Bytes,
-    /// Time left for the answer.
+    /// Time left for the answer, sent to the leaf.
     pub deadline: Duration,
 }
 
 /// A submission call to one leaf.
 #[derive(Clone, Debug)]
 pub struct LeafSubmit {
-    /// The leaf.
+    /// The leaf to call.
     pub leaf: LeafId,
-    /// Where it listens.
+    /// The leaf's address.
     pub address: SocketAddr,
-    /// The request that it is for.
+    /// The request that the call belongs to.
     pub request: RequestId,
-    /// The service.
+    /// The service that is called.
     pub service: ServiceName,
-    /// The call type.
+    /// The type of the submission.
     pub call: CallType,
-    /// The caller's submission, JSON.
+    /// The caller's submission, as JSON.
     pub body: Bytes,
-    /// Time left for the answer.
+    /// Time left for the answer, sent to the leaf.
     pub deadline: Duration,
 }
 
-/// What a leaf's health and load endpoint says. It lags and may mislead.
+/// Answer of a leaf's health and load endpoint. It may be out of date or wrong.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LeafState {
-    /// Whether it calls itself healthy.
+    /// Whether the leaf reports itself healthy.
     pub healthy: bool,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub draining: bool,
-    /// Share of its slots in use, from 0 to 1.
+    /// Fraction of its request slots in use, from 0 to 1.
     pub load: f64,
-    /// Index versions that it holds.
+    /// Index versions that it can serve.
     pub versions: Vec<IndexVersion>,
 }
 
-/// The port to targets. Dropping a future cancels its call.
+/// Client of the leafs. Dropping a future cancels its call.
 pub trait Targets: Send + Sync {
-    /// Asks a leaf for shards.
+    /// Runs a query on some shards of a leaf.
     fn query(&self, call: LeafQuery) -> BoxFuture<'_, Result<LeafAnswer, Failure>>;
 
-    /// Submits to a leaf. [`Failure::NotSent`] and [`Failure::Refused`] are
-    /// proof that it did not run; [`Failure::Lost`] leaves it open.
+    /// Sends a submission to a leaf. [`Failure::NotSent`] and
+    /// [`Failure::Refused`] prove that it did not run; after [`Failure::Lost`]
+    /// it may have.
     fn submit(&self, call: LeafSubmit) -> BoxFuture<'_, Result<Bytes, Failure>>;
 
-    /// Reads a leaf's health and load endpoint.
+    /// Reads a leaf's health and load endpoint; `None` if it gives no valid
+    /// answer.
     fn state(&self, leaf: LeafId, address: SocketAddr) -> BoxFuture<'_, Option<LeafState>>;
 
-    /// Opens the connections to leafs that this entry holds, at most `most` to
-    /// each, and closes those to all other leafs.
-    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, most: usize);
+    /// Keeps connections open to these leafs, at most `max_conns` to each, and
+    /// drops the pools of all others.
+    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize);
 
-    /// Connections open to each leaf.
+    /// Returns the number of connections to each leaf, open or being opened.
     fn connections(&self) -> Vec<(LeafId, usize)>;
 }
--- a/crates/port/src/target_http.rs
+++ b/crates/port/src/target_http.rs
@@ -1,4 +1,5 @@
-//! The adapter to targets: HTTP/2 with prior knowledge.
+//! Client of leafs over HTTP/2 with prior knowledge, with a connection pool per
+//! leaf.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,17 +23,17 @@
 
 use crate::{Clock, LeafAnswer, LeafQuery, LeafState, LeafSubmit, Targets};
 
-/// Parameters of the adapter.
+/// Timeouts and limits of [`HttpTargets`].
 #[derive(Clone, Copy, Debug)]
 pub struct TargetsConfig {
-    /// Longest wait for a connection to open.
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// Time between two pings of a connection.
+    /// Interval of HTTP/2 keep-alive pings on a connection.
     pub ping: Duration,
-    /// Longest wait for the answer to a ping. A connection that is silent is
-    /// closed after `ping` and this together.
+    /// Timeout of a ping. An unresponsive connection is closed after at most
+    /// `ping` and this together.
     pub pong: Duration,
-    /// Largest answer.
+    /// Largest answer body, in bytes.
     pub answer: usize,
 }
 
@@ -47,52 +48,54 @@
     }
 }
 
-/// Longest wait for the answer to a probe of a quiet connection.
-const PROBE_WAIT: Duration = Duration::from_millis(50);
-/// Longest wait for a leaf's health and load endpoint.
-const STATE_WAIT: Duration = Duration::from_secs(1);
+/// Timeout of the probe call on a quiet connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Timeout of a call to a leaf's health and load endpoint.
+const STATE_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Sender = http2::SendRequest<Full<Bytes>>;
 
 /// An open connection. Aborting its task ends every call on it at once.
-struct Open {
+struct OpenConn {
     sender: Sender,
     task: AbortHandle,
 }
 
-/// Connections to one leaf.
+/// The connection pool of one leaf.
 struct LeafConns {
     address: SocketAddr,
-    pool: Mutex<(Pool, BTreeMap<ConnId, Open>)>,
+    pool: Mutex<(Pool, BTreeMap<ConnId, OpenConn>)>,
     opened: Notify,
-    /// Connections that were closed for their silence. Calls on them ask.
-    silenced: Mutex<BTreeSet<ConnId>>,
+    /// Connections that were closed as unresponsive, for the error of their
+    /// calls.
+    unresponsive: Mutex<BTreeSet<ConnId>>,
 }
 
 struct Inner {
     config: TargetsConfig,
     clock: Clock,
     leafs: Mutex<BTreeMap<LeafId, Arc<LeafConns>>>,
-    most: AtomicUsize,
+    max_conns: AtomicUsize,
     share: usize,
 }
 
-/// The adapter to targets. Lock order: the map of leafs, then one leaf's pool.
+/// HTTP/2 client of leafs. Lock order: the map of leafs, then one leaf's pool.
 #[derive(Clone)]
 pub struct HttpTargets {
     inner: Arc<Inner>,
 }
 
 impl HttpTargets {
-    /// An adapter without connections, which opens at most `most` to a leaf,
-    /// and up to `share` while some are quiet.
+    /// Creates a client without connections. It opens at most `max_conns` to a
+    /// leaf, and up to `share` while those are quiet (no answer to pending
+    /// calls).
     #[must_use]
-    pub fn new(config: TargetsConfig, clock: Clock, most: usize, share: usize) -> Self {
+    pub fn new(config: TargetsConfig, clock: Clock, max_conns: usize, share: usize) -> Self {
         let inner = Inner {
             config,
             clock,
             leafs: Mutex::new(BTreeMap::new()),
-            most: most.into(),
+            max_conns: max_conns.into(),
             share,
         };
         Self {
@@ -100,6 +103,7 @@
         }
     }
 
+    /// Returns the pool of a leaf; a leaf with a new address gets a new pool.
     fn leaf(&self, id: &LeafId, address: SocketAddr) -> Arc<LeafConns> {
         let mut leafs = lock(&self.inner.leafs);
         if let Some(leaf) = leafs.get(id)
@@ -107,20 +111,20 @@
         {
             return leaf.clone();
         }
-        let most = self.inner.most.load(Ordering::Relaxed);
-        let pool = Pool::new(most, self.inner.share.saturating_sub(most));
+        let max_conns = self.inner.max_conns.load(Ordering::Relaxed);
+        let pool = Pool::new(max_conns, self.inner.share.saturating_sub(max_conns));
         let leaf = Arc::new(LeafConns {
             address,
             pool: Mutex::new((pool, BTreeMap::new())),
             opened: Notify::new(),
-            silenced: Mutex::new(BTreeSet::new()),
+            unresponsive: Mutex::new(BTreeSet::new()),
         });
         leafs.insert(id.clone(), leaf.clone());
         leaf
     }
 
-    /// A connection that can carry a call now. Until it is used nothing has
-    /// been handed over, so every failure here is [`Failure::NotSent`].
+    /// Returns a connection for a call, opening one if needed. No request has
+    /// been sent yet, so every failure here is [`Failure::NotSent`].
     async fn connection(&self, leaf: &Arc<LeafConns>) -> Result<(ConnId, Sender), Failure> {
         loop {
             let opened = leaf.opened.notified();
@@ -129,8 +133,8 @@
                 Pick::Use(id) => id,
                 Pick::Open(id) => {
                     let (this, leaf) = (self.clone(), leaf.clone());
-                    // In a task of its own: a call that is cancelled must not
-                    // leave the pool waiting for a connection that nobody opens.
+                    // In a separate task: if this call is cancelled, other
+                    // calls still wait for the connection.
                     tokio::spawn(async move { this.open(&leaf, id).await });
                     opened.await;
                     continue;
@@ -141,24 +145,26 @@
                 }
                 Pick::Down => return Err(Failure::NotSent),
             };
-            match usable(leaf, id) {
+            match usable_sender(leaf, id) {
                 Some(sender) => return Ok((id, sender)),
                 None => lock(&leaf.pool).0.closed(id),
             }
         }
     }
 
+    /// Opens the connection `id`, wakes waiting calls and probes quiet
+    /// connections.
     async fn open(&self, leaf: &Arc<LeafConns>, id: ConnId) {
-        let connected = timeout(self.inner.config.connect, self.handshake(leaf, id)).await;
-        let quiet = self.settle(leaf, id, connected.ok().and_then(Result::ok));
+        let connected = timeout(self.inner.config.connect, self.connect(leaf, id)).await;
+        let quiet = self.record_opened(leaf, id, connected.ok().and_then(Result::ok));
         leaf.opened.notify_waiters();
         for id in quiet {
-            self.question(leaf, id).await;
+            self.probe(leaf, id).await;
         }
     }
 
-    /// Notes how the opening of a connection went; returns the quiet ones.
-    fn settle(&self, leaf: &LeafConns, id: ConnId, opened: Option<Open>) -> Vec<ConnId> {
+    /// Records whether a connection could be opened; returns the quiet ones.
+    fn record_opened(&self, leaf: &LeafConns, id: ConnId, opened: Option<OpenConn>) -> Vec<ConnId> {
         let now = self.inner.clock.now();
         let mut pool = lock(&leaf.pool);
         match opened {
@@ -171,36 +177,36 @@
         pool.0.quiet(now)
     }
 
-    /// Tells slow from silent: a connection that does not even answer a small
-    /// call, while a new one could be opened, is closed.
-    async fn question(&self, leaf: &Arc<LeafConns>, id: ConnId) {
-        let Some(mut sender) = usable(leaf, id) else {
+    /// Probes a quiet connection with a small call, and closes it if no answer
+    /// comes. This distinguishes a slow leaf from an unresponsive connection.
+    async fn probe(&self, leaf: &Arc<LeafConns>, id: ConnId) {
+        let Some(mut sender) = usable_sender(leaf, id) else {
             return;
         };
         let Ok(request) = post(leaf, "/state", Vec::new()) else {
             return;
         };
-        let answered = timeout(PROBE_WAIT, sender.send_request(request)).await;
+        let answered = timeout(PROBE_TIMEOUT, sender.send_request(request)).await;
         let mut pool = lock(&leaf.pool);
         if answered.is_ok() {
             pool.0.alive(id, self.inner.clock.now());
             return;
         }
         pool.0.closed(id);
-        lock(&leaf.silenced).insert(id);
+        lock(&leaf.unresponsive).insert(id);
         if let Some(open) = pool.1.remove(&id) {
             open.task.abort();
         }
     }
 
-    /// Waits for an answer, and has the connections looked at when it is long
-    /// in coming.
-    async fn patiently<T>(&self, leaf: &Arc<LeafConns>, answer: impl Future<Output = T>) -> T {
+    /// Waits for an answer. After [`PATIENCE`] it checks for quiet connections,
+    /// and opens another if the pool asks for one.
+    async fn await_answer<T>(&self, leaf: &Arc<LeafConns>, answer: impl Future<Output = T>) -> T {
         let mut answer = std::pin::pin!(answer);
         if let Ok(answer) = timeout(PATIENCE, &mut answer).await {
             return answer;
         }
-        // A little later, so that the connection counts as quiet by now.
+        // Makes sure that the connection counts as quiet when it is checked.
         tokio::time::sleep(Duration::from_millis(1)).await;
         let open = lock(&leaf.pool).0.check(self.inner.clock.now());
         if let Some(id) = open {
@@ -210,11 +216,12 @@
         answer.await
     }
 
-    async fn handshake(&self, leaf: &Arc<LeafConns>, id: ConnId) -> Result<Open, HandshakeError> {
+    /// Opens a connection and spawns the task that drives it.
+    async fn connect(&self, leaf: &Arc<LeafConns>, id: ConnId) -> Result<OpenConn, ConnectError> {
         let stream = TcpStream::connect(leaf.address)
             .await
-            .map_err(|_| HandshakeError)?;
-        stream.set_nodelay(true).map_err(|_| HandshakeError)?;
+            .map_err(|_| ConnectError)?;
+        stream.set_nodelay(true).map_err(|_| ConnectError)?;
         let (sender, conn) = http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
             .keep_alive_interval(self.inner.config.ping)
@@ -222,10 +229,11 @@
             .keep_alive_while_idle(true)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| HandshakeError)?;
+            .map_err(|_| ConnectError)?;
         let weak = Arc::downgrade(leaf);
         let task = tokio::spawn(async move {
-            // The reason does not matter: each call on it learns its own fate.
+            // The error is dropped, as each call on the connection gets its
+            // own.
             let _ = conn.await;
             if let Some(leaf) = weak.upgrade() {
                 let mut pool = lock(&leaf.pool);
@@ -233,12 +241,13 @@
                 pool.1.remove(&id);
             }
         });
-        Ok(Open {
+        Ok(OpenConn {
             sender,
             task: task.abort_handle(),
         })
     }
 
+    /// Sends a request to a leaf and reads the whole answer.
     async fn call(
         &self,
         leaf: &Arc<LeafConns>,
@@ -251,72 +260,72 @@
             lock(&leaf.pool).0.closed(id);
             return Err(Failure::NotSent);
         }
-        let mut flight = Flight::start(leaf, id, self.inner.clock);
+        let mut in_flight = InFlight::start(leaf, id, self.inner.clock);
         let answer = self
-            .patiently(leaf, sender.send_request(request))
+            .await_answer(leaf, sender.send_request(request))
             .await
-            .map_err(|_| lost_on(leaf, id))?;
+            .map_err(|_| loss_kind(leaf, id))?;
         let status = answer.status();
         let body = self
             .body(answer.into_body())
             .await
-            .map_err(|_| lost_on(leaf, id))?;
-        flight.answered();
+            .map_err(|_| loss_kind(leaf, id))?;
+        in_flight.answered();
         Ok((status, body))
     }
 
-    async fn body(&self, body: Incoming) -> Result<Bytes, BrokenBody> {
+    async fn body(&self, body: Incoming) -> Result<Bytes, AnswerError> {
         let limited = Limited::new(body, self.inner.config.answer);
-        let collected = limited.collect().await.map_err(|_| BrokenBody)?;
+        let collected = limited.collect().await.map_err(|_| AnswerError)?;
         Ok(collected.to_bytes())
     }
 }
 
-/// A connection could not be opened; nothing more is known or needed.
-struct HandshakeError;
+/// A connection could not be opened, for any reason.
+struct ConnectError;
 
-/// An answer broke off or is larger than the limit.
-struct BrokenBody;
+/// An answer body is incomplete or larger than the limit.
+struct AnswerError;
 
-/// How a call was lost: with a connection that was closed for its silence, or
-/// otherwise.
-fn lost_on(leaf: &LeafConns, id: ConnId) -> Failure {
-    if lock(&leaf.silenced).contains(&id) {
+/// Returns the failure of a call that was sent on `id` and got no answer:
+/// [`Failure::Cut`] if the connection was closed as unresponsive.
+fn loss_kind(leaf: &LeafConns, id: ConnId) -> Failure {
+    if lock(&leaf.unresponsive).contains(&id) {
         Failure::Cut
     } else {
         Failure::Lost
     }
 }
 
-/// A call on a connection; tells the pool how it ended, also when the call is
-/// cancelled by dropping it.
-struct Flight {
+/// A call in flight. Reports its end to the pool, also when it is dropped
+/// because the call was cancelled or failed.
+struct InFlight {
     leaf: Arc<LeafConns>,
     id: ConnId,
     clock: Clock,
-    over: bool,
+    done: bool,
 }
 
-impl Flight {
+impl InFlight {
     fn start(leaf: &Arc<LeafConns>, id: ConnId, clock: Clock) -> Self {
         lock(&leaf.pool).0.sent(id, clock.now());
         Self {
             leaf: leaf.clone(),
             id,
             clock,
-            over: false,
+            done: false,
         }
     }
 
     fn answered(&mut self) {
-        self.over = true;
+        self.done = true;
         lock(&self.leaf.pool).0.answered(self.id, self.clock.now());
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        if self.over {
+        if self.done {
             return;
         }
         lock(&self.leaf.pool).0.missed(self.id);
@@ -330,7 +339,7 @@
             let body = query_body(&call);
             let (status, answer) = self.call(&leaf, "/query", body).await?;
             if status != StatusCode::OK {
-                return Err(refusal(&answer));
+                return Err(parse_refusal(&answer));
             }
             serde_json::from_slice(&answer).map_err(|_| Failure::Lost)
         }
@@ -345,7 +354,7 @@
             if status == StatusCode::OK {
                 Ok(answer)
             } else {
-                Err(refusal(&answer))
+                Err(parse_refusal(&answer))
             }
         }
         .boxed()
@@ -355,23 +364,23 @@
         async move {
             let leaf = self.leaf(&leaf, address);
             let call = self.call(&leaf, "/state", Vec::new());
-            let (_, answer) = timeout(STATE_WAIT, call).await.ok()?.ok()?;
+            let (_, answer) = timeout(STATE_TIMEOUT, call).await.ok()?.ok()?;
             serde_json::from_slice(&answer).ok()
         }
         .boxed()
     }
 
-    fn hold(&self, held: Vec<(LeafId, SocketAddr)>, most: usize) {
-        self.inner.most.store(most, Ordering::Relaxed);
-        let spare = self.inner.share.saturating_sub(most);
-        let keep: BTreeMap<LeafId, SocketAddr> = held.into_iter().collect();
+    fn hold(&self, wanted: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
+        self.inner.max_conns.store(max_conns, Ordering::Relaxed);
+        let spare = self.inner.share.saturating_sub(max_conns);
+        let keep: BTreeMap<LeafId, SocketAddr> = wanted.into_iter().collect();
         let kept: Vec<Arc<LeafConns>> = {
             let mut leafs = lock(&self.inner.leafs);
             leafs.retain(|id, leaf| keep.get(id) == Some(&leaf.address));
             leafs.values().cloned().collect()
         };
         for leaf in kept {
-            lock(&leaf.pool).0.set_most(most, spare);
+            lock(&leaf.pool).0.set_most(max_conns, spare);
         }
         for (id, address) in keep {
             let this = self.clone();
@@ -391,12 +400,14 @@
     }
 }
 
-fn usable(leaf: &LeafConns, id: ConnId) -> Option<Sender> {
+/// Returns the sender of a connection unless the connection is closed.
+fn usable_sender(leaf: &LeafConns, id: ConnId) -> Option<Sender> {
     let pool = lock(&leaf.pool);
     let open = pool.1.get(&id).filter(|open| !open.sender.is_closed())?;
     Some(open.sender.clone())
 }
 
+/// Builds a POST request; its body is JSON.
 fn post(leaf: &LeafConns, path: &str, body: Vec<u8>) -> Result<Request<Full<Bytes>>, Failure> {
     Request::post(format!("http://{}{path}", leaf.address))
         .header("content-type", "application/json")
@@ -404,6 +415,8 @@
         .map_err(|_| Failure::NotSent)
 }
 
+/// Encodes the body of a query call. `call.body` is JSON already, so the object
+/// is written by hand around it.
 fn query_body(call: &LeafQuery) -> Vec<u8> {
     let mut body = format!(
         r#"{{"request":{},"service":"{}","version":{},"deadline_ms":{},"shards":["#,
@@ -413,9 +426,9 @@
         call.deadline.as_millis(),
     )
     .into_bytes();
-    // Names hold no character that JSON would escape.
-    for (number, shard) in call.shards.iter().enumerate() {
-        let comma = if number == 0 { "\"" } else { ",\"" };
+    // Names contain no character that JSON has to escape.
+    for (i, shard) in call.shards.iter().enumerate() {
+        let comma = if i == 0 { "\"" } else { ",\"" };
         body.extend_from_slice(comma.as_bytes());
         body.extend_from_slice(shard.as_str().as_bytes());
         body.push(b'"');
@@ -426,6 +439,7 @@
     body
 }
 
+/// Encodes the body of a submission call, like [`query_body`].
 fn submit_body(call: &LeafSubmit) -> Vec<u8> {
     let mut body = format!(
         r#"{{"request":{},"service":"{}","call":"{}","deadline_ms":{},"body":"#,
@@ -440,14 +454,16 @@
     body
 }
 
+/// Body of an answer by which a leaf refuses a call.
 #[derive(Deserialize)]
 struct RefusalBody {
     not_run: bool,
     refused: String,
 }
 
-/// Reads a refusal. Only one that says "not run" by itself counts as such.
-fn refusal(body: &[u8]) -> Failure {
+/// Decodes a refusal. Unless it states that the call did not run, the call may
+/// have run and is [`Failure::Lost`].
+fn parse_refusal(body: &[u8]) -> Failure {
     let Ok(refusal) = serde_json::from_slice::<RefusalBody>(body) else {
         return Failure::Lost;
     };
