--- a/crates/port/src/probe.rs
+++ b/crates/port/src/probe.rs
@@ -1,4 +1,4 @@
-//! The datagram socket of the failure detector.
+//! UDP transport of the failure detector.
 
 use std::{
     net::SocketAddr,
@@ -14,73 +14,74 @@
 
 use crate::{Flow, Purpose, Traffic, wire};
 
-/// Largest datagram that is read. Ours stay below 1,400 bytes, so that no
-/// network in between splits them.
-const DATAGRAM_MAX: usize = 4096;
+/// Size of the receive buffer, in bytes. Sent probes are smaller than a usual
+/// MTU, so that they are not fragmented.
+const MAX_DATAGRAM: usize = 4096;
 
-/// Bytes of a probe as a datagram, for measurements.
+/// Returns the encoded size of a probe in bytes.
 #[must_use]
 pub fn probe_size(probe: &Probe) -> usize {
-    wire::probe_bytes(probe).len()
+    wire::encode_probe(probe).len()
 }
 
-/// The port by which probes travel. They may be lost, doubled or late.
+/// Sends and receives the failure detector's probes. Delivery is unreliable:
+/// probes may be lost, duplicated or delayed.
 pub trait Probes: Send + Sync {
-    /// Sends a probe.
+    /// Sends a probe. A failure to send is not reported.
     fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()>;
 
-    /// Waits for the next probe and its sender.
+    /// Waits for the next probe; returns it with the address of its sender.
     fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)>;
 
-    /// Bytes sent and received so far.
+    /// Total bytes sent and received.
     fn bytes(&self) -> u64;
 }
 
-/// The datagram socket, with counts of what went through it.
+/// A UDP socket for probes that counts its datagrams and bytes.
 #[derive(Debug)]
 pub struct ProbeSocket {
     socket: UdpSocket,
     traffic: Arc<Traffic>,
     bytes: AtomicU64,
     messages: AtomicU64,
-    broken: AtomicU64,
+    malformed: AtomicU64,
 }
 
 impl ProbeSocket {
-    /// Binds the socket. What it sends is counted in `traffic`.
+    /// Binds the socket; sent bytes are added to `traffic`.
     ///
     /// # Errors
     ///
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(address: SocketAddr, traffic: Arc<Traffic>) -> std::io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(address).await?,
             traffic,
             bytes: AtomicU64::new(0),
             messages: AtomicU64::new(0),
-            broken: AtomicU64::new(0),
+            malformed: AtomicU64::new(0),
         })
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     ///
     /// # Errors
     ///
-    /// The system does not tell.
+    /// Fails if the operating system does not report it.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Datagrams sent and received.
+    /// Total datagrams sent and received.
     #[must_use]
     pub fn messages(&self) -> u64 {
         self.messages.load(Ordering::Relaxed)
     }
 
-    /// Datagrams that were no probe.
+    /// Received datagrams that could not be decoded.
     #[must_use]
     pub fn broken(&self) -> u64 {
-        self.broken.load(Ordering::Relaxed)
+        self.malformed.load(Ordering::Relaxed)
     }
 
     fn count(&self, bytes: usize) {
@@ -90,10 +91,10 @@
 }
 
 impl Probes for ProbeSocket {
-    /// A failure to send is a lost datagram, which the detector provides for.
+    /// Ignores send errors: to the failure detector they equal a lost datagram.
     fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
         async move {
-            let bytes = wire::probe_bytes(&probe);
+            let bytes = wire::encode_probe(&probe);
             self.count(bytes.len());
             let distance = self.traffic.distance(to);
             self.traffic
@@ -103,19 +104,20 @@
         .boxed()
     }
 
-    /// Datagrams that are no probe are counted and passed over.
+    /// Counts and skips datagrams that can't be decoded.
     fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
         async move {
-            let mut buffer = vec![0; DATAGRAM_MAX];
+            let mut buffer = vec![0; MAX_DATAGRAM];
             loop {
                 let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                    // An earlier datagram met a closed port; nothing is lost.
+                    // ICMP error for an earlier send to a closed port: no data
+                    // is lost.
                     continue;
                 };
                 self.count(length);
-                match wire::probe_from(&buffer[..length]) {
+                match wire::decode_probe(&buffer[..length]) {
                     Ok(probe) => return (probe, from),
-                    Err(_) => self.broken.fetch_add(1, Ordering::Relaxed),
+                    Err(_) => self.malformed.fetch_add(1, Ordering::Relaxed),
                 };
             }
         }
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -1,4 +1,7 @@
-//! Cap'n Proto forms of the messages between entries.
+//! Conversions between the messages of entries and their Cap'n Proto encoding.
+//!
+//! `put_*` functions write to a message builder, `get_*` functions read and
+//! validate.
 
 use std::{collections::BTreeMap, net::SocketAddr, str::FromStr, time::Duration};
 
@@ -19,42 +22,46 @@
 
 /// Version of the protocol between entries.
 pub(crate) const VERSION: u16 = 1;
-/// Largest message that is read, in words of eight bytes: 16 MiB.
-const MESSAGE_WORDS: usize = 2 << 20;
-/// Deepest nesting that is read; ours is four.
-const NESTING: i32 = 16;
+/// Largest message that is accepted, in words of eight bytes: 16 MiB.
+const MAX_MESSAGE_WORDS: usize = 2 << 20;
+/// Deepest nesting of structs that is accepted; valid messages stay well below.
+const MAX_NESTING: i32 = 16;
 
+/// Result of decoding a message.
 pub(crate) type Read<T> = Result<T, capnp::Error>;
 
-/// Limits on what is read from a peer.
+/// Returns the limits for messages from peers.
 pub(crate) fn reader_options() -> ReaderOptions {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MESSAGE_WORDS));
-    options.nesting_limit(NESTING);
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
+    options.nesting_limit(MAX_NESTING);
     options
 }
 
-fn bad(what: impl std::fmt::Display) -> capnp::Error {
+/// The error for a message with invalid content.
+fn invalid(what: impl std::fmt::Display) -> capnp::Error {
     capnp::Error::failed(what.to_string())
 }
 
+/// Parses a text field.
 fn parse<T: FromStr>(text: text::Reader<'_>) -> Read<T>
 where
     T::Err: std::fmt::Display,
 {
-    text.to_str()?.parse().map_err(bad)
+    text.to_str()?.parse().map_err(invalid)
 }
 
-/// Checks the version that a message carries.
+/// Fails unless a message has the protocol version of this release.
 pub(crate) fn check_version(version: u16) -> Read<()> {
     if version == VERSION {
         return Ok(());
     }
-    Err(bad(format_args!(
+    Err(invalid(format_args!(
         "protocol version {version} is not {VERSION}; run the same release on all entries"
     )))
 }
 
+/// Writes a member of the gossip membership.
 pub(crate) fn put_member(member: &Member, mut to: schema::member::Builder<'_>) {
     to.set_id(member.id.as_str());
     to.set_domain(member.domain.as_str());
@@ -71,15 +78,16 @@
     to.set_leaving(member.leaving);
     to.set_weight(member.weight);
     to.set_load(member.load);
-    let mut heirs = to.init_heirs(member.heirs.len() as u32);
-    for (at, (of, heir)) in (0u32..).zip(&member.heirs) {
-        let mut item = heirs.reborrow().get(at);
-        item.set_of(of.0);
-        item.set_member(heir.member.as_str());
-        item.set_life(heir.life.0);
+    let mut successors = to.init_heirs(member.heirs.len() as u32);
+    for (at, (incarnation, successor)) in (0u32..).zip(&member.heirs) {
+        let mut item = successors.reborrow().get(at);
+        item.set_of(incarnation.0);
+        item.set_member(successor.member.as_str());
+        item.set_life(successor.life.0);
     }
 }
 
+/// Reads a member.
 pub(crate) fn get_member(from: schema::member::Reader<'_>) -> Read<Member> {
     let address = |text: text::Reader<'_>| parse::<SocketAddr>(text);
     Ok(Member {
@@ -103,19 +111,22 @@
         heirs: from
             .get_heirs()?
             .iter()
-            .map(get_heir)
+            .map(get_successor)
             .collect::<Read<_>>()?,
     })
 }
 
-fn get_heir(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Heir)> {
-    let heir = Heir {
+/// Reads the successor that took over the tickets of one incarnation of a
+/// member.
+fn get_successor(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Heir)> {
+    let successor = Heir {
         member: parse(from.get_member()?)?,
         life: Incarnation(from.get_life()),
     };
-    Ok((Incarnation(from.get_of()), heir))
+    Ok((Incarnation(from.get_of()), successor))
 }
 
+/// Writes a list of members.
 pub(crate) fn put_members(
     members: &[Member],
     mut to: struct_list::Builder<'_, schema::member::Owned>,
@@ -125,48 +136,52 @@
     }
 }
 
+/// Reads a list of members.
 pub(crate) fn get_members(
     from: struct_list::Reader<'_, schema::member::Owned>,
 ) -> Read<Vec<Member>> {
     from.iter().map(get_member).collect()
 }
 
-fn put_cases(cases: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
-    for (at, case) in cases.iter().enumerate() {
+/// Writes the reports on suspect requests.
+fn put_reports(reports: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
+    for (at, report) in reports.iter().enumerate() {
         let mut to = to.reborrow().get(at as u32);
-        to.set_what(case.what.0);
-        to.set_cleared_ms(case.cleared.map_or(-1, |age| age.as_millis() as i64));
-        to.set_episodes(case.episodes);
-        let mut strikes = to.init_strikes(case.strikes.len() as u32);
-        for (at, (leaf, age)) in case.strikes.iter().enumerate() {
-            let mut strike = strikes.reborrow().get(at as u32);
-            strike.set_leaf(leaf.0);
-            strike.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
+        to.set_what(report.what.0);
+        to.set_cleared_ms(report.cleared.map_or(-1, |age| age.as_millis() as i64));
+        to.set_episodes(report.episodes);
+        let mut crashes = to.init_strikes(report.strikes.len() as u32);
+        for (at, (leaf, age)) in report.strikes.iter().enumerate() {
+            let mut crash = crashes.reborrow().get(at as u32);
+            crash.set_leaf(leaf.0);
+            crash.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
         }
     }
 }
 
-fn get_cases(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
-    from.iter().map(get_case).collect()
+/// Reads the reports on suspect requests.
+fn get_reports(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
+    from.iter().map(get_report).collect()
 }
 
-fn get_case(from: schema::case::Reader<'_>) -> Read<Report> {
-    let strikes = from.get_strikes()?;
-    let strikes = strikes.iter().map(|strike| {
-        let age = Duration::from_millis(u64::from(strike.get_ago_ms()));
-        (LeafMark(strike.get_leaf()), age)
+/// Reads a report on a suspect request, with the leafs that crashed under it.
+fn get_report(from: schema::case::Reader<'_>) -> Read<Report> {
+    let crashes = from.get_strikes()?;
+    let crashes = crashes.iter().map(|crash| {
+        let age = Duration::from_millis(u64::from(crash.get_ago_ms()));
+        (LeafMark(crash.get_leaf()), age)
     });
     let cleared = u64::try_from(from.get_cleared_ms()).ok();
     Ok(Report {
         what: Fingerprint(from.get_what()),
         cleared: cleared.map(Duration::from_millis),
-        strikes: strikes.collect(),
+        strikes: crashes.collect(),
         episodes: from.get_episodes(),
     })
 }
 
-/// A probe as one datagram.
-pub(crate) fn probe_bytes(probe: &Probe) -> Vec<u8> {
+/// Encodes a probe as one datagram.
+pub(crate) fn encode_probe(probe: &Probe) -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
     let mut root = message.init_root::<schema::probe::Builder<'_>>();
     root.set_version(VERSION);
@@ -184,10 +199,10 @@
     root.set_confirmed_ms(probe.confirmed.map_or(-1, |age| age.as_millis() as i64));
     root.set_load(probe.load);
     root.set_book(probe.book.0);
-    let news = root.reborrow().init_news(probe.news.len() as u32);
-    put_members(&probe.news, news);
+    let updates = root.reborrow().init_news(probe.news.len() as u32);
+    put_members(&probe.news, updates);
     if !probe.cases.is_empty() {
-        put_cases(&probe.cases, root.init_cases(probe.cases.len() as u32));
+        put_reports(&probe.cases, root.init_cases(probe.cases.len() as u32));
     }
     let mut bytes = Vec::new();
     capnp::serialize_packed::write_message(&mut bytes, &message)
@@ -195,8 +210,8 @@
     bytes
 }
 
-/// Reads a probe from a datagram.
-pub(crate) fn probe_from(bytes: &[u8]) -> Read<Probe> {
+/// Decodes a probe from a datagram.
+pub(crate) fn decode_probe(bytes: &[u8]) -> Read<Probe> {
     let message = capnp::serialize_packed::read_message(bytes, reader_options())?;
     let root = message.get_root::<schema::probe::Reader<'_>>()?;
     check_version(root.get_version())?;
@@ -217,23 +232,25 @@
         load: root.get_load(),
         book: BookVersion(root.get_book()),
         news: get_members(root.get_news()?)?,
-        cases: get_cases(root.get_cases()?)?,
+        cases: get_reports(root.get_cases()?)?,
     })
 }
 
-pub(crate) fn put_query(ask: &SubQuery, mut to: schema::sub_query::Builder<'_>) {
+/// Writes a query for a part of the shards.
+pub(crate) fn put_query(query: &SubQuery, mut to: schema::sub_query::Builder<'_>) {
     to.set_version(VERSION);
-    to.set_request(ask.request.0);
-    to.set_service(ask.service.as_str());
-    to.set_index(ask.index.0);
-    to.set_body(&ask.body);
-    to.set_deadline_us(ask.deadline.as_micros() as u64);
-    let mut shards = to.init_shards(ask.shards.len() as u32);
-    for (at, shard) in (0u32..).zip(&ask.shards) {
+    to.set_request(query.request.0);
+    to.set_service(query.service.as_str());
+    to.set_index(query.index.0);
+    to.set_body(&query.body);
+    to.set_deadline_us(query.deadline.as_micros() as u64);
+    let mut shards = to.init_shards(query.shards.len() as u32);
+    for (at, shard) in (0u32..).zip(&query.shards) {
         shards.set(at, *shard);
     }
 }
 
+/// Reads a query for a part of the shards.
 pub(crate) fn get_query(from: schema::sub_query::Reader<'_>) -> Read<SubQuery> {
     check_version(from.get_version())?;
     Ok(SubQuery {
@@ -246,6 +263,7 @@
     })
 }
 
+/// Writes the answer to a query. Any failure but a refusal is sent as lost.
 pub(crate) fn put_answer(answer: &SubAnswer, mut to: schema::sub_answer::Builder<'_>) {
     match answer {
         SubAnswer::Parts { index, parts } => {
@@ -257,13 +275,14 @@
                 part.set_rows(rows);
             }
         }
-        SubAnswer::Failed(Failure::Refused(refusal)) => to.set_refused(refusal_to(*refusal)),
+        SubAnswer::Failed(Failure::Refused(refusal)) => to.set_refused(encode_refusal(*refusal)),
         SubAnswer::Failed(Failure::Lost | Failure::Cut | Failure::NotSent | Failure::Failed) => {
             to.set_lost(())
         }
     }
 }
 
+/// Reads the answer to a query.
 pub(crate) fn get_answer(from: schema::sub_answer::Reader<'_>) -> Read<SubAnswer> {
     let index = IndexVersion(from.get_index());
     Ok(match from.which()? {
@@ -275,13 +294,14 @@
                 .collect::<Read<_>>()?,
         },
         schema::sub_answer::Which::Refused(refusal) => {
-            SubAnswer::Failed(Failure::Refused(refusal_from(refusal?)))
+            SubAnswer::Failed(Failure::Refused(decode_refusal(refusal?)))
         }
         schema::sub_answer::Which::Lost(()) => SubAnswer::Failed(Failure::Lost),
     })
 }
 
-fn refusal_to(refusal: Refusal) -> schema::Refusal {
+/// Converts a refusal to its encoded form.
+fn encode_refusal(refusal: Refusal) -> schema::Refusal {
     match refusal {
         Refusal::Shed => schema::Refusal::Shed,
         Refusal::Connections => schema::Refusal::Connections,
@@ -291,7 +311,8 @@
     }
 }
 
-fn refusal_from(refusal: schema::Refusal) -> Refusal {
+/// Converts a refusal from its encoded form.
+fn decode_refusal(refusal: schema::Refusal) -> Refusal {
     match refusal {
         schema::Refusal::Shed => Refusal::Shed,
         schema::Refusal::Connections => Refusal::Connections,
@@ -301,17 +322,19 @@
     }
 }
 
-pub(crate) fn put_dispatch(ask: &Dispatch, mut to: schema::dispatch::Builder<'_>) {
+/// Writes a submission that another entry passes to one leaf.
+pub(crate) fn put_dispatch(dispatch: &Dispatch, mut to: schema::dispatch::Builder<'_>) {
     to.set_version(VERSION);
-    to.set_request(ask.request.0);
-    to.set_service(ask.service.as_str());
-    to.set_call(ask.call.as_str());
-    to.set_index(ask.index.0);
-    to.set_shard(ask.shard);
-    to.set_body(&ask.body);
-    to.set_deadline_us(ask.deadline.as_micros() as u64);
+    to.set_request(dispatch.request.0);
+    to.set_service(dispatch.service.as_str());
+    to.set_call(dispatch.call.as_str());
+    to.set_index(dispatch.index.0);
+    to.set_shard(dispatch.shard);
+    to.set_body(&dispatch.body);
+    to.set_deadline_us(dispatch.deadline.as_micros() as u64);
 }
 
+/// Reads a submission that is to be passed to one leaf.
 pub(crate) fn get_dispatch(from: schema::dispatch::Reader<'_>) -> Read<Dispatch> {
     check_version(from.get_version())?;
     Ok(Dispatch {
@@ -325,39 +348,43 @@
     })
 }
 
+/// Writes the outcome of a dispatched submission.
 pub(crate) fn put_dispatched(
     answer: &Result<Bytes, Failure>,
     mut to: schema::dispatched::Builder<'_>,
 ) {
     match answer {
         Ok(done) => to.set_done(done),
-        Err(Failure::Refused(refusal)) => to.set_refused(refusal_to(*refusal)),
+        Err(Failure::Refused(refusal)) => to.set_refused(encode_refusal(*refusal)),
         Err(Failure::NotSent) => to.set_not_sent(()),
         Err(Failure::Lost | Failure::Cut | Failure::Failed) => to.set_lost(()),
     }
 }
 
+/// Reads the outcome of a dispatched submission.
 pub(crate) fn get_dispatched(from: schema::dispatched::Reader<'_>) -> Read<Result<Bytes, Failure>> {
     Ok(match from.which()? {
         schema::dispatched::Which::Done(done) => Ok(Bytes::copy_from_slice(done?)),
         schema::dispatched::Which::Refused(refusal) => {
-            Err(Failure::Refused(refusal_from(refusal?)))
+            Err(Failure::Refused(decode_refusal(refusal?)))
         }
         schema::dispatched::Which::NotSent(()) => Err(Failure::NotSent),
         schema::dispatched::Which::Lost(()) => Err(Failure::Lost),
     })
 }
 
-pub(crate) fn put_submission(ask: &Submission, mut to: schema::submission::Builder<'_>) {
+/// Writes a submission for the entry that keeps its ticket.
+pub(crate) fn put_submission(submission: &Submission, mut to: schema::submission::Builder<'_>) {
     to.set_version(VERSION);
-    to.set_ticket(ask.ticket.to_string().as_str());
-    to.set_organisation(ask.organisation.as_str());
-    to.set_service(ask.service.as_str());
-    to.set_call(ask.call.as_str());
-    to.set_body(&ask.body);
-    to.set_deadline_us(ask.deadline.as_micros() as u64);
+    to.set_ticket(submission.ticket.to_string().as_str());
+    to.set_organisation(submission.organisation.as_str());
+    to.set_service(submission.service.as_str());
+    to.set_call(submission.call.as_str());
+    to.set_body(&submission.body);
+    to.set_deadline_us(submission.deadline.as_micros() as u64);
 }
 
+/// Reads a submission.
 pub(crate) fn get_submission(from: schema::submission::Reader<'_>) -> Read<Submission> {
     check_version(from.get_version())?;
     Ok(Submission {
@@ -370,6 +397,7 @@
     })
 }
 
+/// Writes the reply to a submission.
 pub(crate) fn put_reply(reply: &SubmitReply, mut to: schema::outcome::Builder<'_>) {
     match reply {
         SubmitReply::Done(answer) => to.set_done(answer),
@@ -378,8 +406,9 @@
     }
 }
 
+/// Reads the reply to a submission.
 pub(crate) fn get_reply(from: schema::outcome::Reader<'_>) -> Read<SubmitReply> {
-    let reason = |number| Reason::from_number(number).ok_or_else(|| bad("unknown reason"));
+    let reason = |number| Reason::from_number(number).ok_or_else(|| invalid("unknown reason"));
     Ok(match from.which()? {
         schema::outcome::Which::Done(answer) => SubmitReply::Done(Bytes::copy_from_slice(answer?)),
         schema::outcome::Which::NotRun(number) => SubmitReply::NotRun(reason(number)?),
@@ -387,8 +416,9 @@
     })
 }
 
-/// The form of a kept outcome; an unknown one always has the same reason.
-fn reply_of(outcome: &Outcome) -> SubmitReply {
+/// Converts a stored outcome to a reply. An unknown outcome has no stored
+/// reason, so the reply always gives the same one.
+fn to_reply(outcome: &Outcome) -> SubmitReply {
     match outcome {
         Outcome::Done(answer) => SubmitReply::Done(Bytes::copy_from_slice(answer)),
         Outcome::NotRun(reason) => SubmitReply::NotRun(*reason),
@@ -396,7 +426,9 @@
     }
 }
 
-fn outcome_of(reply: SubmitReply) -> Outcome {
+/// Converts a reply to an outcome to be stored; the reason of an unknown one is
+/// dropped.
+fn to_outcome(reply: SubmitReply) -> Outcome {
     match reply {
         SubmitReply::Done(answer) => Outcome::Done(answer.to_vec()),
         SubmitReply::NotRun(reason) => Outcome::NotRun(reason),
@@ -404,6 +436,7 @@
     }
 }
 
+/// Writes tickets that are handed over, with their outcomes if settled.
 pub(crate) fn put_handed(
     tickets: &[Handed],
     mut to: struct_list::Builder<'_, schema::handed::Owned>,
@@ -414,17 +447,18 @@
         if let Some((body, outcome)) = &handed.settled {
             item.set_settled(true);
             item.set_body(*body);
-            put_reply(&reply_of(outcome), item.init_outcome());
+            put_reply(&to_reply(outcome), item.init_outcome());
         }
     }
 }
 
+/// Reads tickets that are handed over.
 pub(crate) fn get_handed(
     from: struct_list::Reader<'_, schema::handed::Owned>,
 ) -> Read<Vec<Handed>> {
-    let one = |item: schema::handed::Reader<'_>| {
+    let get_item = |item: schema::handed::Reader<'_>| {
         let settled = if item.get_settled() {
-            let outcome = outcome_of(get_reply(item.get_outcome()?)?);
+            let outcome = to_outcome(get_reply(item.get_outcome()?)?);
             Some((item.get_body(), outcome))
         } else {
             None
@@ -434,9 +468,10 @@
             settled,
         })
     };
-    from.iter().map(one).collect()
+    from.iter().map(get_item).collect()
 }
 
+/// Writes the versions of the objects that the sender has.
 pub(crate) fn put_have(
     have: &BTreeMap<ObjectKey, u64>,
     mut to: struct_list::Builder<'_, schema::object_version::Owned>,
@@ -449,16 +484,18 @@
     }
 }
 
+/// Reads the versions of the objects that the sender has.
 pub(crate) fn get_have(
     from: struct_list::Reader<'_, schema::object_version::Owned>,
 ) -> Read<BTreeMap<ObjectKey, u64>> {
-    let one = |item: schema::object_version::Reader<'_>| {
+    let get_item = |item: schema::object_version::Reader<'_>| {
         let key = get_key(item.get_kind()?, item.get_name()?)?;
         Ok((key, item.get_version()))
     };
-    from.iter().map(one).collect()
+    from.iter().map(get_item).collect()
 }
 
+/// Writes configuration objects; their values are sent as JSON.
 pub(crate) fn put_objects(
     objects: &[Object],
     mut to: struct_list::Builder<'_, schema::object::Owned>,
@@ -472,23 +509,26 @@
     }
 }
 
+/// Reads configuration objects.
 pub(crate) fn get_objects(
     from: struct_list::Reader<'_, schema::object::Owned>,
 ) -> Read<Vec<Object>> {
-    let one = |item: schema::object::Reader<'_>| {
+    let get_item = |item: schema::object::Reader<'_>| {
         Ok(Object {
             key: get_key(item.get_kind()?, item.get_name()?)?,
             version: item.get_version(),
-            value: serde_json::from_slice(item.get_value()?).map_err(bad)?,
+            value: serde_json::from_slice(item.get_value()?).map_err(invalid)?,
         })
     };
-    from.iter().map(one).collect()
+    from.iter().map(get_item).collect()
 }
 
+/// Reads a list of leafs.
 pub(crate) fn get_leafs(from: capnp::text_list::Reader<'_>) -> Read<Vec<LeafId>> {
     from.iter().map(|text| parse(text?)).collect()
 }
 
+/// Reads the key of an object.
 fn get_key(kind: text::Reader<'_>, name: text::Reader<'_>) -> Read<ObjectKey> {
     Ok(ObjectKey {
         kind: parse::<Kind>(kind)?,
