--- a/crates/port/src/rpc.rs
+++ b/crates/port/src/rpc.rs
@@ -1,9 +1,8 @@
-//! Cap'n Proto calls between entries over TCP, for any interface.
+//! Cap'n Proto RPC between entries over TCP, generic over the interface.
 //!
-//! The library's objects stay on one thread, so a net has a thread of its own
-//! with a local task set. Calls reach it through a bounded channel and answers
-//! come back through one-shot channels; `docs/design/peers.md` has the measured
-//! cost of that hop.
+//! The objects of the capnp library are not `Send`, so each [`RpcNet`] has a
+//! thread of its own with a local task set. Calls reach it through a bounded
+//! channel, and answers come back through one-shot channels.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,69 +29,71 @@
 
 use crate::{Distance, Flow, PeerError, Purpose, Traffic, wire};
 
-/// Calls that wait for the thread; past it a call is not sent.
-const QUEUE: usize = 1024;
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Time without any answer after which a connection on which a call timed out
-/// is dropped: it may be silent for good, and a new one may work.
-const SILENT_MAX: Duration = Duration::from_secs(1);
+/// Calls that may be queued for the thread; further calls fail as not sent.
+const QUEUE_CAPACITY: usize = 1024;
+/// Timeout of a TCP connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time without received bytes after which a connection is dropped when a call on
+/// it times out, so that the next call opens a new one.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest that a call goes on because bytes come from the peer. At 14 Mbit/s, the
-/// slowest link that entries have, 8 MB come within it, ten times the largest answer
-/// that was measured.
-const SLOW_MAX: Duration = Duration::from_secs(5);
+/// Longest extension of a call's timeout while bytes arrive. Enough for the largest
+/// answers on the slowest links between entries.
+const MAX_EXTENSION: Duration = Duration::from_secs(5);
 
-/// When a call is given up.
+/// Timeout of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Patience {
-    /// After a span, as the caller waits no longer.
+    /// A fixed timeout, for calls whose caller has a deadline.
     Until(Duration),
-    /// Once the span is over and nothing has come from the peer for as long, or for
-    /// [`SILENCE`] if that is shorter.
+    /// A timeout that is extended while bytes keep arriving from the peer: until none
+    /// have come for as long as the timeout or for [`MAX_READ_GAP`], whichever is
+    /// shorter, and by at most [`MAX_EXTENSION`].
     ///
-    /// An answer of 0.8 MB takes 0.5 s on a link of 14 Mbit/s, and what is asked
-    /// meanwhile waits behind it. With a span alone the peer counted as lost, what had
-    /// come was thrown away and asked for elsewhere, and links filled with answers that
-    /// nobody took.
+    /// With a fixed timeout a large answer on a slow link, or one queued behind it,
+    /// would be discarded half received and requested again, which loads the link
+    /// further.
     Silent(Duration),
 }
 
-/// Longest silence of a peer in the middle of an answer.
-const SILENCE: Duration = Duration::from_millis(400);
+/// Longest gap between received bytes that still extends a timeout.
+const MAX_READ_GAP: Duration = Duration::from_millis(400);
 
 impl Patience {
-    fn span(self) -> Duration {
+    /// The timeout without any extension.
+    fn duration(self) -> Duration {
         match self {
-            Self::Until(span) | Self::Silent(span) => span,
+            Self::Until(duration) | Self::Silent(duration) => duration,
         }
     }
 
-    /// When a call that was made at `asked` is given up, bytes having come last at
-    /// `heard`.
-    fn end(self, asked: Instant, heard: Instant) -> Instant {
+    /// The deadline of a call that was sent at `started`, if bytes were last received
+    /// at `last_read`.
+    fn deadline(self, started: Instant, last_read: Instant) -> Instant {
         match self {
-            Self::Until(span) => asked + span,
-            Self::Silent(span) => {
-                let slow = (heard + span.min(SILENCE)).min(asked + span + SLOW_MAX);
-                slow.max(asked + span)
+            Self::Until(duration) => started + duration,
+            Self::Silent(duration) => {
+                let extended = (last_read + duration.min(MAX_READ_GAP))
+                    .min(started + duration + MAX_EXTENSION);
+                extended.max(started + duration)
             }
         }
     }
 }
 
-/// The client side of an interface.
+/// The client type of a capnp interface.
 pub(crate) trait Client: FromClientHook + Clone + 'static {}
 
 impl<C: FromClientHook + Clone + 'static> Client for C {}
 
-type Job<C> = Box<dyn FnOnce(Rc<Local<C>>) + Send>;
+/// A call to be made on the network thread.
+type Job<C> = Box<dyn FnOnce(Rc<ThreadState<C>>) + Send>;
 
-/// Makes the object that serves one connection.
-pub(crate) type Serve = Arc<dyn Fn() -> capnp::capability::Client + Send + Sync>;
+/// Creates the capability that serves one accepted connection.
+pub(crate) type ServiceFactory = Arc<dyn Fn() -> capnp::capability::Client + Send + Sync>;
 
-/// One interface, served at an address and called at others. Dropping the last
-/// clone ends its thread.
+/// A server and client of one capnp interface. Serves it at one address and calls it
+/// at other entries. Dropping the last clone ends its thread.
 pub(crate) struct RpcNet<C> {
     jobs: mpsc::Sender<Job<C>>,
     address: SocketAddr,
@@ -116,31 +117,34 @@
 }
 
 impl<C: Client> RpcNet<C> {
-    /// Binds `address` and serves each connection by an object of `serve`.
+    /// Binds `address` and serves each connection with a capability of `factory`. Bytes
+    /// of outgoing calls are added to `traffic`.
     pub(crate) fn bind(
         address: SocketAddr,
-        serve: Serve,
+        factory: ServiceFactory,
         traffic: Arc<Traffic>,
     ) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (jobs, queue) = mpsc::channel(QUEUE);
+        let (jobs, queue) = mpsc::channel(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("peers".to_owned())
-            .spawn(move || run(listener, serve, queue, traffic))?;
+            .spawn(move || run(listener, factory, queue, traffic))?;
         Ok(Self { jobs, address })
     }
 
+    /// Returns the address that it listens at.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs `call` on the thread, and gives up on it in time.
+    /// Runs `call` with a client of the entry at `to`. Dropping the future cancels the
+    /// call.
     pub(crate) async fn run<T, K, F>(
         &self,
         to: SocketAddr,
-        patience: Patience,
+        limit: Patience,
         call: K,
     ) -> Result<T, PeerError>
     where
@@ -149,12 +153,12 @@
         F: Future<Output = Result<T, capnp::Error>> + 'static,
     {
         let (answer, answered) = oneshot::channel();
-        let job: Job<C> = Box::new(move |local| {
+        let job: Job<C> = Box::new(move |state| {
             spawn_local(async move {
                 let mut answer = answer;
                 tokio::select! {
-                    result = one_call(&local, to, patience, call) => {
-                        // A caller that has gone away needs no answer.
+                    result = one_call(&state, to, limit, call) => {
+                        // The caller may have dropped its future.
                         let _ = answer.send(result);
                     }
                     () = answer.closed() => {}
@@ -166,22 +170,22 @@
     }
 }
 
-/// A connection to one peer.
-struct Line<C> {
+/// An outgoing connection to one peer.
+struct Conn<C> {
     client: C,
-    /// When bytes came on it last.
-    heard: Rc<Cell<Instant>>,
+    /// When bytes were last received.
+    last_read: Rc<Cell<Instant>>,
     open: Cell<bool>,
 }
 
-/// Notes when bytes come, and counts what is sent and comes.
-struct Heard<S> {
+/// A stream half that records when bytes are received and counts bytes both ways.
+struct Tracked<S> {
     inner: S,
-    heard: Rc<Cell<Instant>>,
+    last_read: Rc<Cell<Instant>>,
     meter: Option<(Arc<Traffic>, Distance)>,
 }
 
-impl<S> Heard<S> {
+impl<S> Tracked<S> {
     fn count(&self, flow: Flow, bytes: &Poll<std::io::Result<usize>>) {
         if let (Some((traffic, distance)), Poll::Ready(Ok(bytes))) = (&self.meter, bytes) {
             traffic.add(Purpose::Peers, *distance, flow, *bytes);
@@ -189,7 +193,7 @@
     }
 }
 
-impl<W: AsyncWrite + Unpin> AsyncWrite for Heard<W> {
+impl<W: AsyncWrite + Unpin> AsyncWrite for Tracked<W> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -215,7 +219,7 @@
     }
 }
 
-impl<R: AsyncRead + Unpin> AsyncRead for Heard<R> {
+impl<R: AsyncRead + Unpin> AsyncRead for Tracked<R> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -224,21 +228,23 @@
         let read = Pin::new(&mut self.inner).poll_read(context, buffer);
         self.count(Flow::In, &read);
         if matches!(read, Poll::Ready(Ok(1..))) {
-            self.heard.set(Instant::now());
+            self.last_read.set(Instant::now());
         }
         read
     }
 }
 
-/// What lives on the thread.
-struct Local<C> {
-    lines: RefCell<BTreeMap<SocketAddr, Rc<Line<C>>>>,
+/// State of the network thread.
+struct ThreadState<C> {
+    conns: RefCell<BTreeMap<SocketAddr, Rc<Conn<C>>>>,
     traffic: Arc<Traffic>,
 }
 
+/// Body of the network thread: accepts connections and runs queued calls until the
+/// last [`RpcNet`] is dropped.
 fn run<C: Client>(
     listener: std::net::TcpListener,
-    serve: Serve,
+    factory: ServiceFactory,
     mut queue: mpsc::Receiver<Job<C>>,
     traffic: Arc<Traffic>,
 ) {
@@ -248,51 +254,52 @@
         .expect("a runtime on one thread can be built");
     LocalSet::new().block_on(&local_runtime, async move {
         let listener = TcpListener::from_std(listener).expect("the socket is non-blocking");
-        let accept = spawn_local(accept(listener, serve));
-        let local = Rc::new(Local {
-            lines: RefCell::default(),
+        let accept = spawn_local(accept(listener, factory));
+        let state = Rc::new(ThreadState {
+            conns: RefCell::default(),
             traffic,
         });
         while let Some(job) = queue.recv().await {
-            job(local.clone());
+            job(state.clone());
         }
         accept.abort();
     });
 }
 
-async fn accept(listener: TcpListener, serve: Serve) {
-    /// Rest after a failed accept, which is mostly a lack of descriptors.
-    const REST: Duration = Duration::from_millis(50);
+async fn accept(listener: TcpListener, factory: ServiceFactory) {
+    /// Delay after a failed accept, which is mostly caused by a lack of descriptors.
+    const BACKOFF: Duration = Duration::from_millis(50);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(BACKOFF).await;
             continue;
         };
-        let heard = Rc::new(Cell::new(Instant::now()));
-        let network = network(stream, Side::Server, heard, None);
-        let system = RpcSystem::new(network, Some(serve()));
-        // A broken message ends this connection and nothing else.
+        let last_read = Rc::new(Cell::new(Instant::now()));
+        let network = network(stream, Side::Server, last_read, None);
+        let system = RpcSystem::new(network, Some(factory()));
+        // A protocol error ends only this connection.
         spawn_local(system.map(drop));
     }
 }
 
+/// Wraps a TCP stream for the capnp library.
 fn network(
     stream: TcpStream,
     side: Side,
-    heard: Rc<Cell<Instant>>,
+    last_read: Rc<Cell<Instant>>,
     meter: Option<(Arc<Traffic>, Distance)>,
 ) -> Box<twoparty::VatNetwork<impl AsyncRead>> {
-    // Without it each small message waits for the one before to be confirmed.
+    // Disables Nagle's algorithm, which would delay small messages.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
-    let reader = Heard {
+    let reader = Tracked {
         inner: reader.compat(),
-        heard: heard.clone(),
+        last_read: last_read.clone(),
         meter: meter.clone(),
     };
-    let writer = Heard {
+    let writer = Tracked {
         inner: writer.compat_write(),
-        heard,
+        last_read,
         meter,
     };
     Box::new(twoparty::VatNetwork::new(
@@ -303,10 +310,12 @@
     ))
 }
 
+/// Makes one call and waits for its answer until the deadline. Drops the connection if
+/// it is broken or unresponsive.
 async fn one_call<T, C, K, F>(
-    local: &Rc<Local<C>>,
+    state: &Rc<ThreadState<C>>,
     to: SocketAddr,
-    patience: Patience,
+    limit: Patience,
     call: K,
 ) -> Result<T, PeerError>
 where
@@ -314,23 +323,23 @@
     K: FnOnce(C) -> F,
     F: Future<Output = Result<T, capnp::Error>>,
 {
-    let line = line_to(local, to, patience.span()).await?;
-    let asked = Instant::now();
-    let mut answer = pin!(call(line.client.clone()));
+    let conn = connect(state, to, limit.duration()).await?;
+    let started = Instant::now();
+    let mut answer = pin!(call(conn.client.clone()));
     loop {
-        let end = patience.end(asked, line.heard.get());
-        match timeout_at(end, &mut answer).await {
+        let deadline = limit.deadline(started, conn.last_read.get());
+        match timeout_at(deadline, &mut answer).await {
             Ok(Ok(answer)) => return Ok(answer),
             Ok(Err(error)) => {
                 if error.kind == capnp::ErrorKind::Disconnected {
-                    drop_line(local, to, &line);
+                    drop_conn(state, to, &conn);
                 }
                 return Err(PeerError::Lost);
             }
-            Err(_) if patience.end(asked, line.heard.get()) > end => {}
+            Err(_) if limit.deadline(started, conn.last_read.get()) > deadline => {}
             Err(_) => {
-                if line.heard.get().elapsed() > SILENT_MAX {
-                    drop_line(local, to, &line);
+                if conn.last_read.get().elapsed() > UNRESPONSIVE_AFTER {
+                    drop_conn(state, to, &conn);
                 }
                 return Err(PeerError::Lost);
             }
@@ -338,43 +347,47 @@
     }
 }
 
-async fn line_to<C: Client>(
-    local: &Rc<Local<C>>,
+/// Returns the open connection to a peer, or opens one.
+async fn connect<C: Client>(
+    state: &Rc<ThreadState<C>>,
     to: SocketAddr,
     wait: Duration,
-) -> Result<Rc<Line<C>>, PeerError> {
-    if let Some(line) = local.lines.borrow().get(&to)
-        && line.open.get()
+) -> Result<Rc<Conn<C>>, PeerError> {
+    if let Some(conn) = state.conns.borrow().get(&to)
+        && conn.open.get()
     {
-        return Ok(line.clone());
+        return Ok(conn.clone());
     }
-    let stream = timeout(CONNECT.min(wait), TcpStream::connect(to))
+    let stream = timeout(CONNECT_TIMEOUT.min(wait), TcpStream::connect(to))
         .await
         .map_err(|_| PeerError::NotSent)?
         .map_err(|_| PeerError::NotSent)?;
-    let heard = Rc::new(Cell::new(Instant::now()));
-    let meter = (local.traffic.clone(), local.traffic.distance(to));
-    let network = network(stream, Side::Client, heard.clone(), Some(meter));
+    let last_read = Rc::new(Cell::new(Instant::now()));
+    let meter = (state.traffic.clone(), state.traffic.distance(to));
+    let network = network(stream, Side::Client, last_read.clone(), Some(meter));
     let mut system = RpcSystem::new(network, None);
-    let line = Rc::new(Line {
+    let conn = Rc::new(Conn {
         client: system.bootstrap(Side::Server),
-        heard,
+        last_read,
         open: Cell::new(true),
     });
-    let (watched, keeper) = (line.clone(), local.clone());
+    let (ended, owner) = (conn.clone(), state.clone());
     spawn_local(async move {
         let _ = system.await;
-        drop_line(&keeper, to, &watched);
+        drop_conn(&owner, to, &ended);
     });
-    local.lines.borrow_mut().insert(to, line.clone());
-    Ok(line)
+    state.conns.borrow_mut().insert(to, conn.clone());
+    Ok(conn)
 }
 
-/// Forgets a connection, unless a newer one has taken its place.
-fn drop_line<C>(local: &Rc<Local<C>>, to: SocketAddr, line: &Rc<Line<C>>) {
-    line.open.set(false);
-    let mut lines = local.lines.borrow_mut();
-    if lines.get(&to).is_some_and(|now| Rc::ptr_eq(now, line)) {
-        lines.remove(&to);
+/// Removes a closed connection, unless a newer one has replaced it.
+fn drop_conn<C>(state: &Rc<ThreadState<C>>, to: SocketAddr, conn: &Rc<Conn<C>>) {
+    conn.open.set(false);
+    let mut conns = state.conns.borrow_mut();
+    if conns
+        .get(&to)
+        .is_some_and(|current| Rc::ptr_eq(current, conn))
+    {
+        conns.remove(&to);
     }
 }
--- a/crates/port/src/serve.rs
+++ b/crates/port/src/serve.rs
@@ -1,5 +1,5 @@
-//! Serves HTTP/1.1 to callers, with bounds on what they send and how long they
-//! take.
+//! HTTP/1.1 server for callers, with limits on header size, connection count
+//! and the time that a connection may be slow or idle.
 
 use std::{
     future::Future,
@@ -33,33 +33,34 @@
 
 use crate::{Account, Distance, Purpose, Silence, traffic::Metered};
 
-/// Bounds on callers.
+/// Limits of a server on its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServeLimits {
-    /// Largest head of a request, in bytes.
+    /// Largest request head (request line and headers), in bytes.
     pub head: usize,
-    /// Longest time for a head to arrive, from its first byte.
+    /// Timeout for receiving a request head, from its first byte.
     pub head_time: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Timeout of an idle keep-alive connection.
     pub idle_time: Duration,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
-/// Rest after a failed accept, which is mostly a lack of descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which is mostly caused by a lack of
+/// descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Whether connections are kept.
+/// Lifecycle of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    /// New connections are taken, and all are kept.
+    /// New connections are accepted and kept alive between requests.
     Open,
-    /// New connections are refused, and each one closes when it is idle.
+    /// New connections are refused, and open ones close once idle.
     Closing,
 }
 
-/// An HTTP/1.1 server. Dropping it closes all at once; [`Server::close`] lets
-/// each connection finish its request.
+/// An HTTP/1.1 server. Dropping it aborts all connections; [`Server::close`]
+/// shuts down gracefully.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -74,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind<H, F>(address: SocketAddr, limits: ServeLimits, handle: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -88,11 +89,12 @@
         Self::bind_metered(address, limits, account, handle).await
     }
 
-    /// Binds `address` like [`Server::bind`], and counts what callers send and get.
+    /// Like [`Server::bind`], and adds the bytes of all connections to
+    /// `account`.
     ///
     /// # Errors
     ///
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind_metered<H, F>(
         address: SocketAddr,
         limits: ServeLimits,
@@ -104,8 +106,8 @@
         F: Future<Output = Response<Full<Bytes>>> + Send + 'static,
     {
         let listener = TcpListener::bind(address).await?;
-        let (stage, stages) = watch::channel(Stage::Open);
-        let (limits, limited) = watch::channel(limits);
+        let (stage, stage_rx) = watch::channel(Stage::Open);
+        let (limits, limits_rx) = watch::channel(limits);
         let open = Arc::new(AtomicUsize::new(0));
         Ok(Self {
             address: listener.local_addr()?,
@@ -113,8 +115,8 @@
             limits,
             task: tokio::spawn(accept(
                 listener,
-                limited,
-                stages,
+                limits_rx,
+                stage_rx,
                 open.clone(),
                 account,
                 handle,
@@ -123,36 +125,37 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the bounds. The head's size holds for new connections only.
+    /// Changes the limits. The size of the head applies to new connections
+    /// only.
     pub fn set_limits(&self, limits: ServeLimits) {
-        self.limits.send_if_modified(|old| {
-            let new = *old != limits;
-            *old = limits;
-            new
+        self.limits.send_if_modified(|current| {
+            let changed = *current != limits;
+            *current = limits;
+            changed
         });
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Takes no new connections, closes idle ones, and lets the rest finish
-    /// what they are at, for at most `wait`.
+    /// Shuts down gracefully: stops accepting, closes idle connections, and
+    /// waits for requests in flight for at most `wait`.
     pub async fn close(&self, wait: Duration) {
-        /// Time between two looks at what is still open.
-        const LOOK: Duration = Duration::from_millis(10);
+        /// Interval between checks for open connections.
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         self.stage.send_replace(Stage::Closing);
-        let until = Instant::now() + wait;
-        while self.open() > 0 && Instant::now() < until {
-            sleep(LOOK).await;
+        let deadline = Instant::now() + wait;
+        while self.open() > 0 && Instant::now() < deadline {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -163,10 +166,11 @@
     }
 }
 
+/// Accepts connections until the server closes, then waits for the open ones.
 async fn accept<H, F>(
     listener: TcpListener,
     limits: watch::Receiver<ServeLimits>,
-    mut stages: watch::Receiver<Stage>,
+    mut stage_rx: watch::Receiver<Stage>,
     open: Arc<AtomicUsize>,
     account: Account,
     handle: H,
@@ -174,31 +178,32 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
-    // Aborted with the task, so that dropping the server closes all.
+    // Aborted together with this task, so that dropping the server closes them.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let accepted = tokio::select! {
             biased;
-            () = closing(&mut stages) => break,
+            () = wait_closing(&mut stage_rx) => break,
             Some(_) = connections.join_next() => continue,
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            sleep(ACCEPT_REST).await;
+            sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        // Beyond the limit a connection is closed at once: the caller sees it
-        // and goes to another entry, instead of waiting here unserved.
+        // Closed at once at the limit, so that the caller tries another entry
+        // instead of waiting here.
         if open.load(Ordering::Relaxed) >= limits.borrow().connections {
             continue;
         }
-        let held = Held::new(&open);
-        // A connection that is gone already ends with its first read.
+        let guard = OpenGuard::new(&open);
+        // Fails if the connection is closed already; its first read then ends
+        // it.
         let _ = Silence::default().apply(&stream);
         let stream = Metered::new(stream, account.clone());
-        let served = connection(stream, limits.clone(), stages.clone(), handle.clone());
+        let served = connection(stream, limits.clone(), stage_rx.clone(), handle.clone());
         connections.spawn(async move {
-            let _held = held;
+            let _guard = guard;
             served.await;
         });
     }
@@ -206,32 +211,33 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Waits until connections are no longer kept.
-async fn closing(stages: &mut watch::Receiver<Stage>) {
-    // An error means that the server is gone, and its connections with it.
-    let _ = stages.wait_for(|stage| *stage >= Stage::Closing).await;
+/// Waits until the server closes.
+async fn wait_closing(stage_rx: &mut watch::Receiver<Stage>) {
+    // Fails only if the server is dropped, which aborts the caller too.
+    let _ = stage_rx.wait_for(|stage| *stage >= Stage::Closing).await;
 }
 
-/// Counts an open connection.
-struct Held(Arc<AtomicUsize>);
+/// Counts a connection as open until dropped.
+struct OpenGuard(Arc<AtomicUsize>);
 
-impl Held {
+impl OpenGuard {
     fn new(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for Held {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
+/// Serves one connection.
 async fn connection<H, F>(
     stream: Metered<TcpStream>,
     limits: watch::Receiver<ServeLimits>,
-    mut stages: watch::Receiver<Stage>,
+    mut stage_rx: watch::Receiver<Stage>,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -239,13 +245,13 @@
 {
     let phase = Arc::new(Mutex::new(Phase::Idle(Instant::now())));
     let head = limits.borrow().head;
-    let io = Timed::new(stream, phase.clone(), limits);
+    let io = TimeoutStream::new(stream, phase.clone(), limits);
     let service = service_fn(move |request| {
-        set(&phase, Phase::Busy);
+        set_phase(&phase, Phase::Busy);
         let (reply, phase) = (handle(request), phase.clone());
         async move {
             let reply = reply.await;
-            set(&phase, Phase::Idle(Instant::now()));
+            set_phase(&phase, Phase::Idle(Instant::now()));
             Ok::<_, std::convert::Infallible>(reply)
         }
     });
@@ -257,44 +263,45 @@
     let mut served = std::pin::pin!(builder.serve_connection(TokioIo::new(io), service));
     tokio::select! {
         biased;
-        () = closing(&mut stages) => {
+        () = wait_closing(&mut stage_rx) => {
             served.as_mut().graceful_shutdown();
-            // A broken connection is the caller's to notice.
+            // On an error the caller sees its connection break.
             let _ = served.await;
         }
         _ = served.as_mut() => {}
     }
 }
 
-/// Least size of a connection's read buffer that the library accepts.
+/// Smallest read buffer that hyper accepts, in bytes.
 const MIN_BUFFER: usize = 8192;
 
-/// What a connection is at.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Between requests, since then.
+    /// Between requests, since this time.
     Idle(Instant),
-    /// Reading a head whose first byte came then.
+    /// Receiving a request head, since this time.
     Head(Instant),
-    /// A request is being served.
+    /// Serving a request.
     Busy,
 }
 
-fn set(phase: &Mutex<Phase>, to: Phase) {
+fn set_phase(phase: &Mutex<Phase>, to: Phase) {
     *phase.lock().unwrap_or_else(PoisonError::into_inner) = to;
 }
 
-/// A connection that ends when its caller takes too long over a head or stays
-/// idle too long. The library's own bound would count idle time as time of the
-/// head. The timer is set anew only when it fires, not with every request.
-struct Timed {
+/// A stream whose reads fail once the timeout for a request head or for an idle
+/// connection has passed. hyper's header timeout would include the idle time.
+/// The timer is reset only when it fires, which is cheaper than at each
+/// request.
+struct TimeoutStream {
     stream: Metered<TcpStream>,
     phase: Arc<Mutex<Phase>>,
     limits: watch::Receiver<ServeLimits>,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Timed {
+impl TimeoutStream {
     fn new(
         stream: Metered<TcpStream>,
         phase: Arc<Mutex<Phase>>,
@@ -313,28 +320,28 @@
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ready once the caller's time is up.
-    fn poll_late(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Ready once the timeout of the current phase has passed.
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_ready() {
             let limits = *self.limits.borrow();
             let now = Instant::now();
-            let until = match self.phase() {
+            let deadline = match self.phase() {
                 Phase::Idle(since) => since + limits.idle_time,
                 Phase::Head(since) => since + limits.head_time,
                 Phase::Busy => now + limits.head_time,
             };
-            if until <= now {
+            if deadline <= now {
                 return Poll::Ready(());
             }
-            // A head may begin at any time: look again within its time.
-            let look = until.min(now + limits.head_time);
-            self.timer.set(sleep_until(look));
+            // A head may begin meanwhile, so check again within its timeout.
+            let recheck = deadline.min(now + limits.head_time);
+            self.timer.set(sleep_until(recheck));
         }
         Poll::Pending
     }
 }
 
-impl AsyncRead for Timed {
+impl AsyncRead for TimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -343,11 +350,11 @@
         match Pin::new(&mut self.stream).poll_read(cx, buf) {
             Poll::Ready(result) => {
                 if let Phase::Idle(_) = self.phase() {
-                    set(&self.phase, Phase::Head(Instant::now()));
+                    set_phase(&self.phase, Phase::Head(Instant::now()));
                 }
                 Poll::Ready(result)
             }
-            Poll::Pending => match self.poll_late(cx) {
+            Poll::Pending => match self.poll_timeout(cx) {
                 Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
                 Poll::Pending => Poll::Pending,
             },
@@ -355,7 +362,7 @@
     }
 }
 
-impl AsyncWrite for Timed {
+impl AsyncWrite for TimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -385,21 +392,21 @@
     }
 }
 
-/// Why a body could not be read.
+/// Why a request or response body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     Large,
-    /// The connection broke.
+    /// The connection failed before the end of the body.
     Broken,
 }
 
-/// Reads a whole body of at most `most` bytes.
+/// Reads a whole body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// It is larger, or broke off.
-pub async fn read_body<B>(body: B, most: usize) -> Result<Bytes, BodyError>
+/// Fails if the body is larger than the limit or incomplete.
+pub async fn read_body<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -407,10 +414,10 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > limit as u64 {
         return Err(BodyError::Large);
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::Large),
         Err(_) => Err(BodyError::Broken),
--- a/crates/port/src/sockets.rs
+++ b/crates/port/src/sockets.rs
@@ -1,25 +1,26 @@
-//! Options of the sockets to back ends and callers.
+//! TCP options of connections to back ends and callers.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How soon a silent peer is noticed.
+/// Keep-alive settings that bound the time until a dead peer is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
-    /// Longest time that sent bytes may stay unacknowledged.
+    /// Longest time that sent bytes may stay unacknowledged
+    /// (`TCP_USER_TIMEOUT`).
     pub unacked: Duration,
-    /// Quiet time before the first keep-alive probe, and time between probes.
+    /// Idle time before the first keep-alive probe, and interval between
+    /// probes.
     pub probe: Duration,
-    /// Probes without an answer that close the connection.
+    /// Unanswered probes after which the connection is closed.
     pub probes: u32,
 }
 
 impl Default for Silence {
-    /// About three seconds in all, for connections that wait. The kernel sends
-    /// the probes, so that a connection that is silent for good is found
-    /// without calls of our own.
+    /// Detects a dead peer on an idle connection within about three seconds.
+    /// The kernel sends the probes, so no calls are needed for it.
     fn default() -> Self {
         Self {
             unacked: Duration::from_secs(2),
@@ -30,11 +31,11 @@
 }
 
 impl Silence {
-    /// Sets the options of a connection.
+    /// Sets these options and `TCP_NODELAY` on a connection.
     ///
     /// # Errors
     ///
-    /// The system refuses one of them.
+    /// Fails if the operating system rejects an option.
     pub fn apply(&self, stream: &TcpStream) -> std::io::Result<()> {
         let keepalive = TcpKeepalive::new()
             .with_time(self.probe)
--- a/crates/port/src/traffic.rs
+++ b/crates/port/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes of an entry, by what they are for.
+//! Counters of an entry's network traffic.
 
 use std::{
     collections::BTreeSet,
@@ -14,28 +14,30 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What bytes are for.
+/// What traffic is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     /// Calls to leafs and their answers.
     Leafs,
-    /// Requests of callers and their answers. Where callers are is not known, so they
-    /// count as far.
+    /// Requests of callers and their answers. Counted as [`Distance::Far`], since the
+    /// failure domain of callers is not known.
     Callers,
-    /// Of [`Purpose::Peers`], lists of leafs and their changes.
+    /// The part of [`Purpose::Peers`] that is lists of leafs and their changes.
     Lists,
-    /// Of [`Purpose::Peers`], the book.
+    /// The part of [`Purpose::Peers`] that is the route book.
     Books,
-    /// All that is asked of other entries: lists and books, pulses, and their frames.
+    /// All calls to other entries and their answers: lists, books and heartbeats,
+    /// with their framing.
     Peers,
-    /// Datagrams to members.
+    /// Datagrams of the failure detector.
     Probes,
-    /// Bodies of calls to the store. Where it is is not known, so they count as far.
+    /// Bodies of calls to the store. Counted as [`Distance::Far`], since its failure
+    /// domain is not known.
     Store,
 }
 
 impl Purpose {
-    /// All of them, in order.
+    /// All purposes, in order of declaration.
     pub const ALL: [Self; 7] = [
         Self::Leafs,
         Self::Callers,
@@ -46,7 +48,7 @@
         Self::Store,
     ];
 
-    /// The word in logs and metrics.
+    /// Returns the name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -64,17 +66,17 @@
 /// Whether both ends are in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// They are.
+    /// In the same failure domain.
     Near,
-    /// They are not, or it is not known.
+    /// In another failure domain, or not known.
     Far,
 }
 
 impl Distance {
-    /// Both.
+    /// Both distances.
     pub const ALL: [Self; 2] = [Self::Near, Self::Far];
 
-    /// The word in logs and metrics.
+    /// Returns the name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -84,20 +86,20 @@
     }
 }
 
-/// Which way bytes go.
+/// Direction of traffic, as seen from this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Flow {
-    /// To this entry.
+    /// Received.
     In,
-    /// From it.
+    /// Sent.
     Out,
 }
 
 impl Flow {
-    /// Both.
+    /// Both directions.
     pub const ALL: [Self; 2] = [Self::In, Self::Out];
 
-    /// The word in logs and metrics.
+    /// Returns the name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -107,40 +109,40 @@
     }
 }
 
-/// Bytes of an entry so far, by purpose, distance and flow.
+/// Counters of bytes by purpose, distance and flow.
 ///
-/// Between two entries the one that asks counts what both send, and a datagram counts
-/// where it is sent: the sum over all entries then counts no byte twice. Headers of
-/// packets, handshakes and what the kernel sends again are not seen.
+/// The calling entry counts both directions of a call, and the sender counts a
+/// datagram, so that a sum over all entries counts no byte twice. Packet headers,
+/// handshakes and retransmissions are not included.
 #[derive(Debug, Default)]
 pub struct Traffic {
     counts: [[[AtomicU64; 2]; 2]; Purpose::ALL.len()],
-    near: RwLock<BTreeSet<IpAddr>>,
+    local: RwLock<BTreeSet<IpAddr>>,
 }
 
 impl Traffic {
-    /// Takes `bytes` more.
+    /// Adds `bytes` to a counter.
     pub fn add(&self, purpose: Purpose, distance: Distance, flow: Flow, bytes: usize) {
         self.count(purpose, distance, flow)
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Bytes so far.
+    /// Returns the bytes counted so far.
     #[must_use]
     pub fn get(&self, purpose: Purpose, distance: Distance, flow: Flow) -> u64 {
         self.count(purpose, distance, flow).load(Ordering::Relaxed)
     }
 
-    /// Sets which other entries are in the own failure domain.
-    pub fn set_near(&self, near: BTreeSet<IpAddr>) {
-        *self.near.write().unwrap_or_else(|e| e.into_inner()) = near;
+    /// Sets the addresses of the entries in this entry's failure domain.
+    pub fn set_near(&self, local: BTreeSet<IpAddr>) {
+        *self.local.write().unwrap_or_else(|e| e.into_inner()) = local;
     }
 
-    /// How far the entry at `peer` is, as was last set.
+    /// Returns the distance to the entry at `peer`, by the addresses last set.
     #[must_use]
     pub fn distance(&self, peer: SocketAddr) -> Distance {
-        let near = self.near.read().unwrap_or_else(|e| e.into_inner());
-        match near.contains(&peer.ip()) {
+        let local = self.local.read().unwrap_or_else(|e| e.into_inner());
+        match local.contains(&peer.ip()) {
             true => Distance::Near,
             false => Distance::Far,
         }
@@ -151,14 +153,14 @@
     }
 }
 
-/// Where bytes of one connection are counted.
+/// The counters that the bytes of a connection are added to.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// All counts.
+    /// The counters of the entry.
     pub traffic: Arc<Traffic>,
-    /// What the connection is for.
+    /// What the connection is used for.
     pub purpose: Purpose,
-    /// Where its other end is.
+    /// Distance to its other end.
     pub distance: Distance,
 }
 
@@ -168,7 +170,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A stream that counts its bytes.
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     inner: S,
@@ -176,6 +178,7 @@
 }
 
 impl<S> Metered<S> {
+    /// Wraps `inner` and counts its bytes in `account`.
     pub(crate) fn new(inner: S, account: Account) -> Self {
         Self { inner, account }
     }
@@ -201,7 +204,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(cx, buf);
-        self.wrote(&written);
+        self.count_written(&written);
         written
     }
 
@@ -219,7 +222,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
-        self.wrote(&written);
+        self.count_written(&written);
         written
     }
 
@@ -229,7 +232,7 @@
 }
 
 impl<S> Metered<S> {
-    fn wrote(&self, written: &Poll<io::Result<usize>>) {
+    fn count_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
             self.account.add(Flow::Out, *bytes);
         }
