--- a/crates/fleet/src/news.rs
+++ b/crates/fleet/src/gossip.rs
@@ -13,11 +13,11 @@
 
 /// The newest update about each member, with the number of times it was sent.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct GossipQueue {
     queued: BTreeMap<MemberId, (u32, Member)>,
 }
 
-impl News {
+impl GossipQueue {
     /// Queues an update, replacing an earlier one about the same member.
     pub fn add(&mut self, member: Member) {
         self.queued.insert(member.id.clone(), (0, member));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,27 +11,27 @@
 //!
 //! ```
 //! // 40 connections in shares of 4, with one share kept spare.
-//! assert_eq!(chestnut_fleet::holders_wanted(40, 4), 9);
+//! assert_eq!(chestnut_fleet::holder_count(40, 4), 9);
 //! ```
 
 #![warn(clippy::unwrap_used)]
 
-mod carriers;
 mod confirm;
 mod entries;
-mod holder;
+mod gossip;
 mod lease;
 mod member;
-mod news;
+mod placement;
+mod serving;
 mod swim;
 mod view;
 
-pub use carriers::{Candidate, Held, carriers};
 pub use confirm::{Confirm, Confirmed};
 pub use entries::{Entry, order_entries};
-pub use holder::{HolderPlan, Ranked, holders_wanted, watchers_of};
+pub use gossip::GossipQueue;
 pub use lease::{LEASES, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner};
 pub use member::{Addresses, Heir, Liveness, Member};
-pub use news::News;
+pub use placement::{HashedMembers, HolderPlan, choose_watchers, holder_count};
+pub use serving::{Candidate, DelayedDecrease, serving_entries};
 pub use swim::{Lives, Probe, ProbeKind, Send, Status, Swim, SwimConfig};
 pub use view::{Change, View};
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/placement.rs
@@ -17,7 +17,7 @@
 /// connections when each opens at most `share` of them. At least one, so that
 /// the leaf stays reachable.
 #[must_use]
-pub fn holders_wanted(connections: u32, share: u32) -> usize {
+pub fn holder_count(connections: u32, share: u32) -> usize {
     let shares = connections / share.max(1);
     shares.saturating_sub(SPARE_SHARES).max(1) as usize
 }
@@ -36,17 +36,15 @@
     pub fn new(name: &ServiceName, service: &Service, members: &[Member], share: u32) -> Self {
         let mut groups: BTreeMap<u32, (usize, BTreeSet<&DomainName>)> = BTreeMap::new();
         for leaf in service.leafs.values() {
-            let wanted = holders_wanted(leaf.connections, share);
-            let entry = groups
-                .entry(leaf.group)
-                .or_insert((wanted, BTreeSet::new()));
-            entry.0 = entry.0.min(wanted);
+            let count = holder_count(leaf.connections, share);
+            let entry = groups.entry(leaf.group).or_insert((count, BTreeSet::new()));
+            entry.0 = entry.0.min(count);
             entry.1.insert(&leaf.domain);
         }
-        let ranked = Ranked::new(members);
-        let plan = |(group, (wanted, domains)): (u32, (usize, BTreeSet<&DomainName>))| {
+        let hashed = HashedMembers::new(members);
+        let plan = |(group, (count, domains)): (u32, (usize, BTreeSet<&DomainName>))| {
             let key = format!("{name}/{group}");
-            (group, ranked.holders_of(&key, wanted, &domains))
+            (group, hashed.holders_of(&key, count, &domains))
         };
         Self {
             groups: groups.into_iter().map(plan).collect(),
@@ -55,18 +53,18 @@
 
     /// Returns the holders of a group, or none if it is unknown.
     #[must_use]
-    pub fn of(&self, group: u32) -> &[MemberId] {
+    pub fn holders(&self, group: u32) -> &[MemberId] {
         self.groups.get(&group).map_or(&[], Vec::as_slice)
     }
 }
 
 /// Members with the hash of their names, computed once instead of once per
 /// group.
-pub struct Ranked<'a> {
+pub struct HashedMembers<'a> {
     members: Vec<(u64, &'a Member)>,
 }
 
-impl<'a> Ranked<'a> {
+impl<'a> HashedMembers<'a> {
     /// Hashes the names of `members`.
     #[must_use]
     pub fn new(members: &'a [Member]) -> Self {
@@ -76,14 +74,14 @@
         }
     }
 
-    /// Returns the `wanted` members that hold the group `key`: the
+    /// Returns the `count` members that hold the group `key`: the
     /// highest-scoring one of each failure domain in `domains`, then the
     /// highest-scoring others.
     #[must_use]
     pub fn holders_of(
         &self,
         key: &str,
-        wanted: usize,
+        count: usize,
         domains: &BTreeSet<&DomainName>,
     ) -> Vec<MemberId> {
         let key = hash(key);
@@ -95,15 +93,15 @@
         let best = |a: &(u64, &Member), b: &(u64, &Member)| {
             b.0.cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id))
         };
-        let mut chosen: Vec<(u64, &Member)> = Vec::with_capacity(wanted);
+        let mut chosen: Vec<(u64, &Member)> = Vec::with_capacity(count);
         for domain in domains {
             let here = scored.iter().filter(|(_, m)| m.domain == **domain);
             chosen.extend(here.min_by(|a, b| best(a, b)));
         }
         chosen.sort_by(best);
-        chosen.truncate(wanted);
+        chosen.truncate(count);
         // Avoids sorting all members when only the first few are needed.
-        let kept = (wanted + chosen.len()).min(scored.len());
+        let kept = (count + chosen.len()).min(scored.len());
         if kept < scored.len() {
             scored.select_nth_unstable_by(kept, best);
             scored.truncate(kept);
@@ -111,7 +109,7 @@
         scored.sort_by(best);
         for candidate in scored {
             let taken = chosen.iter().any(|(_, m)| m.id == candidate.1.id);
-            if !taken && chosen.len() < wanted {
+            if !taken && chosen.len() < count {
                 chosen.push(candidate);
             }
         }
@@ -122,10 +120,13 @@
 /// Returns the members of a failure domain that watch the platform for the
 /// others.
 #[must_use]
-pub fn watchers_of<'a>(members: impl Iterator<Item = &'a Member>, wanted: usize) -> Vec<MemberId> {
+pub fn choose_watchers<'a>(
+    members: impl Iterator<Item = &'a Member>,
+    count: usize,
+) -> Vec<MemberId> {
     sort_by_score("watchers", members)
         .into_iter()
-        .take(wanted)
+        .take(count)
         .map(|member| member.id.clone())
         .collect()
 }
--- a/crates/fleet/src/carriers.rs
+++ b/crates/fleet/src/serving.rs
@@ -7,14 +7,14 @@
 /// A member that may become a serving entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<T> {
-    /// Value that [`carriers`] returns for a selected member.
+    /// Value that [`serving_entries`] returns for a selected member.
     pub id: T,
     /// Capacity in calls to leafs per second.
     pub weight: u32,
     /// Calls to leafs per second that it makes now.
     pub load: u32,
     /// Whether its failure domain has leafs of the requested service.
-    pub near: bool,
+    pub local: bool,
 }
 
 /// Required capacity as a multiple of the load: leaves capacity for lost members, bursts and
@@ -54,9 +54,13 @@
 /// local leafs sends every call of a request to another failure domain, so it serves
 /// callers only when the others lack capacity.
 #[must_use]
-pub fn carriers<T: Copy>(candidates: &[Candidate<T>], leafs: usize, min_count: usize) -> Vec<T> {
+pub fn serving_entries<T: Copy>(
+    candidates: &[Candidate<T>],
+    leafs: usize,
+    min_count: usize,
+) -> Vec<T> {
     let load: u64 = candidates.iter().map(|c| u64::from(c.load)).sum();
-    let any_local = candidates.iter().any(|candidate| candidate.near);
+    let any_local = candidates.iter().any(|candidate| candidate.local);
     let mut capacity = 0;
     let mut weakest = usize::MAX;
     let enough = |taken: usize, capacity: u64| taken >= MIN_ENTRIES && capacity >= load * HEADROOM;
@@ -71,7 +75,7 @@
             if tier > weakest || !(below_baseline || useful) {
                 break;
             }
-            if any_local && !candidate.near {
+            if any_local && !candidate.local {
                 continue;
             }
         } else {
@@ -117,7 +121,7 @@
         }
         tiers.push((tier, candidate));
     }
-    tiers.sort_by_key(|(tier, candidate)| (*tier, !candidate.near));
+    tiers.sort_by_key(|(tier, candidate)| (*tier, !candidate.local));
     tiers
 }
 
@@ -127,7 +131,7 @@
 /// Entries dropped then would still receive callers, but have no share of the budget for
 /// extra calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Held {
+pub struct DelayedDecrease {
     count: usize,
     /// When the count was last wanted.
     wanted_at: Time,
@@ -137,10 +141,10 @@
 /// reports.
 const DECREASE_DELAY: Duration = Duration::from_secs(10);
 
-impl Held {
+impl DelayedDecrease {
     /// Records the number of serving entries that the load needs and returns the number
     /// to use.
-    pub fn want(&mut self, count: usize, now: Time) -> usize {
+    pub fn update(&mut self, count: usize, now: Time) -> usize {
         if count >= self.count || now.since(self.wanted_at) >= DECREASE_DELAY {
             self.count = count;
             self.wanted_at = now;
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -11,7 +11,7 @@
 use probing::Round;
 use rand::Rng;
 
-use crate::{Change, Heir, Liveness, Member, News, View};
+use crate::{Change, GossipQueue, Heir, Liveness, Member, View};
 
 /// Parameters of the failure detector.
 #[derive(Clone, Copy, Debug)]
@@ -164,7 +164,7 @@
     config: SwimConfig,
     /// The membership list.
     pub view: View,
-    news: News,
+    queue: GossipQueue,
     probe_orders: BTreeMap<Round, Vec<MemberId>>,
     pending: BTreeMap<u64, PendingProbe>,
     relayed: BTreeMap<u64, RelayedProbe>,
@@ -180,12 +180,12 @@
     /// Creates a detector that knows only its own member.
     #[must_use]
     pub fn new(config: SwimConfig, own: Member, now: Time) -> Self {
-        let mut news = News::default();
-        news.add(own.clone());
+        let mut queue = GossipQueue::default();
+        queue.add(own.clone());
         Self {
             config,
             view: View::new(own, now),
-            news,
+            queue,
             probe_orders: BTreeMap::new(),
             pending: BTreeMap::new(),
             relayed: BTreeMap::new(),
@@ -212,19 +212,19 @@
 
     /// Returns the number of queued updates.
     #[must_use]
-    pub fn news_waiting(&self) -> usize {
-        self.news.len()
+    pub fn queued_updates(&self) -> usize {
+        self.queue.len()
     }
 
     /// Merges members from another source, such as the platform's list or a
     /// peer's full view. They are not gossiped: others have the same sources,
     /// and a new entry would otherwise resend the whole membership.
     pub fn introduce(&mut self, members: &[Member], now: Time) {
-        let queued = self.news.clone();
+        let queued = self.queue.clone();
         for member in members {
             self.apply_update(member, now);
         }
-        self.news = queued;
+        self.queue = queued;
     }
 
     /// Announces that this entry is leaving and which successor took over its
@@ -236,7 +236,7 @@
                 own.heirs.insert(own.incarnation, successor);
             }
         });
-        self.news.add(self.view.own().clone());
+        self.queue.add(self.view.own().clone());
     }
 
     /// Records the calls to leafs per second that this entry makes, and gossips
@@ -256,7 +256,7 @@
             own.load = load;
             own.beat += 1;
         });
-        self.news.add(self.view.own().clone());
+        self.queue.add(self.view.own().clone());
     }
 
     /// Marks this entry as gone. Returns the leave messages to send.
@@ -388,7 +388,7 @@
         if change != Change::None {
             self.changes.push((member.id.clone(), change));
         }
-        self.news.add(member);
+        self.queue.add(member);
     }
 
     /// Adopts successors of this member's earlier incarnations, and gossips
@@ -397,7 +397,7 @@
         let before = self.view.own().heirs.clone();
         self.view.change_own(|own| own.inherit(&update.heirs));
         if self.view.own().heirs != before {
-            self.news.add(self.view.own().clone());
+            self.queue.add(self.view.own().clone());
         }
     }
 
@@ -410,7 +410,7 @@
         if update.incarnation > own.incarnation && self.config.lives == Lives::Raised {
             let incarnation = Incarnation(update.incarnation.0 + 1);
             self.view.change_own(|own| own.incarnation = incarnation);
-            self.news.add(self.view.own().clone());
+            self.queue.add(self.view.own().clone());
             return;
         }
         if update.incarnation != own.incarnation || update.liveness == Liveness::Alive {
@@ -421,7 +421,7 @@
         }
         let beat = update.beat + 1;
         self.view.change_own(|own| own.beat = beat);
-        self.news.add(self.view.own().clone());
+        self.queue.add(self.view.own().clone());
         self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
     }
 
@@ -433,7 +433,7 @@
     fn message_with_updates(&mut self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
         let members = self.view.present().count();
         let mut probe = self.bare_message(kind, seq, status);
-        probe.news = self.news.take(self.config.news, members);
+        probe.news = self.queue.take(self.config.news, members);
         probe
     }
 
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -70,7 +70,7 @@
         let from = old.view.own().addresses.peers;
         other.receive(&request, from, Status::default(), now, &mut out);
     }
-    assert_eq!(other.news_waiting(), 0);
+    assert_eq!(other.queued_updates(), 0);
 
     let mut new = swim(member("it", 2, 60));
     let join_request = new
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnut_conf::{Leaf, Service};
-use chestnut_fleet::{Addresses, Heir, HolderPlan, Liveness, Member, Ranked, holders_wanted};
+use chestnut_fleet::{Addresses, HashedMembers, Heir, HolderPlan, Liveness, Member, holder_count};
 use chestnut_unit::{DomainName, Incarnation, LeafId, MemberId, ServiceName};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -123,7 +123,7 @@
 #[case(12, 4, 5)]
 #[case(40, 4, 60)]
 #[case(3, 4, 7)]
-fn holders_stay_within_the_connections(
+fn holders_stay_within_the_connection_limit(
     #[case] connections: u32,
     #[case] share: u32,
     #[case] members: usize,
@@ -135,9 +135,9 @@
         &make_members(members),
         share,
     );
-    let wanted = holders_wanted(connections, share);
+    let count = holder_count(connections, share);
     for holders in plan.groups.values() {
-        assert_eq!(holders.len(), wanted.min(members));
+        assert_eq!(holders.len(), count.min(members));
         let distinct: BTreeSet<&MemberId> = holders.iter().collect();
         assert_eq!(distinct.len(), holders.len());
         let used = holders.len() as u32 * share;
@@ -152,10 +152,10 @@
         .map(|n| DomainName::new(format!("d{n}")).unwrap())
         .collect();
     let members = make_members(30);
-    let ranked = Ranked::new(&members);
+    let hashed = HashedMembers::new(&members);
     let wanted: BTreeSet<&DomainName> = domains.iter().collect();
     for group in 0..50 {
-        let holders = ranked.holders_of(&format!("g{group}"), 3, &wanted);
+        let holders = hashed.holders_of(&format!("g{group}"), 3, &wanted);
         let covered: BTreeSet<&DomainName> = holders
             .iter()
             .map(|id| &members.iter().find(|m| m.id == *id).unwrap().domain)
--- a/crates/fleet/tests/carriers.rs
+++ b/crates/fleet/tests/serving.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_fleet::{Candidate, Held, carriers};
+use chestnut_fleet::{Candidate, DelayedDecrease, serving_entries};
 use chestnut_unit::Time;
 use rstest::rstest;
 
@@ -15,13 +15,13 @@
         id,
         weight,
         load,
-        near: true,
+        local: true,
     };
     members.enumerate().map(candidate).collect()
 }
 
 fn serving_count(members: impl Iterator<Item = (u32, u32)>) -> usize {
-    carriers(&candidates(members), 0, 0).len()
+    serving_entries(&candidates(members), 0, 0).len()
 }
 
 /// Guards against weak members serving callers, which makes requests over many shards
@@ -59,13 +59,13 @@
 #[case::few_requests(27, 270, 5)]
 #[case::some(50, 270, 10)]
 #[case::many(200, 270, 17)]
-fn alike_members_carry_while_each_learns(
+fn equal_members_serve_while_each_has_enough_samples(
     #[case] load: u32,
     #[case] leafs: usize,
     #[case] expected: usize,
 ) {
     let candidates = candidates(identical(17, 750, load));
-    assert_eq!(carriers(&candidates, leafs, 0).len(), expected);
+    assert_eq!(serving_entries(&candidates, leafs, 0).len(), expected);
 }
 
 /// Guards against taking idle traffic, such as health checks, for the expected load and
@@ -80,7 +80,7 @@
 ) {
     let mut candidates = candidates(identical(members, 750, 0));
     candidates[0].load = 30;
-    assert_eq!(carriers(&candidates, 270, 0).len(), expected);
+    assert_eq!(serving_entries(&candidates, 270, 0).len(), expected);
 }
 
 /// Guards against members without local leafs serving callers, and sending every call to
@@ -94,9 +94,9 @@
 ) {
     let mut candidates = candidates(identical(10, 4_000, load));
     for candidate in &mut candidates[..4] {
-        candidate.near = false;
+        candidate.local = false;
     }
-    let serving = carriers(&candidates, 0, 0);
+    let serving = serving_entries(&candidates, 0, 0);
     assert_eq!(serving.len(), expected);
     assert!((4..10).all(|id| serving.contains(&id)));
 }
@@ -104,15 +104,15 @@
 /// Guards against dropping serving entries while a load rises and callers still hold
 /// their address.
 #[test]
-fn carriers_stay_for_a_while_when_fewer_are_wanted() {
-    let mut held = Held::default();
+fn serving_entries_stay_for_a_while_when_fewer_are_wanted() {
+    let mut delayed = DelayedDecrease::default();
     let at = |seconds| Time::ZERO + Duration::from_secs(seconds);
-    assert_eq!(held.want(15, at(1)), 15);
-    assert_eq!(held.want(4, at(3)), 15);
-    assert_eq!(held.want(15, at(8)), 15);
-    assert_eq!(held.want(4, at(9)), 15);
-    assert_eq!(held.want(4, at(18)), 4);
-    assert_eq!(held.want(6, at(19)), 6);
+    assert_eq!(delayed.update(15, at(1)), 15);
+    assert_eq!(delayed.update(4, at(3)), 15);
+    assert_eq!(delayed.update(15, at(8)), 15);
+    assert_eq!(delayed.update(4, at(9)), 15);
+    assert_eq!(delayed.update(4, at(18)), 4);
+    assert_eq!(delayed.update(6, at(19)), 6);
     let few = candidates(identical(17, 750, 27));
-    assert_eq!(carriers(&few, 270, held.count()).len(), 6);
+    assert_eq!(serving_entries(&few, 270, delayed.count()).len(), 6);
 }
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -15,8 +15,8 @@
 };
 
 use chestnut_fleet::{
-    Addresses, Candidate, Change, Held, Liveness, Lives, Member, Probe, Send, Status, Swim,
-    SwimConfig, carriers,
+    Addresses, Candidate, Change, DelayedDecrease, Liveness, Lives, Member, Probe, Send, Status,
+    Swim, SwimConfig, serving_entries,
 };
 use chestnut_flow::lock;
 use chestnut_port::Probes;
@@ -59,7 +59,7 @@
     /// The last value of `steady_rate`, in calls per second.
     load: AtomicU32,
     /// Keeps the number of serving entries for a while after the load has dropped.
-    serving_count: Mutex<Held>,
+    serving_count: Mutex<DelayedDecrease>,
     probes: Arc<dyn Probes>,
 }
 
@@ -111,7 +111,7 @@
             .map(|member| self.candidate(&swim, &homes, member, member.addresses.callers))
             .collect::<Vec<_>>();
         let serving_count = lock(&self.serving_count).count();
-        let mut list = carriers(&listed, homes.leafs, serving_count);
+        let mut list = serving_entries(&listed, homes.leafs, serving_count);
         let mut rng = shared.host.rng();
         while list.len() > most {
             let at = (rng.next_u64() % list.len() as u64) as usize;
@@ -127,7 +127,7 @@
         let own = &swim.view.own().id;
         let list = self.candidates(&swim, &homes);
         let serving_count = lock(&self.serving_count).count();
-        let serving = carriers(&list, homes.leafs, serving_count);
+        let serving = serving_entries(&list, homes.leafs, serving_count);
         serving.iter().position(|member| member.id == *own)
     }
 
@@ -144,9 +144,9 @@
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
         let list = self.candidates(&swim, &homes);
-        let wanted = carriers(&list, homes.leafs, 0).len();
-        let serving_count = lock(&self.serving_count).want(wanted, shared.now());
-        let serving = carriers(&list, homes.leafs, serving_count);
+        let wanted = serving_entries(&list, homes.leafs, 0).len();
+        let serving_count = lock(&self.serving_count).update(wanted, shared.now());
+        let serving = serving_entries(&list, homes.leafs, serving_count);
         Allotment {
             carriers: serving.len().max(1),
             others: list.len() - serving.len(),
@@ -167,7 +167,7 @@
             id,
             weight: member.weight,
             load,
-            near: homes.domains.contains(&member.domain),
+            local: homes.domains.contains(&member.domain),
         }
     }
 
--- a/crates/relay/tests/allot.rs
+++ b/crates/relay/tests/allot.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_fleet::{Candidate, carriers};
+use chestnut_fleet::{Candidate, serving_entries};
 use chestnut_relay::{Allotment, ExtraCalls, Part, Rate};
 use chestnut_unit::Time;
 use rstest::rstest;
@@ -70,10 +70,10 @@
         id,
         weight: 600,
         load: 10,
-        near: true,
+        local: true,
     };
     let candidates: Vec<Candidate<u32>> = (0..ENTRIES).map(candidate).collect();
-    let count = carriers(&candidates, 0, 0).len();
+    let count = serving_entries(&candidates, 0, 0).len();
     let allotment = Allotment {
         carriers: count,
         others: ENTRIES as usize - count,
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -139,7 +139,7 @@
         let mut backends: BTreeMap<&LeafId, Vec<Ix>> = BTreeMap::new();
         let mut places = BTreeMap::new();
         for (id, leaf) in &self.object.leafs {
-            let holders = self.plan.of(leaf.group);
+            let holders = self.plan.holders(leaf.group);
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
                 let barred = self.evacuated.contains(&leaf.domain);
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use chestnut_conf::Kind;
-use chestnut_fleet::watchers_of;
+use chestnut_fleet::choose_watchers;
 use chestnut_port::PlatformError;
 use chestnut_unit::Time;
 use slog::{info, warn};
@@ -48,7 +48,7 @@
 fn is_watcher(shared: &Shared) -> bool {
     let swim = lock(&shared.swim);
     let members = swim.view.working_in(&shared.own.domain);
-    watchers_of(members, WATCHERS).contains(&shared.own.id)
+    choose_watchers(members, WATCHERS).contains(&shared.own.id)
 }
 
 /// Watches all kinds until the platform fails or the turn is over.
