--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -9,7 +9,7 @@
 
 /// When settings were last confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Confirmed {
+pub enum LastConfirmed {
     /// Not confirmed since the process started.
     Never,
     /// At this time.
@@ -36,28 +36,28 @@
 /// and refuses requests once its confirmation is too old instead of serving
 /// outdated settings.
 #[derive(Clone, Debug)]
-pub struct Confirm {
-    at: Confirmed,
+pub struct Confirmation {
+    at: LastConfirmed,
     reports: BTreeMap<MemberId, PeerReport>,
 }
 
-impl Default for Confirm {
+impl Default for Confirmation {
     fn default() -> Self {
         Self {
-            at: Confirmed::Never,
+            at: LastConfirmed::Never,
             reports: BTreeMap::new(),
         }
     }
 }
 
-impl Confirm {
+impl Confirmation {
     /// Records that the platform sent its current state at `now`.
-    pub fn platform(&mut self, now: Time) {
+    pub fn platform_synced(&mut self, now: Time) {
         self.advance(now);
     }
 
     /// Records a peer's probe, received while this entry's digest was `own`.
-    pub fn peer(&mut self, probe: &Probe, own: BookDigest, now: Time) {
+    pub fn peer_reported(&mut self, probe: &Probe, own: BookDigest, now: Time) {
         let report = PeerReport {
             at: now,
             digest: probe.digest,
@@ -74,17 +74,17 @@
 
     /// Confirms the settings during an outage of the platform if all members in
     /// `present` recently reported the digest `own` and had it confirmed before.
-    /// `present` lists all other members not known to be gone
-    /// ([`View::not_known_gone`](crate::View)). A member that only stopped
+    /// `present` lists all other members not confirmed gone
+    /// ([`View::not_confirmed_gone`](crate::View)). A member that only stopped
     /// answering counts as present, so that the minority side of a partition
     /// does not confirm itself.
-    pub fn outage<'a>(
+    pub fn confirm_in_outage<'a>(
         &mut self,
         present: impl Iterator<Item = &'a MemberId>,
         own: BookDigest,
         now: Time,
     ) {
-        if self.at == Confirmed::Never {
+        if self.at == LastConfirmed::Never {
             return;
         }
         let mut oldest = now;
@@ -106,7 +106,7 @@
     }
 
     /// Removes the report of a member that is gone.
-    pub fn forget(&mut self, member: &MemberId) {
+    pub fn remove_peer(&mut self, member: &MemberId) {
         self.reports.remove(member);
     }
 
@@ -115,18 +115,18 @@
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         match self.at {
-            Confirmed::Never => None,
-            Confirmed::At(at) => Some(now.since(at)),
+            LastConfirmed::Never => None,
+            LastConfirmed::At(at) => Some(now.since(at)),
         }
     }
 
     fn advance(&mut self, at: Time) {
         let later = match self.at {
-            Confirmed::Never => true,
-            Confirmed::At(earlier) => at > earlier,
+            LastConfirmed::Never => true,
+            LastConfirmed::At(earlier) => at > earlier,
         };
         if later {
-            self.at = Confirmed::At(at);
+            self.at = LastConfirmed::At(at);
         }
     }
 }
--- a/crates/fleet/src/entries.rs
+++ b/crates/fleet/src/entries.rs
@@ -36,7 +36,7 @@
     let own = &swim.view.own().id;
     let mut keyed: Vec<(bool, u32, u64, Entry)> = swim
         .view
-        .working()
+        .accepting_work()
         .map(|member| {
             let load = if member.id == *own {
                 own_load
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseReply {
     /// The write took effect at this revision.
-    Taken(u64),
+    Applied(u64),
     /// The lease has another revision.
     Conflict(LeaseRecord),
     /// No answer: the write may have taken effect, may do so later, or never.
@@ -84,12 +84,12 @@
     pub term: Duration,
     /// Time between two holders during which nobody may use the share, because calls made
     /// under the old lease still count.
-    pub settle: Duration,
+    pub grace: Duration,
 }
 
 /// Number of leases that a limit is split into. Few, so that each share of a small limit
 /// stays usable; more than one, so that a crashed holder blocks only a part.
-pub const LEASES: u8 = 4;
+pub const LEASE_COUNT: u8 = 4;
 
 /// Divisor of the term after which a lease is renewed; leaves time to repeat lost renewals.
 const RENEWALS: u32 = 3;
@@ -143,7 +143,7 @@
         Self {
             times,
             own,
-            first_tried: (start % u64::from(LEASES)) as u8,
+            first_tried: (start % u64::from(LEASE_COUNT)) as u8,
             observed: BTreeMap::new(),
             listed_at: None,
             holding: None,
@@ -153,7 +153,7 @@
 
     /// Returns the lease whose share may be used at `now`, and when it expires.
     #[must_use]
-    pub fn held(&self, now: Time) -> Option<(LeaseId, Time)> {
+    pub fn valid_lease(&self, now: Time) -> Option<(LeaseId, Time)> {
         let holding = self.holding.as_ref()?;
         let valid = holding.release_at.is_none() && now < holding.until;
         valid.then_some((holding.id, holding.until))
@@ -167,7 +167,7 @@
 
     /// Returns the call to make now, if any. The caller must have at most one call in
     /// flight.
-    pub fn next(&mut self, wanted: bool, now: Time) -> Option<LeaseCall> {
+    pub fn next_call(&mut self, wanted: bool, now: Time) -> Option<LeaseCall> {
         if now < self.backoff_until {
             return None;
         }
@@ -187,7 +187,7 @@
                 })
             }
             (Some(holding), false) => {
-                let release_at = *holding.release_at.get_or_insert(now + self.times.settle);
+                let release_at = *holding.release_at.get_or_insert(now + self.times.grace);
                 (now >= release_at).then_some(LeaseCall::Write {
                     id: holding.id,
                     expected: Some(holding.revision),
@@ -206,7 +206,7 @@
         if !recent {
             return Some(LeaseCall::List);
         }
-        let order = (0..LEASES).map(|n| LeaseId((self.first_tried + n) % LEASES));
+        let order = (0..LEASE_COUNT).map(|n| LeaseId((self.first_tried + n) % LEASE_COUNT));
         let mut available = order.filter_map(|id| Some((id, self.observed.get(&id)?)));
         available
             .find(|(_, observed)| self.is_available(observed, now))
@@ -229,17 +229,17 @@
     /// Returns when the lease has expired for its holder and calls made under it no longer
     /// count.
     fn available_at(&self, observed: &Observed) -> Time {
-        observed.first_seen + self.times.term + self.times.settle
+        observed.first_seen + self.times.term + self.times.grace
     }
 
     /// Records the leases that the store listed.
-    pub fn listed(&mut self, records: Vec<LeaseRecord>, now: Time) {
+    pub fn on_list(&mut self, records: Vec<LeaseRecord>, now: Time) {
         self.listed_at = Some(now);
         let mut records: BTreeMap<LeaseId, LeaseRecord> = records
             .into_iter()
             .map(|record| (record.id, record))
             .collect();
-        for id in (0..LEASES).map(LeaseId) {
+        for id in (0..LEASE_COUNT).map(LeaseId) {
             let record = records.remove(&id);
             let revision = record.as_ref().map(|record| record.revision);
             self.observe(id, record.and_then(|record| record.owner), revision, now);
@@ -263,7 +263,7 @@
     }
 
     /// Records the outcome of a write that was sent at `sent`.
-    pub fn answered(
+    pub fn on_reply(
         &mut self,
         id: LeaseId,
         owner: Option<Owner>,
@@ -272,7 +272,7 @@
         now: Time,
     ) {
         match reply {
-            LeaseReply::Taken(revision) => {
+            LeaseReply::Applied(revision) => {
                 self.observe(id, owner.clone(), Some(revision), now);
                 self.holding = owner.map(|_| Holding {
                     id,
@@ -295,16 +295,16 @@
                     }
                 }
             }
-            LeaseReply::Unknown => self.failed(now),
+            LeaseReply::Unknown => self.on_failure(now),
         }
     }
 
     /// Records that a call failed and starts the backoff.
-    pub fn failed(&mut self, now: Time) {
+    pub fn on_failure(&mut self, now: Time) {
         self.backoff_until = now + RETRY_BACKOFF;
     }
 
-    /// Returns when [`Leases::next`] may next return a call.
+    /// Returns when [`Leases::next_call`] may next return a call.
     #[must_use]
     pub fn wake(&self, wanted: bool, now: Time) -> Time {
         let due = match (&self.holding, wanted) {
@@ -331,8 +331,8 @@
     /// Returns the share of `limit` that belongs to the lease. The shares of all leases add
     /// up to `limit`.
     #[must_use]
-    pub fn part(self, limit: u32) -> u32 {
-        let leases = u32::from(LEASES);
+    pub fn share(self, limit: u32) -> u32 {
+        let leases = u32::from(LEASE_COUNT);
         (limit + leases - 1 - u32::from(self.0)) / leases
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -26,11 +26,13 @@
 mod swim;
 mod view;
 
-pub use confirm::{Confirm, Confirmed};
+pub use confirm::{Confirmation, LastConfirmed};
 pub use entries::{Entry, order_entries};
 pub use gossip::GossipQueue;
-pub use lease::{LEASES, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner};
-pub use member::{Addresses, Heir, Liveness, Member};
+pub use lease::{
+    LEASE_COUNT, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner,
+};
+pub use member::{Addresses, Liveness, Member, Successor};
 pub use placement::{HashedMembers, HolderPlan, choose_watchers, holder_count};
 pub use serving::{Candidate, DelayedDecrease, serving_entries};
 pub use swim::{Lives, Probe, ProbeKind, Send, Status, Swim, SwimConfig};
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! The state of one member, and how two versions of it are merged.
+//! The state of one member, and how two copies of it are merged.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -39,7 +39,7 @@
     pub incarnation: Incarnation,
     /// Version within the incarnation, raised only by the member itself, to
     /// refute a suspicion or to publish a new load.
-    pub beat: u32,
+    pub version: u32,
     /// Health as the failure detector sees it.
     pub liveness: Liveness,
     /// Whether it has announced that it is leaving.
@@ -50,18 +50,18 @@
     /// only.
     pub load: u32,
     /// Successors that took over the tickets of its present and earlier
-    /// incarnations. A ticket is a permit for one submission, kept by the entry
+    /// incarnations. A ticket is a permit for one submission, owned by the entry
     /// that issued it.
-    pub heirs: BTreeMap<Incarnation, Heir>,
+    pub successors: BTreeMap<Incarnation, Successor>,
 }
 
 /// The incarnation of a member that took over the tickets of another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Heir {
+pub struct Successor {
     /// Name of the member.
     pub member: MemberId,
     /// Incarnation of its process.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Incarnations whose successors are kept, enough for several restarts within
@@ -82,40 +82,40 @@
             domain,
             addresses,
             incarnation,
-            beat: 0,
+            version: 0,
             liveness: Liveness::Alive,
             leaving: false,
             weight: 0,
             load: 0,
-            heirs: BTreeMap::new(),
+            successors: BTreeMap::new(),
         }
     }
 
     /// Whether it accepts new work.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.liveness != Liveness::Gone && !self.leaving
     }
 
-    /// Merges another version of the same member's state and returns whether
+    /// Merges another copy of the same member's state and returns whether
     /// that changed anything.
     ///
     /// A later incarnation replaces an earlier one. Within an incarnation the
-    /// higher beat wins, then the worse liveness; leaving and successors are
+    /// higher version wins, then the worse liveness; leaving and successors are
     /// never revoked. The merge is commutative, associative and idempotent, so
     /// members that received the same updates in any order hold the same state.
     pub fn merge(&mut self, other: &Member) -> bool {
         let before = self.clone();
         if other.incarnation > self.incarnation {
-            let successors = std::mem::take(&mut self.heirs);
+            let successors = std::mem::take(&mut self.successors);
             *self = other.clone();
-            self.inherit(&successors);
+            self.add_successors(&successors);
             return true;
         }
-        self.inherit(&other.heirs);
+        self.add_successors(&other.successors);
         if other.incarnation == self.incarnation {
-            if (other.beat, other.liveness) > (self.beat, self.liveness) {
-                self.beat = other.beat;
+            if (other.version, other.liveness) > (self.version, self.liveness) {
+                self.version = other.version;
                 self.liveness = other.liveness;
                 self.load = other.load;
             }
@@ -126,14 +126,14 @@
 
     /// Adds successors of this and earlier incarnations, dropping those of the
     /// oldest.
-    pub fn inherit(&mut self, successors: &BTreeMap<Incarnation, Heir>) {
+    pub fn add_successors(&mut self, successors: &BTreeMap<Incarnation, Successor>) {
         for (incarnation, successor) in successors {
-            self.heirs
+            self.successors
                 .entry(*incarnation)
                 .or_insert_with(|| successor.clone());
         }
-        while self.heirs.len() > MAX_SUCCESSORS {
-            self.heirs.pop_first();
+        while self.successors.len() > MAX_SUCCESSORS {
+            self.successors.pop_first();
         }
     }
 }
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -11,7 +11,7 @@
 use probing::Round;
 use rand::Rng;
 
-use crate::{Change, GossipQueue, Heir, Liveness, Member, View};
+use crate::{Change, GossipQueue, Liveness, Member, Successor, View};
 
 /// Parameters of the failure detector.
 #[derive(Clone, Copy, Debug)]
@@ -229,11 +229,11 @@
 
     /// Announces that this entry is leaving and which successor took over its
     /// tickets.
-    pub fn leave(&mut self, successor: Option<Heir>) {
+    pub fn leave(&mut self, successor: Option<Successor>) {
         self.view.change_own(|own| {
             own.leaving = true;
             if let Some(successor) = successor {
-                own.heirs.insert(own.incarnation, successor);
+                own.successors.insert(own.incarnation, successor);
             }
         });
         self.queue.add(self.view.own().clone());
@@ -254,7 +254,7 @@
         }
         self.view.change_own(|own| {
             own.load = load;
-            own.beat += 1;
+            own.version += 1;
         });
         self.queue.add(self.view.own().clone());
     }
@@ -394,15 +394,16 @@
     /// Adopts successors of this member's earlier incarnations, and gossips
     /// them.
     fn adopt_successors(&mut self, update: &Member) {
-        let before = self.view.own().heirs.clone();
-        self.view.change_own(|own| own.inherit(&update.heirs));
-        if self.view.own().heirs != before {
+        let before = self.view.own().successors.clone();
+        self.view
+            .change_own(|own| own.add_successors(&update.successors));
+        if self.view.own().successors != before {
             self.queue.add(self.view.own().clone());
         }
     }
 
     /// Refutes an update that declares this entry suspect or gone by raising
-    /// the beat. Updates about earlier incarnations need no refutation, since
+    /// the version. Updates about earlier incarnations need no refutation, since
     /// the present one overrides them. A later incarnation is answered by
     /// taking a higher one, if so configured.
     fn refute(&mut self, update: &Member) {
@@ -416,11 +417,11 @@
         if update.incarnation != own.incarnation || update.liveness == Liveness::Alive {
             return;
         }
-        if update.beat < own.beat || own.liveness == Liveness::Gone {
+        if update.version < own.version || own.liveness == Liveness::Gone {
             return;
         }
-        let beat = update.beat + 1;
-        self.view.change_own(|own| own.beat = beat);
+        let version = update.version + 1;
+        self.view.change_own(|own| own.version = version);
         self.queue.add(self.view.own().clone());
         self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -123,7 +123,7 @@
 
     /// Marks members that are gone and not in the platform's list of live VMs
     /// as confirmed gone.
-    pub fn dismiss_absent(&mut self, live: &BTreeSet<MemberId>) {
+    pub fn confirm_absent_gone(&mut self, live: &BTreeSet<MemberId>) {
         for (id, record) in &mut self.members {
             if record.member.liveness == Liveness::Gone && !live.contains(id) {
                 record.unlisted = true;
@@ -133,7 +133,7 @@
 
     /// Returns the other members that neither they themselves nor the platform
     /// reported as gone, whether they answer or not.
-    pub fn not_known_gone(&self) -> impl Iterator<Item = &Member> {
+    pub fn not_confirmed_gone(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
             .filter(|record| record.member.id != self.own && !record.confirmed_gone())
@@ -149,8 +149,8 @@
     }
 
     /// Returns all members that accept new work, this entry included.
-    pub fn working(&self) -> impl Iterator<Item = &Member> {
-        self.present().filter(|member| member.takes_work())
+    pub fn accepting_work(&self) -> impl Iterator<Item = &Member> {
+        self.present().filter(|member| member.accepts_work())
     }
 
     /// Returns all members that are not gone, except this entry.
@@ -164,27 +164,30 @@
     }
 
     /// Returns the members of a failure domain that accept new work.
-    pub fn working_in<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a Member> {
-        self.working()
+    pub fn accepting_work_in<'a>(
+        &'a self,
+        domain: &'a DomainName,
+    ) -> impl Iterator<Item = &'a Member> {
+        self.accepting_work()
             .filter(move |member| member.domain == *domain)
     }
 
-    /// Returns the member that keeps the tickets that `issuer` issued in
+    /// Returns the member that owns the tickets that `issuer` issued in
     /// `incarnation`: that member itself, or the successor that took them over.
     /// An incarnation newer than the known one counts as the present one; the
     /// member decides when asked.
     #[must_use]
-    pub fn keeper_of(&self, issuer: &MemberId, incarnation: Incarnation) -> Option<&Member> {
+    pub fn ticket_owner(&self, issuer: &MemberId, incarnation: Incarnation) -> Option<&Member> {
         let (mut id, mut incarnation) = (issuer, incarnation);
         for _ in 0..self.members.len() {
             let member = self.get(id)?;
-            if let Some(successor) = member.heirs.get(&incarnation) {
-                (id, incarnation) = (&successor.member, successor.life);
+            if let Some(successor) = member.successors.get(&incarnation) {
+                (id, incarnation) = (&successor.member, successor.incarnation);
                 continue;
             }
-            let keeps_tickets =
+            let owns_tickets =
                 member.incarnation <= incarnation && member.liveness != Liveness::Gone;
-            return keeps_tickets.then_some(member);
+            return owns_tickets.then_some(member);
         }
         None
     }
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -48,7 +48,7 @@
 /// Guards against ignoring a member that restarted with a lower incarnation
 /// because its clock jumped back: callers would never be sent to it again.
 #[test]
-fn a_member_whose_clock_jumped_back_is_believed_again() {
+fn a_member_whose_clock_jumped_back_is_accepted_again() {
     let now = Time::from_millis(1000);
     let mut other = swim(member("other", 1, 50));
     let mut old = swim(member("it", 2, 100));
@@ -60,7 +60,7 @@
         .probe;
     exchange(&mut old, &mut other, join_request, now);
     let id = MemberId::new("it").unwrap();
-    assert!(!other.view.get(&id).unwrap().takes_work());
+    assert!(!other.view.get(&id).unwrap().accepts_work());
     // Exhausts the gossip about the leave before the new incarnation starts.
     let request = old
         .knock(other.view.own().addresses.peers, Status::default())
@@ -84,5 +84,5 @@
     for send in out {
         exchange(&mut new, &mut other, send.probe, now);
     }
-    assert!(other.view.get(&id).unwrap().takes_work());
+    assert!(other.view.get(&id).unwrap().accepts_work());
 }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -7,7 +7,7 @@
 };
 
 use chestnut_fleet::{
-    LEASES, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner,
+    LEASE_COUNT, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner,
 };
 use chestnut_unit::Time;
 use rand::{RngExt, SeedableRng};
@@ -19,7 +19,7 @@
 const WINDOW: Duration = Duration::from_secs(1);
 const TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_millis(1500),
-    settle: Duration::from_millis(1250),
+    grace: Duration::from_millis(1250),
 };
 
 /// A call in flight to the store, and its answer.
@@ -49,7 +49,7 @@
     paused_until: Time,
     /// Until when it is partitioned from the store.
     partitioned_until: Time,
-    /// Calls to the leaf within the settling time.
+    /// Calls to the leaf within the grace period.
     calls: VecDeque<Time>,
 }
 
@@ -144,8 +144,8 @@
     }
 
     fn holder(&self) -> Option<usize> {
-        let held = |entry: &Entry| entry.leases.held(self.now).is_some();
-        self.entries.iter().position(held)
+        let has_lease = |entry: &Entry| entry.leases.valid_lease(self.now).is_some();
+        self.entries.iter().position(has_lease)
     }
 
     fn step(&mut self, faults: bool) {
@@ -191,7 +191,7 @@
                     if known == *expected {
                         self.revision += 1;
                         self.store.insert(*id, (self.revision, owner.clone()));
-                        Answer::Write(LeaseReply::Taken(self.revision))
+                        Answer::Write(LeaseReply::Applied(self.revision))
                     } else {
                         let record = records(&self.store).into_iter().find(|r| r.id == *id);
                         Answer::Write(record.map_or(LeaseReply::Unknown, LeaseReply::Conflict))
@@ -227,13 +227,13 @@
             entry.busy = false;
             let answer = if due { request.answer.take() } else { None };
             match (answer, &request.call) {
-                (Some(Answer::List(list)), _) => entry.leases.listed(list, now),
+                (Some(Answer::List(list)), _) => entry.leases.on_list(list, now),
                 (Some(Answer::Write(reply)), LeaseCall::Write { id, owner, .. }) => {
                     let (id, owner) = (*id, owner.clone());
-                    entry.leases.answered(id, owner, reply, request.sent, now);
+                    entry.leases.on_reply(id, owner, reply, request.sent, now);
                 }
                 _ => {
-                    entry.leases.failed(now);
+                    entry.leases.on_failure(now);
                     if request.answer.is_none() {
                         remaining.push(request);
                     }
@@ -260,16 +260,16 @@
         if entry.paused_until > now {
             return;
         }
-        if let Some((id, _)) = entry.leases.held(now) {
+        if let Some((id, _)) = entry.leases.valid_lease(now) {
             while entry
                 .calls
                 .front()
-                .is_some_and(|at| now.since(*at) >= TIMES.settle)
+                .is_some_and(|at| now.since(*at) >= TIMES.grace)
             {
                 entry.calls.pop_front();
             }
             // Uses the whole share, the worst case.
-            while entry.calls.len() < id.part(limit) as usize {
+            while entry.calls.len() < id.share(limit) as usize {
                 entry.calls.push_back(now);
                 self.calls.push_back(now);
                 self.total += 1;
@@ -278,7 +278,7 @@
         if entry.busy || entry.leases.wake(entry.wanted, now) > now {
             return;
         }
-        let Some(call) = entry.leases.next(entry.wanted, now) else {
+        let Some(call) = entry.leases.next_call(entry.wanted, now) else {
             return;
         };
         entry.busy = true;
@@ -344,7 +344,7 @@
     for _ in 0..300 {
         world.step(false);
     }
-    // The settling time is a quarter longer than the window.
+    // The grace period is a quarter longer than the window.
     assert!(
         world.total >= 14 * 3 * 4 / 5,
         "{} calls in 3 s",
@@ -356,7 +356,7 @@
 #[test]
 fn shares_add_up_to_the_limit() {
     for limit in 0..200 {
-        let shares = (0..LEASES).map(|id| LeaseId(id).part(limit));
+        let shares = (0..LEASE_COUNT).map(|id| LeaseId(id).share(limit));
         assert_eq!(shares.sum::<u32>(), limit);
     }
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnut_conf::{Leaf, Service};
-use chestnut_fleet::{Addresses, HashedMembers, Heir, HolderPlan, Liveness, Member, holder_count};
+use chestnut_fleet::{
+    Addresses, HashedMembers, HolderPlan, Liveness, Member, Successor, holder_count,
+};
 use chestnut_unit::{DomainName, Incarnation, LeafId, MemberId, ServiceName};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -31,19 +33,19 @@
         any::<bool>(),
         prop::option::of(1u64..4),
     )
-        .prop_map(|(incarnation, beat, liveness, leaving, successor)| {
+        .prop_map(|(incarnation, version, liveness, leaving, successor)| {
             let mut update = member(1, 0);
             update.incarnation = Incarnation(incarnation);
-            update.beat = beat;
+            update.version = version;
             update.liveness =
                 [Liveness::Alive, Liveness::Suspect, Liveness::Gone][liveness as usize];
             update.leaving = leaving;
             if let Some(of) = successor {
-                let successor = Heir {
+                let successor = Successor {
                     member: MemberId::new(format!("h{of}")).unwrap(),
-                    life: Incarnation(of),
+                    incarnation: Incarnation(of),
                 };
-                update.heirs.insert(Incarnation(of), successor);
+                update.successors.insert(Incarnation(of), successor);
             }
             update
         })
--- a/crates/port/src/peer.rs
+++ b/crates/port/src/peer.rs
@@ -138,7 +138,7 @@
     /// Leaves a copy of a batch of refusal records, JSON, with a peer.
     fn records(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>>;
 
-    /// Hands tickets to an heir, and returns the life that took them over.
+    /// Hands tickets to a successor, and returns the incarnation that took them over.
     fn adopt(
         &self,
         to: SocketAddr,
@@ -173,6 +173,6 @@
     fn records(&self, batch: &[u8]);
 
     /// Takes over the tickets of a peer that leaves, and returns this entry's
-    /// life.
+    /// incarnation.
     fn adopt(&self, tickets: Vec<Handed>) -> Incarnation;
 }
--- a/crates/port/src/peer_serve.rs
+++ b/crates/port/src/peer_serve.rs
@@ -112,8 +112,8 @@
         mut results: peer::AdoptResults,
     ) -> Result<(), Error> {
         let tickets = wire::get_handed(params.get()?.get_tickets()?)?;
-        let life = self.service.adopt(tickets);
-        results.get().set_life(life.0);
+        let incarnation = self.service.adopt(tickets);
+        results.get().set_life(incarnation.0);
         Ok(())
     }
 }
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -6,7 +6,7 @@
 use capnp::{message::ReaderOptions, struct_list, text};
 use chestnut_book::BookVersion;
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
-use chestnut_fleet::{Addresses, Heir, Liveness, Member, Probe, ProbeKind};
+use chestnut_fleet::{Addresses, Liveness, Member, Probe, ProbeKind, Successor};
 use chestnut_once::{Handed, Outcome, Ticket};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
 use chestnut_route::{Failure, Refusal};
@@ -62,7 +62,7 @@
     to.set_operators(member.addresses.operators.to_string().as_str());
     to.set_peers(member.addresses.peers.to_string().as_str());
     to.set_incarnation(member.incarnation.0);
-    to.set_beat(member.beat);
+    to.set_beat(member.version);
     to.set_liveness(match member.liveness {
         Liveness::Alive => schema::Liveness::Alive,
         Liveness::Suspect => schema::Liveness::Suspect,
@@ -71,12 +71,12 @@
     to.set_leaving(member.leaving);
     to.set_weight(member.weight);
     to.set_load(member.load);
-    let mut heirs = to.init_heirs(member.heirs.len() as u32);
-    for (at, (of, heir)) in (0u32..).zip(&member.heirs) {
-        let mut item = heirs.reborrow().get(at);
+    let mut successors = to.init_heirs(member.successors.len() as u32);
+    for (at, (of, successor)) in (0u32..).zip(&member.successors) {
+        let mut item = successors.reborrow().get(at);
         item.set_of(of.0);
-        item.set_member(heir.member.as_str());
-        item.set_life(heir.life.0);
+        item.set_member(successor.member.as_str());
+        item.set_life(successor.incarnation.0);
     }
 }
 
@@ -91,7 +91,7 @@
             peers: address(from.get_peers()?)?,
         },
         incarnation: Incarnation(from.get_incarnation()),
-        beat: from.get_beat(),
+        version: from.get_beat(),
         liveness: match from.get_liveness()? {
             schema::Liveness::Alive => Liveness::Alive,
             schema::Liveness::Suspect => Liveness::Suspect,
@@ -100,20 +100,20 @@
         leaving: from.get_leaving(),
         weight: from.get_weight(),
         load: from.get_load(),
-        heirs: from
+        successors: from
             .get_heirs()?
             .iter()
-            .map(get_heir)
+            .map(get_successor)
             .collect::<Read<_>>()?,
     })
 }
 
-fn get_heir(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Heir)> {
-    let heir = Heir {
+fn get_successor(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Successor)> {
+    let successor = Successor {
         member: parse(from.get_member()?)?,
-        life: Incarnation(from.get_life()),
+        incarnation: Incarnation(from.get_life()),
     };
-    Ok((Incarnation(from.get_of()), heir))
+    Ok((Incarnation(from.get_of()), successor))
 }
 
 pub(crate) fn put_members(
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/cases.rs
@@ -20,9 +20,14 @@
         peers: address(8224),
     };
     let id = MemberId::new(format!("front-westland-north-{n}")).unwrap();
-    let life = Incarnation(1_790_000_000_000 + u64::from(n));
-    let mut member = Member::starting(id, "westland-north".parse().unwrap(), addresses, life);
-    (member.weight, member.load, member.beat) = (12_345, 6_789, n);
+    let incarnation = Incarnation(1_790_000_000_000 + u64::from(n));
+    let mut member = Member::starting(
+        id,
+        "westland-north".parse().unwrap(),
+        addresses,
+        incarnation,
+    );
+    (member.weight, member.load, member.version) = (12_345, 6_789, n);
     member
 }
 
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use chestnut_fleet::{
-    LEASES, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner,
+    LEASE_COUNT, LeaseCall, LeaseId, LeaseRecord, LeaseReply, LeaseTimes, Leases, Owner,
 };
 use chestnut_flow::lock;
 use chestnut_port::FeedError;
@@ -46,11 +46,11 @@
 /// Term of a lease, and the time for which calls sent under it count.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_millis(1500),
-    settle: COLD_WINDOW,
+    grace: COLD_WINDOW,
 };
 /// Serving entries that compete for leases: as many again as there are leases, as standby.
 /// The limit keeps calls to the store independent of the number of entries.
-const MAX_CANDIDATES: usize = 2 * LEASES as usize;
+const MAX_CANDIDATES: usize = 2 * LEASE_COUNT as usize;
 /// Interval at which an entry checks whether it is a candidate.
 const CANDIDATE_RECHECK: Duration = Duration::from_millis(500);
 /// Least time between two decisions that no notification triggered.
@@ -111,7 +111,7 @@
         let bound = endpoint.and_then(|endpoint| self.cold_rate_limit(&endpoint.service));
         match (bound, self.cold.lease) {
             (Some(bound), Some(lease)) => Permit {
-                calls: lease.id.part(bound),
+                calls: lease.id.share(bound),
                 until: lease.until,
             },
             _ => Permit::default(),
@@ -190,7 +190,7 @@
             && members
                 .carrier_rank(&shared)
                 .is_some_and(|at| at < MAX_CANDIDATES);
-        if let Some(call) = leases.next(wanted, now) {
+        if let Some(call) = leases.next_call(wanted, now) {
             call_store(&shared, &*store, &mut leases, call).await;
             continue;
         }
@@ -217,10 +217,10 @@
     let (sent, suspended) = (shared.now(), shared.host.clock.slept());
     match call {
         LeaseCall::List => match store.list().await {
-            Ok(list) => leases.listed(list, shared.now()),
+            Ok(list) => leases.on_list(list, shared.now()),
             Err(error) => {
                 warn!(shared.host.log, "hold: can't read the leases of cold leafs"; "why" => %error);
-                leases.failed(shared.now());
+                leases.on_failure(shared.now());
             }
         },
         LeaseCall::Write {
@@ -234,7 +234,7 @@
                 LeaseReply::Unknown
             });
             let (before, owner_wanted) = (leases.is_holding(), owner.is_some());
-            leases.answered(id, owner, reply, sent, shared.now());
+            leases.on_reply(id, owner, reply, sent, shared.now());
             record_lease(shared, leases, suspended);
             let after = leases.is_holding();
             let event = match (before, after, owner_wanted) {
@@ -252,7 +252,7 @@
 fn record_lease(shared: &Shared, leases: &Leases, suspended: Duration) {
     let now = shared.now();
     let mut state = lock(&shared.cell.state);
-    let held = leases.held(now);
+    let held = leases.valid_lease(now);
     let known = state.extra.cold.lease;
     state.extra.cold.lease = held.map(|(id, until)| match known {
         // The lease was not renewed, so its suspended time must not move forward either.
@@ -271,7 +271,7 @@
 fn update_permits(shared: &Shared, leases: &Leases, now: Time) {
     let mut state = lock(&shared.cell.state);
     let state = &mut *state;
-    if leases.held(now).is_none() {
+    if leases.valid_lease(now).is_none() {
         state.extra.cold.lease = None;
     }
     state.extra.cold.leafs.retain(|_, until| now < *until);
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -97,7 +97,7 @@
         let own_serves = shared.phase() == Phase::Serving;
         let known = swim
             .view
-            .working()
+            .accepting_work()
             .filter(is_started)
             .filter(|member| member.id != *own || own_serves);
         let known = interleave_domains(known);
@@ -186,10 +186,10 @@
         listed.filter(is_gone).cloned().collect()
     }
 
-    /// Whether this entry has the lowest id of the working members.
+    /// Whether this entry has the lowest id of the members that accept work.
     pub(crate) fn has_lowest_id(&self, shared: &Shared) -> bool {
         let swim = lock(&self.swim);
-        let first = swim.view.working().map(|member| &member.id).min();
+        let first = swim.view.accepting_work().map(|member| &member.id).min();
         first == Some(&shared.settings.entry.member)
     }
 
--- a/crates/relay/src/ranked.rs
+++ b/crates/relay/src/ranked.rs
@@ -26,10 +26,10 @@
     /// Ranks `own` and the live entries among `others`.
     pub(crate) fn new<'a>(own: &'a Member, others: impl Iterator<Item = &'a Member>) -> Self {
         let mut domains: BTreeMap<&DomainName, Vec<&Member>> = BTreeMap::new();
-        let working = others
+        let accepting = others
             .chain([own])
-            .filter(|member| member.takes_work() && member.liveness == Liveness::Alive);
-        for member in working {
+            .filter(|member| member.accepts_work() && member.liveness == Liveness::Alive);
+        for member in accepting {
             domains.entry(&member.domain).or_default().push(member);
         }
         for members in domains.values_mut() {
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -570,7 +570,7 @@
                 revision,
             };
             stored.leases.insert(id, record);
-            Ok(LeaseReply::Taken(revision))
+            Ok(LeaseReply::Applied(revision))
         }
         .boxed()
     }
--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/boot.rs
@@ -26,7 +26,7 @@
             break;
         }
         read_peers(&shared).await;
-        if lock(&shared.conf).confirm.age(shared.now()).is_some() {
+        if lock(&shared.conf).confirmation.age(shared.now()).is_some() {
             break;
         }
         sleep(RETRY).await;
@@ -80,7 +80,7 @@
             .filter(|member| swim.view.get(&member.id).is_none())
             .collect();
         swim.introduce(&unknown, shared.now());
-        swim.view.dismiss_absent(&live);
+        swim.view.confirm_absent_gone(&live);
     }
     gossip::take_changes(shared);
     let leaving = leafs::take_list(shared, &vms);
@@ -99,7 +99,7 @@
 /// own mark, so this only shortens the time.
 const PEERS_TOLD: usize = 16;
 
-/// A member as the list introduces it: its life is not known, so anything it
+/// A member as the list introduces it: its incarnation is not known, so anything it
 /// says of itself overrides this.
 fn member_of(vm: &Vm) -> Option<Member> {
     let [callers, operators, peers] = vm.addresses?;
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -37,18 +37,21 @@
     let present = {
         let mut swim = lock(&shared.swim);
         swim.tick(status, now, &mut rng, out);
-        let ids = swim.view.not_known_gone().map(|m| m.id.clone());
+        let ids = swim.view.not_confirmed_gone().map(|m| m.id.clone());
         ids.collect::<Vec<_>>()
     };
     let mut conf = lock(&shared.conf);
-    conf.confirm.outage(present.iter(), status.digest, now);
+    conf.confirmation
+        .confirm_in_outage(present.iter(), status.digest, now);
 }
 
 fn receive(shared: &Shared, probe: &Probe, from: SocketAddr, out: &mut Vec<Send>) {
     let now = shared.now();
     let status = shared.status();
     lock(&shared.swim).receive(probe, from, status, now, out);
-    lock(&shared.conf).confirm.peer(probe, status.digest, now);
+    lock(&shared.conf)
+        .confirmation
+        .peer_reported(probe, status.digest, now);
     if probe.digest != status.digest {
         let differs = Differs {
             peer: probe.from.addresses.peers,
@@ -74,7 +77,7 @@
         info!(shared.host.log, "fleet: {id} {word}");
         moved |= change != Change::Suspected;
         if change == Change::Gone {
-            lock(&shared.conf).confirm.forget(&id);
+            lock(&shared.conf).confirmation.remove_peer(&id);
         }
     }
     if moved {
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -70,7 +70,7 @@
 pub(crate) fn place_all(shared: &Shared) -> Held {
     let (services, layouts) = objects(shared);
     let evacuated = lock(&shared.conf).book.evacuated();
-    let members: Vec<Member> = lock(&shared.swim).view.working().cloned().collect();
+    let members: Vec<Member> = lock(&shared.swim).view.accepting_work().cloned().collect();
     let names: BTreeSet<ServiceName> = services.keys().cloned().collect();
     shared.drop_services(&names);
     let mut held = Held::new();
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -57,7 +57,7 @@
     }
     let now = shared.now();
     let mut conf = lock(&shared.conf);
-    let age = conf.confirm.age(now);
+    let age = conf.confirmation.age(now);
     let policy = conf.policy(org);
     drop(conf);
     let Some(policy) = policy else {
@@ -106,7 +106,7 @@
     if !policy.may_refuse(Reason::OrgLimit) {
         return Ok(None);
     }
-    let entries = lock(&shared.swim).view.working().count();
+    let entries = lock(&shared.swim).view.accepting_work().count();
     let now = shared.now();
     let entered = lock(&shared.gates).enter(org, &ground.policy.limits, entries, now);
     match entered {
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -10,7 +10,7 @@
 
 use chestnut_audit::{CheckKey, Copies, Journal, JournalConfig};
 use chestnut_conf::{Book, BookDigest, Kind, OrgPolicy, Settings};
-use chestnut_fleet::{Confirm, Entry, Member, Status, Swim, SwimConfig, order_entries};
+use chestnut_fleet::{Confirmation, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
 use chestnut_flow::{Host, Trace};
 use chestnut_once::{Keeper, KeeperConfig};
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub(crate) struct Conf {
     pub(crate) book: Book,
-    pub(crate) confirm: Confirm,
+    pub(crate) confirmation: Confirmation,
     read: BTreeMap<Kind, KindRead>,
     policies: BTreeMap<OrgName, Option<Arc<OrgPolicy>>>,
 }
@@ -74,8 +74,8 @@
         self.read.insert(kind, KindRead { revision, asked });
         let both = [Kind::Template, Kind::Organisation].map(|kind| self.read.get(&kind));
         if let [Some(templates), Some(organisations)] = both {
-            self.confirm
-                .platform(templates.asked.min(organisations.asked));
+            self.confirmation
+                .platform_synced(templates.asked.min(organisations.asked));
         }
     }
 
@@ -256,7 +256,7 @@
         let conf = lock(&self.conf);
         Status {
             digest: conf.book.digest(),
-            confirmed: conf.confirm.age(now),
+            confirmed: conf.confirmation.age(now),
             load: self.in_flight.load(Ordering::Relaxed),
             ..Status::default()
         }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -82,7 +82,7 @@
     let (confirmed, templates, organisations) = {
         let conf = lock(&shared.conf);
         (
-            conf.confirm.age(now),
+            conf.confirmation.age(now),
             conf.book.versions(Kind::Template),
             conf.book.versions(Kind::Organisation),
         )
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -96,7 +96,7 @@
         let swim = lock(&shared.swim);
         let ticket = &ask.ticket;
         swim.view
-            .keeper_of(&ticket.keeper, ticket.incarnation)
+            .ticket_owner(&ticket.keeper, ticket.incarnation)
             .cloned()
     };
     let Some(keeper) = keeper else {
@@ -165,13 +165,13 @@
 
 /// Passes on a ticket that this entry has handed over.
 async fn moved(shared: &Shared, ask: Submission) -> SubmitReply {
-    let heir = {
+    let successor = {
         let swim = lock(&shared.swim);
         let own = swim.view.own();
-        let heir = own.heirs.get(&own.incarnation);
-        heir.and_then(|heir| swim.view.get(&heir.member).cloned())
+        let successor = own.successors.get(&own.incarnation);
+        successor.and_then(|successor| swim.view.get(&successor.member).cloned())
     };
-    match heir {
+    match successor {
         Some(member) => pass_on(shared, member.addresses.peers, ask).await,
         // Closed and not yet handed over: it has not run, and the caller may
         // use the ticket again in a moment; nothing is sealed.
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chestnut_conf::{ObjectKey, Settings};
-use chestnut_fleet::{Addresses, Heir, Liveness, Member};
+use chestnut_fleet::{Addresses, Liveness, Member, Successor};
 use chestnut_port::Clock;
 use chestnut_unit::{DomainName, Incarnation, MemberId};
 use displaydoc::Display;
@@ -281,7 +281,7 @@
 }
 
 /// Stops dispatching, waits for what is being dispatched, and hands all
-/// tickets to an heir.
+/// tickets to a successor.
 async fn hand_tickets(shared: &Shared) {
     lock(&shared.keeper).close();
     let grace = shared.settings.control.grace;
@@ -292,12 +292,12 @@
     };
     // Those that are still running then are handed over as unknown.
     let _ = timeout(grace, settled).await;
-    for _ in 0..HEIRS_TRIED {
+    for _ in 0..SUCCESSORS_TRIED {
         if hand_to_some(shared).await {
             tell_peers(shared).await;
             return;
         }
-        sleep(HEIR_REST).await;
+        sleep(SUCCESSOR_REST).await;
     }
     warn!(
         shared.host.log,
@@ -305,31 +305,34 @@
     );
 }
 
-/// Members that are tried as heir.
-const HEIRS_TRIED: usize = 5;
+/// Members that are tried as successor.
+const SUCCESSORS_TRIED: usize = 5;
 /// Rest between two of them.
-const HEIR_REST: Duration = Duration::from_millis(200);
+const SUCCESSOR_REST: Duration = Duration::from_millis(200);
 
 /// Hands the tickets to a member at random; tells whether it took them.
 async fn hand_to_some(shared: &Shared) -> bool {
-    let Some((member, address)) = pick_heir(shared) else {
+    let Some((member, address)) = pick_successor(shared) else {
         return false;
     };
     let tickets = lock(&shared.keeper).hand_over();
     let count = tickets.len();
-    let Ok(life) = shared.peers().adopt(address, tickets).await else {
+    let Ok(incarnation) = shared.peers().adopt(address, tickets).await else {
         return false;
     };
     info!(shared.host.log, "keep: handed {count} tickets to {member}");
-    lock(&shared.swim).leave(Some(Heir { member, life }));
+    lock(&shared.swim).leave(Some(Successor {
+        member,
+        incarnation,
+    }));
     true
 }
 
-fn pick_heir(shared: &Shared) -> Option<(MemberId, std::net::SocketAddr)> {
+fn pick_successor(shared: &Shared) -> Option<(MemberId, std::net::SocketAddr)> {
     let swim = lock(&shared.swim);
     swim.view
         .others()
-        .filter(|member| member.takes_work() && member.liveness == Liveness::Alive)
+        .filter(|member| member.accepts_work() && member.liveness == Liveness::Alive)
         .map(|member| (member.id.clone(), member.addresses.peers))
         .choose(&mut shared.rng())
 }
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -47,7 +47,7 @@
 
 fn is_watcher(shared: &Shared) -> bool {
     let swim = lock(&shared.swim);
-    let members = swim.view.working_in(&shared.own.domain);
+    let members = swim.view.accepting_work_in(&shared.own.domain);
     choose_watchers(members, WATCHERS).contains(&shared.own.id)
 }
 
