--- a/crates/fake/src/membership.rs
+++ b/crates/fake/src/membership.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use chestnut_fleet::{Addresses, Change, Member, Probe, Send, Status, Swim, SwimConfig};
+use chestnut_fleet::{Addresses, Change, Member, Message, Outgoing, Status, Swim, SwimConfig};
 use chestnut_port::probe_size;
 use chestnut_unit::{DomainName, Incarnation, MemberId, Time};
 use rand::{Rng, SeedableRng};
@@ -61,7 +61,7 @@
 
 enum Event {
     Wake(usize),
-    Deliver(usize, SocketAddr, Box<Probe>),
+    Deliver(usize, SocketAddr, Box<Message>),
 }
 
 struct Net {
@@ -116,7 +116,7 @@
     for (number, own) in members.iter().enumerate() {
         net.numbers.insert(own.addresses.peers, number);
         let mut swim = Swim::new(swim_config, own.clone(), Time::ZERO);
-        swim.introduce(&members, Time::ZERO);
+        swim.merge_members(&members, Time::ZERO);
         swim.take_changes();
         net.swims.push(swim);
         let offset = Duration::from_micros(net.rng.next_u64() % 1_000_000);
@@ -173,16 +173,16 @@
                 let wake = swim.wake().max(now + Duration::from_millis(1));
                 self.events.push(wake, Event::Wake(number));
             }
-            Event::Deliver(_, from, probe) => {
-                swim.receive(&probe, from, status, now, &mut out);
+            Event::Deliver(_, from, message) => {
+                swim.receive(&message, from, status, now, &mut out);
             }
         }
         for (id, change) in self.swims[number].take_changes() {
             self.note(number, id, change, now);
         }
         let from = self.swims[number].view.own().addresses.peers;
-        for Send { to, probe } in out {
-            self.send(from, to, probe, now);
+        for Outgoing { to, message } in out {
+            self.send(from, to, message, now);
         }
     }
 
@@ -207,8 +207,8 @@
         }
     }
 
-    fn send(&mut self, from: SocketAddr, to: SocketAddr, probe: Probe, now: Time) {
-        let size = probe_size(&probe) + HEADERS;
+    fn send(&mut self, from: SocketAddr, to: SocketAddr, message: Message, now: Time) {
+        let size = probe_size(&message) + HEADERS;
         self.messages += 1;
         self.bytes += size as u64;
         self.report.largest = self.report.largest.max(size);
@@ -220,7 +220,7 @@
             return;
         };
         let jitter = Duration::from_micros(self.rng.next_u64() % 750);
-        let event = Event::Deliver(number, from, Box::new(probe));
+        let event = Event::Deliver(number, from, Box::new(message));
         self.events.push(now + LATENCY + jitter, event);
     }
 }
--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -5,7 +5,7 @@
 use chestnut_conf::BookDigest;
 use chestnut_unit::{MemberId, Time};
 
-use crate::Probe;
+use crate::Message;
 
 /// When settings were last confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,18 +56,18 @@
         self.advance(now);
     }
 
-    /// Records a peer's probe, received while this entry's digest was `own`.
-    pub fn peer_reported(&mut self, probe: &Probe, own: BookDigest, now: Time) {
+    /// Records a peer's message, received while this entry's digest was `own`.
+    pub fn peer_reported(&mut self, message: &Message, own: BookDigest, now: Time) {
         let report = PeerReport {
             at: now,
-            digest: probe.digest,
-            confirmed: probe.confirmed,
+            digest: message.digest,
+            confirmed: message.confirmed,
         };
-        self.reports.insert(probe.from.id.clone(), report);
-        if probe.digest != own {
+        self.reports.insert(message.from.id.clone(), report);
+        if message.digest != own {
             return;
         }
-        if let Some(age) = probe.confirmed {
+        if let Some(age) = message.confirmed {
             self.advance(now - age);
         }
     }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -88,7 +88,7 @@
 }
 
 /// Number of leases that a limit is split into. Few, so that each share of a small limit
-/// stays usable; more than one, so that a crashed holder blocks only a part.
+/// stays usable; more than one, so that a crashed holder blocks only one share.
 pub const LEASE_COUNT: u8 = 4;
 
 /// Divisor of the term after which a lease is renewed; leaves time to repeat lost renewals.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -35,5 +35,5 @@
 pub use member::{Addresses, Liveness, Member, Successor};
 pub use placement::{HashedMembers, HolderPlan, choose_watchers, holder_count};
 pub use serving::{Candidate, DelayedDecrease, serving_entries};
-pub use swim::{Lives, Probe, ProbeKind, Send, Status, Swim, SwimConfig};
+pub use swim::{IncarnationPolicy, Message, MessageKind, Outgoing, Status, Swim, SwimConfig};
 pub use view::{Change, View};
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -19,32 +19,32 @@
     /// Time between two probes.
     pub interval: Duration,
     /// Number of members asked for an indirect probe.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Maximum number of member updates in a message. Limited so that a
     /// datagram is never fragmented.
-    pub news: usize,
+    pub max_updates: usize,
     /// How a member reacts to a later incarnation of its own name.
-    pub lives: Lives,
+    pub incarnation_policy: IncarnationPolicy,
 }
 
 /// How a member reacts to a later incarnation of its own name. Incarnations are
 /// start times, so one that ran while the clock was ahead has a later number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lives {
+pub enum IncarnationPolicy {
     /// Keeps its incarnation, because other state such as tickets is bound to
     /// it.
-    Kept,
+    Keep,
     /// Takes an incarnation above the later one.
-    Raised,
+    Raise,
 }
 
 impl Default for SwimConfig {
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(500),
-            helpers: 3,
-            news: 8,
-            lives: Lives::Kept,
+            indirect_probes: 3,
+            max_updates: 8,
+            incarnation_policy: IncarnationPolicy::Keep,
         }
     }
 }
@@ -64,14 +64,14 @@
 
 /// Purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ProbeKind {
+pub enum MessageKind {
     /// Requests an ack.
     Ping,
     /// Answers a ping.
     Ack,
     /// Requests an indirect probe: the receiver pings `target` and forwards the
     /// ack.
-    Relay {
+    IndirectPing {
         /// Member to ping.
         target: MemberId,
     },
@@ -79,9 +79,9 @@
 
 /// A message of the failure detector.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Probe {
+pub struct Message {
     /// Purpose of the message.
-    pub kind: ProbeKind,
+    pub kind: MessageKind,
     /// Sequence number of the probe at the member that started it.
     pub seq: u64,
     /// The sender's own state.
@@ -96,9 +96,9 @@
     /// if none.
     pub book: BookVersion,
     /// Updates about other members.
-    pub news: Vec<Member>,
+    pub updates: Vec<Member>,
     /// Quarantine reports on requests that crashed leafs.
-    pub cases: Vec<Report>,
+    pub reports: Vec<Report>,
 }
 
 /// Maximum number of quarantine reports in a message, and in one with more than
@@ -108,24 +108,24 @@
 const MAX_REPORTS_CROWDED: usize = 1;
 const CROWDED_UPDATES: usize = 6;
 
-impl Probe {
+impl Message {
     /// Attaches as many of the quarantine reports as fit in the message.
-    pub fn carry(&mut self, reports: &[Report]) {
-        let max_reports = match self.news.len() > CROWDED_UPDATES {
+    pub fn attach_reports(&mut self, reports: &[Report]) {
+        let max_reports = match self.updates.len() > CROWDED_UPDATES {
             true => MAX_REPORTS_CROWDED,
             false => MAX_REPORTS,
         };
-        self.cases = reports.iter().take(max_reports).cloned().collect();
+        self.reports = reports.iter().take(max_reports).cloned().collect();
     }
 }
 
 /// An outgoing message.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Outgoing {
     /// Destination.
     pub to: SocketAddr,
     /// The message.
-    pub probe: Probe,
+    pub message: Message,
 }
 
 /// State of the sender in each message, beside its membership.
@@ -219,7 +219,7 @@
     /// Merges members from another source, such as the platform's list or a
     /// peer's full view. They are not gossiped: others have the same sources,
     /// and a new entry would otherwise resend the whole membership.
-    pub fn introduce(&mut self, members: &[Member], now: Time) {
+    pub fn merge_members(&mut self, members: &[Member], now: Time) {
         let queued = self.queue.clone();
         for member in members {
             self.apply_update(member, now);
@@ -244,7 +244,7 @@
     ///
     /// Probes alone reach each member too rarely: members would choose serving
     /// entries from stale loads and switch between too few and all of them.
-    pub fn tell_load(&mut self, load: u32) {
+    pub fn publish_load(&mut self, load: u32) {
         let own = self.view.own();
         let (reported, margin) = (own.load, own.weight / LOAD_DIVISOR);
         let grown = load > reported + reported / 4 + margin;
@@ -260,7 +260,7 @@
     }
 
     /// Marks this entry as gone. Returns the leave messages to send.
-    pub fn stop(&mut self, status: Status, max_members: usize) -> Vec<Send> {
+    pub fn stop(&mut self, status: Status, max_members: usize) -> Vec<Outgoing> {
         self.view.change_own(|own| own.liveness = Liveness::Gone);
         self.announce(status, max_members)
     }
@@ -268,28 +268,32 @@
     /// Returns messages that report this entry's state to up to `max_members`
     /// members at once, without waiting for probes.
     #[must_use]
-    pub fn announce(&self, status: Status, max_members: usize) -> Vec<Send> {
+    pub fn announce(&self, status: Status, max_members: usize) -> Vec<Outgoing> {
         let targets = self.view.others().take(max_members);
-        self.tell(status, targets.map(|member| member.addresses.peers))
+        self.report_to(status, targets.map(|member| member.addresses.peers))
     }
 
     /// Returns messages that report this entry's state to the members at
     /// `targets`.
     #[must_use]
-    pub fn tell(&self, status: Status, targets: impl IntoIterator<Item = SocketAddr>) -> Vec<Send> {
-        let message = |to| Send {
+    pub fn report_to(
+        &self,
+        status: Status,
+        targets: impl IntoIterator<Item = SocketAddr>,
+    ) -> Vec<Outgoing> {
+        let outgoing = |to| Outgoing {
             to,
-            probe: self.bare_message(ProbeKind::Ack, 0, status),
+            message: self.bare_message(MessageKind::Ack, 0, status),
         };
-        targets.into_iter().map(message).collect()
+        targets.into_iter().map(outgoing).collect()
     }
 
     /// Returns a join request to an address whose member is not known yet; the
     /// answer identifies it.
     #[must_use]
-    pub fn knock(&self, to: SocketAddr, status: Status) -> Send {
-        let probe = self.bare_message(ProbeKind::Ping, 0, status);
-        Send { to, probe }
+    pub fn join_request(&self, to: SocketAddr, status: Status) -> Outgoing {
+        let message = self.bare_message(MessageKind::Ping, 0, status);
+        Outgoing { to, message }
     }
 
     /// Returns when [`Swim::tick`] next has work to do.
@@ -317,7 +321,7 @@
 
     /// Runs due work: sends probes and retries, suspects members that did not
     /// answer, and declares expired suspects gone.
-    pub fn tick(&mut self, status: Status, now: Time, rng: &mut dyn Rng, out: &mut Vec<Send>) {
+    pub fn tick(&mut self, status: Status, now: Time, rng: &mut dyn Rng, out: &mut Vec<Outgoing>) {
         self.detect_own_pause(now);
         self.retry_overdue(status, now, rng, out);
         self.suspect_unanswered(status, now, out);
@@ -334,30 +338,30 @@
     /// Handles an incoming message.
     pub fn receive(
         &mut self,
-        probe: &Probe,
+        message: &Message,
         from: SocketAddr,
         status: Status,
         now: Time,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
-        self.apply_update(&probe.from, now);
-        for member in &probe.news {
+        self.apply_update(&message.from, now);
+        for member in &message.updates {
             self.apply_update(member, now);
         }
-        self.loads.insert(probe.from.id.clone(), probe.load);
-        match &probe.kind {
-            ProbeKind::Ping => {
-                let mut ack = self.message_with_updates(ProbeKind::Ack, probe.seq, status);
-                self.attach_suspicion(&probe.from.id, &mut ack);
-                self.attach_later_incarnation(&probe.from, &mut ack);
-                out.push(Send {
+        self.loads.insert(message.from.id.clone(), message.load);
+        match &message.kind {
+            MessageKind::Ping => {
+                let mut ack = self.message_with_updates(MessageKind::Ack, message.seq, status);
+                self.attach_suspicion(&message.from.id, &mut ack);
+                self.attach_later_incarnation(&message.from, &mut ack);
+                out.push(Outgoing {
                     to: from,
-                    probe: ack,
+                    message: ack,
                 });
             }
-            ProbeKind::Ack => self.handle_ack(probe, status, out),
-            ProbeKind::Relay { target } => {
-                self.relay_ping(target, probe.seq, from, status, now, out);
+            MessageKind::Ack => self.handle_ack(message, status, out),
+            MessageKind::IndirectPing { target } => {
+                self.relay_ping(target, message.seq, from, status, now, out);
             }
         }
     }
@@ -408,7 +412,9 @@
     /// taking a higher one, if so configured.
     fn refute(&mut self, update: &Member) {
         let own = self.view.own();
-        if update.incarnation > own.incarnation && self.config.lives == Lives::Raised {
+        if update.incarnation > own.incarnation
+            && self.config.incarnation_policy == IncarnationPolicy::Raise
+        {
             let incarnation = Incarnation(update.incarnation.0 + 1);
             self.view.change_own(|own| own.incarnation = incarnation);
             self.queue.add(self.view.own().clone());
@@ -431,16 +437,16 @@
     }
 
     /// Builds a message that carries queued updates.
-    fn message_with_updates(&mut self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
+    fn message_with_updates(&mut self, kind: MessageKind, seq: u64, status: Status) -> Message {
         let members = self.view.present().count();
-        let mut probe = self.bare_message(kind, seq, status);
-        probe.news = self.queue.take(self.config.news, members);
-        probe
+        let mut message = self.bare_message(kind, seq, status);
+        message.updates = self.queue.take(self.config.max_updates, members);
+        message
     }
 
     /// Builds a message without updates about others.
-    fn bare_message(&self, kind: ProbeKind, seq: u64, status: Status) -> Probe {
-        Probe {
+    fn bare_message(&self, kind: MessageKind, seq: u64, status: Status) -> Message {
+        Message {
             kind,
             seq,
             from: self.view.own().clone(),
@@ -448,8 +454,8 @@
             confirmed: status.confirmed,
             load: status.load,
             book: status.book,
-            news: Vec::new(),
-            cases: Vec::new(),
+            updates: Vec::new(),
+            reports: Vec::new(),
         }
     }
 }
--- a/crates/fleet/src/swim/probing.rs
+++ b/crates/fleet/src/swim/probing.rs
@@ -6,8 +6,8 @@
 use rand::Rng;
 
 use super::{
-    MAX_HEALTH_MULTIPLIER, MAX_RETRIES, PendingProbe, Probe, ProbeKind, RelayedProbe, Send, Status,
-    Swim,
+    MAX_HEALTH_MULTIPLIER, MAX_RETRIES, Message, MessageKind, Outgoing, PendingProbe, RelayedProbe,
+    Status, Swim,
 };
 use crate::{Liveness, Member};
 
@@ -57,7 +57,7 @@
         status: Status,
         now: Time,
         rng: &mut dyn Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         self.seq += 1;
         let probe_gone = self.seq.is_multiple_of(GONE_PROBE_EVERY);
@@ -81,27 +81,27 @@
     /// Attaches the suspicion about the receiver to a message. Only the
     /// receiver can refute it, and its gossip may have ended before a partition
     /// healed.
-    pub(super) fn attach_suspicion(&self, to: &MemberId, probe: &mut Probe) {
+    pub(super) fn attach_suspicion(&self, to: &MemberId, message: &mut Message) {
         let known = self.view.get(to).filter(|m| m.liveness != Liveness::Alive);
         if let Some(member) = known
-            && !probe.news.iter().any(|update| update.id == *to)
+            && !message.updates.iter().any(|update| update.id == *to)
         {
-            probe.news.push(member.clone());
+            message.updates.push(member.clone());
         }
     }
 
     /// Attaches the later incarnation of the receiver's name to a message, so
     /// that it takes a higher one. Otherwise a member that left and restarted
     /// with its clock behind would count as leaving forever.
-    pub(super) fn attach_later_incarnation(&self, to: &Member, probe: &mut Probe) {
+    pub(super) fn attach_later_incarnation(&self, to: &Member, message: &mut Message) {
         let known = self
             .view
             .get(&to.id)
             .filter(|m| m.incarnation > to.incarnation);
         if let Some(member) = known
-            && !probe.news.iter().any(|update| update.id == to.id)
+            && !message.updates.iter().any(|update| update.id == to.id)
         {
-            probe.news.push(member.clone());
+            message.updates.push(member.clone());
         }
     }
 
@@ -156,7 +156,7 @@
         status: Status,
         now: Time,
         rng: &mut dyn Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         let overdue: Vec<(u64, MemberId)> = self
             .pending
@@ -174,13 +174,19 @@
     }
 
     /// Pings a member, attaching any suspicion about it.
-    pub(super) fn ping(&mut self, seq: u64, id: &MemberId, status: Status, out: &mut Vec<Send>) {
+    pub(super) fn ping(
+        &mut self,
+        seq: u64,
+        id: &MemberId,
+        status: Status,
+        out: &mut Vec<Outgoing>,
+    ) {
         let Some(to) = self.view.get(id).map(|m| m.addresses.peers) else {
             return;
         };
-        let mut probe = self.message_with_updates(ProbeKind::Ping, seq, status);
-        self.attach_suspicion(id, &mut probe);
-        out.push(Send { to, probe });
+        let mut message = self.message_with_updates(MessageKind::Ping, seq, status);
+        self.attach_suspicion(id, &mut message);
+        out.push(Outgoing { to, message });
     }
 
     /// Asks random members to ping `target` on behalf of this entry.
@@ -190,7 +196,7 @@
         target: &MemberId,
         status: Status,
         rng: &mut dyn Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         let mut relays: Vec<SocketAddr> = self
             .view
@@ -199,18 +205,23 @@
             .map(|m| m.addresses.peers)
             .collect();
         shuffle(&mut relays, rng);
-        relays.truncate(self.config.helpers);
+        relays.truncate(self.config.indirect_probes);
         for to in relays {
-            let kind = ProbeKind::Relay {
+            let kind = MessageKind::IndirectPing {
                 target: target.clone(),
             };
-            let probe = self.message_with_updates(kind, seq, status);
-            out.push(Send { to, probe });
+            let message = self.message_with_updates(kind, seq, status);
+            out.push(Outgoing { to, message });
         }
     }
 
     /// Suspects the targets of probes that timed out.
-    pub(super) fn suspect_unanswered(&mut self, status: Status, now: Time, out: &mut Vec<Send>) {
+    pub(super) fn suspect_unanswered(
+        &mut self,
+        status: Status,
+        now: Time,
+        out: &mut Vec<Outgoing>,
+    ) {
         let timeout = self.config.interval * (1 + self.health_multiplier);
         let unanswered: Vec<u64> = self
             .pending
@@ -260,17 +271,22 @@
 
     /// Completes the probe that an ack answers, or forwards the ack of a relayed
     /// ping to its requester.
-    pub(super) fn handle_ack(&mut self, probe: &Probe, status: Status, out: &mut Vec<Send>) {
-        if let Some(relayed) = self.relayed.remove(&probe.seq) {
-            let mut forwarded = self.bare_message(ProbeKind::Ack, relayed.seq, status);
-            forwarded.news.push(probe.from.clone());
-            out.push(Send {
+    pub(super) fn handle_ack(
+        &mut self,
+        message: &Message,
+        status: Status,
+        out: &mut Vec<Outgoing>,
+    ) {
+        if let Some(relayed) = self.relayed.remove(&message.seq) {
+            let mut forwarded = self.bare_message(MessageKind::Ack, relayed.seq, status);
+            forwarded.updates.push(message.from.clone());
+            out.push(Outgoing {
                 to: relayed.requester,
-                probe: forwarded,
+                message: forwarded,
             });
             return;
         }
-        if self.pending.remove(&probe.seq).is_some() {
+        if self.pending.remove(&message.seq).is_some() {
             self.health_multiplier = self.health_multiplier.saturating_sub(1);
         }
     }
@@ -283,7 +299,7 @@
         requester: SocketAddr,
         status: Status,
         now: Time,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         let Some(to) = self.view.get(target).map(|m| m.addresses.peers) else {
             return;
@@ -295,8 +311,8 @@
             at: now,
         };
         self.relayed.insert(self.seq, relayed);
-        let probe = self.message_with_updates(ProbeKind::Ping, self.seq, status);
-        out.push(Send { to, probe });
+        let message = self.message_with_updates(MessageKind::Ping, self.seq, status);
+        out.push(Outgoing { to, message });
     }
 }
 
--- a/crates/fleet/tests/loads.rs
+++ b/crates/fleet/tests/loads.rs
@@ -46,7 +46,7 @@
         let all: Vec<Member> = (0..count).map(member).collect();
         let swim = |own: &Member| {
             let mut swim = Swim::new(SwimConfig::default(), own.clone(), Time::ZERO);
-            swim.introduce(&all, Time::ZERO);
+            swim.merge_members(&all, Time::ZERO);
             swim
         };
         Self {
@@ -74,17 +74,17 @@
         }
     }
 
-    fn deliver(&mut self, from: usize, out: Vec<chestnut_fleet::Send>) {
-        for send in out {
-            let to = self.index[&send.to];
+    fn deliver(&mut self, from: usize, out: Vec<chestnut_fleet::Outgoing>) {
+        for outgoing in out {
+            let to = self.index[&outgoing.to];
             match from % DOMAINS == to % DOMAINS {
                 true => self.local += 1,
                 false => self.remote += 1,
             }
             let mut answers = Vec::new();
             let status = Status::default();
-            let probe = send.probe;
-            self.members[to].receive(&probe, address(from), status, self.now, &mut answers);
+            let message = outgoing.message;
+            self.members[to].receive(&message, address(from), status, self.now, &mut answers);
             self.deliver(to, answers);
         }
     }
@@ -102,15 +102,15 @@
 /// Guards against load reports that travel with probes only, so that callers are still
 /// sent to entries that are full.
 #[test]
-fn all_members_hear_of_a_load_within_seconds() {
+fn a_load_change_reaches_all_members_within_seconds() {
     let mut world = World::new(200);
     world.run(Duration::from_secs(2));
-    world.members[7].tell_load(400);
+    world.members[7].publish_load(400);
     world.run(Duration::from_secs(4));
     let known = world.loads(7);
     assert!(known.iter().all(|load| *load == 400), "{known:?}");
     // A small change is not published.
-    world.members[7].tell_load(440);
+    world.members[7].publish_load(440);
     assert_eq!(world.members[7].view.own().load, 400);
 }
 
--- a/crates/port/src/probe.rs
+++ b/crates/port/src/probe.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use chestnut_fleet::Probe;
+use chestnut_fleet::Message;
 use futures::{FutureExt, future::BoxFuture};
 use tokio::net::UdpSocket;
 
@@ -18,19 +18,20 @@
 /// network in between splits them.
 const DATAGRAM_MAX: usize = 4096;
 
-/// Bytes of a probe as a datagram, for measurements.
+/// Bytes of a message as a datagram, for measurements.
 #[must_use]
-pub fn probe_size(probe: &Probe) -> usize {
-    wire::probe_bytes(probe).len()
+pub fn probe_size(message: &Message) -> usize {
+    wire::probe_bytes(message).len()
 }
 
-/// The port by which probes travel. They may be lost, doubled or late.
+/// The port by which messages of the failure detector travel. They may be lost,
+/// doubled or late.
 pub trait Probes: Send + Sync {
-    /// Sends a probe.
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()>;
+    /// Sends a message.
+    fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()>;
 
-    /// Waits for the next probe and its sender.
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)>;
+    /// Waits for the next message and its sender.
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)>;
 
     /// Bytes sent and received so far.
     fn bytes(&self) -> u64;
@@ -77,7 +78,7 @@
         self.messages.load(Ordering::Relaxed)
     }
 
-    /// Datagrams that were no probe.
+    /// Datagrams that were no message of the detector.
     #[must_use]
     pub fn broken(&self) -> u64 {
         self.broken.load(Ordering::Relaxed)
@@ -91,9 +92,9 @@
 
 impl Probes for ProbeSocket {
     /// A failure to send is a lost datagram, which the detector provides for.
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
+    fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         async move {
-            let bytes = wire::probe_bytes(&probe);
+            let bytes = wire::probe_bytes(&message);
             self.count(bytes.len());
             let distance = self.traffic.distance(to);
             self.traffic
@@ -103,8 +104,8 @@
         .boxed()
     }
 
-    /// Datagrams that are no probe are counted and passed over.
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
+    /// Datagrams that are no message of the detector are counted and passed over.
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)> {
         async move {
             let mut buffer = vec![0; DATAGRAM_MAX];
             loop {
@@ -114,7 +115,7 @@
                 };
                 self.count(length);
                 match wire::probe_from(&buffer[..length]) {
-                    Ok(probe) => return (probe, from),
+                    Ok(message) => return (message, from),
                     Err(_) => self.broken.fetch_add(1, Ordering::Relaxed),
                 };
             }
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -6,7 +6,7 @@
 use capnp::{message::ReaderOptions, struct_list, text};
 use chestnut_book::BookVersion;
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
-use chestnut_fleet::{Addresses, Liveness, Member, Probe, ProbeKind, Successor};
+use chestnut_fleet::{Addresses, Liveness, Member, Message, MessageKind, Successor};
 use chestnut_once::{Handed, Outcome, Ticket};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
 use chestnut_route::{Failure, Refusal};
@@ -131,14 +131,14 @@
     from.iter().map(get_member).collect()
 }
 
-fn put_cases(cases: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
-    for (at, case) in cases.iter().enumerate() {
+fn put_reports(reports: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
+    for (at, report) in reports.iter().enumerate() {
         let mut to = to.reborrow().get(at as u32);
-        to.set_what(case.what.0);
-        to.set_cleared_ms(case.cleared.map_or(-1, |age| age.as_millis() as i64));
-        to.set_episodes(case.episodes);
-        let mut strikes = to.init_strikes(case.strikes.len() as u32);
-        for (at, (leaf, age)) in case.strikes.iter().enumerate() {
+        to.set_what(report.what.0);
+        to.set_cleared_ms(report.cleared.map_or(-1, |age| age.as_millis() as i64));
+        to.set_episodes(report.episodes);
+        let mut strikes = to.init_strikes(report.strikes.len() as u32);
+        for (at, (leaf, age)) in report.strikes.iter().enumerate() {
             let mut strike = strikes.reborrow().get(at as u32);
             strike.set_leaf(leaf.0);
             strike.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
@@ -146,11 +146,11 @@
     }
 }
 
-fn get_cases(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
-    from.iter().map(get_case).collect()
+fn get_reports(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
+    from.iter().map(get_report).collect()
 }
 
-fn get_case(from: schema::case::Reader<'_>) -> Read<Report> {
+fn get_report(from: schema::case::Reader<'_>) -> Read<Report> {
     let strikes = from.get_strikes()?;
     let strikes = strikes.iter().map(|strike| {
         let age = Duration::from_millis(u64::from(strike.get_ago_ms()));
@@ -165,50 +165,53 @@
     })
 }
 
-/// A probe as one datagram.
-pub(crate) fn probe_bytes(probe: &Probe) -> Vec<u8> {
-    let mut message = capnp::message::Builder::new_default();
-    let mut root = message.init_root::<schema::probe::Builder<'_>>();
+/// A message of the failure detector as one datagram.
+pub(crate) fn probe_bytes(message: &Message) -> Vec<u8> {
+    let mut builder = capnp::message::Builder::new_default();
+    let mut root = builder.init_root::<schema::probe::Builder<'_>>();
     root.set_version(VERSION);
-    match &probe.kind {
-        ProbeKind::Ping => root.set_kind(schema::ProbeKind::Ping),
-        ProbeKind::Ack => root.set_kind(schema::ProbeKind::Ack),
-        ProbeKind::Relay { target } => {
+    match &message.kind {
+        MessageKind::Ping => root.set_kind(schema::ProbeKind::Ping),
+        MessageKind::Ack => root.set_kind(schema::ProbeKind::Ack),
+        MessageKind::IndirectPing { target } => {
             root.set_kind(schema::ProbeKind::Relay);
             root.set_target(target.as_str());
         }
     }
-    root.set_seq(probe.seq);
-    put_member(&probe.from, root.reborrow().init_from());
-    root.set_digest(probe.digest.0);
-    root.set_confirmed_ms(probe.confirmed.map_or(-1, |age| age.as_millis() as i64));
-    root.set_load(probe.load);
-    root.set_book(probe.book.0);
-    let news = root.reborrow().init_news(probe.news.len() as u32);
-    put_members(&probe.news, news);
-    if !probe.cases.is_empty() {
-        put_cases(&probe.cases, root.init_cases(probe.cases.len() as u32));
+    root.set_seq(message.seq);
+    put_member(&message.from, root.reborrow().init_from());
+    root.set_digest(message.digest.0);
+    root.set_confirmed_ms(message.confirmed.map_or(-1, |age| age.as_millis() as i64));
+    root.set_load(message.load);
+    root.set_book(message.book.0);
+    let updates = root.reborrow().init_news(message.updates.len() as u32);
+    put_members(&message.updates, updates);
+    if !message.reports.is_empty() {
+        put_reports(
+            &message.reports,
+            root.init_cases(message.reports.len() as u32),
+        );
     }
     let mut bytes = Vec::new();
-    capnp::serialize_packed::write_message(&mut bytes, &message)
+    capnp::serialize_packed::write_message(&mut bytes, &builder)
         .expect("writing to memory does not fail");
     bytes
 }
 
-/// Reads a probe from a datagram.
-pub(crate) fn probe_from(bytes: &[u8]) -> Read<Probe> {
+/// Reads a message of the failure detector from a datagram.
+pub(crate) fn probe_from(bytes: &[u8]) -> Read<Message> {
     let message = capnp::serialize_packed::read_message(bytes, reader_options())?;
     let root = message.get_root::<schema::probe::Reader<'_>>()?;
     check_version(root.get_version())?;
     let kind = match root.get_kind()? {
-        schema::ProbeKind::Ping => ProbeKind::Ping,
-        schema::ProbeKind::Ack => ProbeKind::Ack,
-        schema::ProbeKind::Relay => ProbeKind::Relay {
+        schema::ProbeKind::Ping => MessageKind::Ping,
+        schema::ProbeKind::Ack => MessageKind::Ack,
+        schema::ProbeKind::Relay => MessageKind::IndirectPing {
             target: parse(root.get_target()?)?,
         },
     };
     let age = u64::try_from(root.get_confirmed_ms()).ok();
-    Ok(Probe {
+    Ok(Message {
         kind,
         seq: root.get_seq(),
         from: get_member(root.get_from()?)?,
@@ -216,8 +219,8 @@
         confirmed: age.map(Duration::from_millis),
         load: root.get_load(),
         book: BookVersion(root.get_book()),
-        news: get_members(root.get_news()?)?,
-        cases: get_cases(root.get_cases()?)?,
+        updates: get_members(root.get_news()?)?,
+        reports: get_reports(root.get_cases()?)?,
     })
 }
 
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/cases.rs
@@ -1,10 +1,10 @@
-//! Cases of requests that end leafs, in the datagrams between entries.
+//! Quarantine reports on requests that crash leafs, in the datagrams between entries.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use chestnut_book::BookVersion;
 use chestnut_conf::BookDigest;
-use chestnut_fleet::{Addresses, Member, Probe, ProbeKind};
+use chestnut_fleet::{Addresses, Member, Message, MessageKind};
 use chestnut_port::{ProbeSocket, Probes, probe_size};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
 use chestnut_unit::{Incarnation, MemberId};
@@ -49,31 +49,31 @@
     }
 }
 
-fn probe(news: u32, cases: u32) -> Probe {
-    let mut probe = Probe {
-        kind: ProbeKind::Ping,
+fn message(updates: u32, reports: u32) -> Message {
+    let mut message = Message {
+        kind: MessageKind::Ping,
         seq: 123_456_789,
         from: member(200),
         digest: BookDigest(0x1234_5678_9abc_def0),
         confirmed: Some(Duration::from_millis(4321)),
         load: 4321,
         book: BookVersion(98_765),
-        news: (0..news).map(member).collect(),
-        cases: Vec::new(),
+        updates: (0..updates).map(member).collect(),
+        reports: Vec::new(),
     };
-    probe.carry(&(0..cases).map(report).collect::<Vec<_>>());
-    probe
+    message.attach_reports(&(0..reports).map(report).collect::<Vec<_>>());
+    message
 }
 
 /// What is told of requests never reaches some entries: networks split large datagrams
 /// and lose one of the halves more often than a whole one.
 #[test]
 fn a_datagram_with_all_that_it_may_carry_is_not_split() {
-    let size = probe_size(&probe(8, 4));
+    let size = probe_size(&message(8, 4));
     assert!(
         size <= DATAGRAM,
-        "{size} bytes, {} without cases",
-        probe_size(&probe(8, 0))
+        "{size} bytes, {} without reports",
+        probe_size(&message(8, 0))
     );
 }
 
@@ -82,8 +82,8 @@
     let any = "127.0.0.1:0".parse().unwrap();
     let one = ProbeSocket::bind(any, Arc::default()).await.unwrap();
     let two = ProbeSocket::bind(any, Arc::default()).await.unwrap();
-    for (news, cases) in [(0, 0), (1, 1), (8, 4)] {
-        let sent = probe(news, cases);
+    for (updates, reports) in [(0, 0), (1, 1), (8, 4)] {
+        let sent = message(updates, reports);
         one.send(two.address().unwrap(), sent.clone()).await;
         let (got, _) = two.receive().await;
         assert_eq!(got, sent);
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -15,8 +15,8 @@
 };
 
 use chestnut_fleet::{
-    Addresses, Candidate, Change, DelayedDecrease, Liveness, Lives, Member, Probe, Send, Status,
-    Swim, SwimConfig, serving_entries,
+    Addresses, Candidate, Change, DelayedDecrease, IncarnationPolicy, Liveness, Member, Message,
+    Outgoing, Status, Swim, SwimConfig, serving_entries,
 };
 use chestnut_flow::lock;
 use chestnut_port::Probes;
@@ -75,7 +75,7 @@
         );
         own.weight = settings.entry.weight();
         let config = SwimConfig {
-            lives: Lives::Raised,
+            incarnation_policy: IncarnationPolicy::Raise,
             ..SwimConfig::default()
         };
         let swim = Swim::new(config, own, shared.now());
@@ -235,7 +235,7 @@
 
     /// Messages that report this entry's status, such as a new book version, to a random
     /// sample of members.
-    fn status_updates(&self, shared: &Shared) -> Vec<Send> {
+    fn status_updates(&self, shared: &Shared) -> Vec<Outgoing> {
         let status = status(shared, self);
         let mut rng = shared.host.rng();
         let swim = lock(&self.swim);
@@ -246,17 +246,17 @@
             alive.partition(|member| member.domain == *own);
         let mut peers = sample(local, LOCAL_FANOUT, &mut rng);
         peers.extend(sample(remote, REMOTE_FANOUT, &mut rng));
-        swim.tell(status, peers)
+        swim.report_to(status, peers)
     }
 
     /// Sends join requests to the seeds.
     pub(crate) async fn knock(&self, shared: &Shared) {
-        let out: Vec<Send> = {
+        let out: Vec<Outgoing> = {
             let swim = lock(&self.swim);
             let own = shared.settings.listen.peers;
             let seeds = shared.settings.seeds.iter().filter(|seed| **seed != own);
             let status = status(shared, self);
-            seeds.map(|seed| swim.knock(*seed, status)).collect()
+            seeds.map(|seed| swim.join_request(*seed, status)).collect()
         };
         send_all(shared, self, out).await;
     }
@@ -273,7 +273,7 @@
                 Member::starting(id, domain, advert.addresses, Incarnation(0))
             })
             .collect();
-        swim.introduce(&unknown, now);
+        swim.merge_members(&unknown, now);
     }
 }
 
@@ -338,8 +338,8 @@
         let mut out = Vec::new();
         tokio::select! {
             biased;
-            (probe, from) = members.probes.receive() => {
-                receive_probe(&shared, &members, &probe, from, &mut out);
+            (message, from) = members.probes.receive() => {
+                receive_message(&shared, &members, &message, from, &mut out);
             }
             // An error is impossible, as the entry keeps the sender.
             _ = versions.changed() => out = members.status_updates(&shared),
@@ -348,7 +348,7 @@
                 let mut rng = shared.host.rng();
                 let status = status(&shared, &members);
                 let mut swim = lock(&members.swim);
-                swim.tell_load(members.load.load(Ordering::Relaxed));
+                swim.publish_load(members.load.load(Ordering::Relaxed));
                 swim.tick(status, now, &mut rng, &mut out);
                 drop(swim);
                 share(&shared, &members);
@@ -377,22 +377,22 @@
     send_all(shared, members, out).await;
 }
 
-/// Handles a probe message of another member.
-fn receive_probe(
+/// Handles a message of another member.
+fn receive_message(
     shared: &Shared,
     members: &Members,
-    probe: &Probe,
+    message: &Message,
     from: SocketAddr,
-    out: &mut Vec<Send>,
+    out: &mut Vec<Outgoing>,
 ) {
     let now: Time = shared.now();
-    lock(&members.swim).receive(probe, from, status(shared, members), now, out);
-    let distance = match probe.from.domain == shared.settings.entry.domain {
+    lock(&members.swim).receive(message, from, status(shared, members), now, out);
+    let distance = match message.from.domain == shared.settings.entry.domain {
         true => Distance::Near,
         false => Distance::Far,
     };
-    quarantine::merge_reports(shared, &probe.cases);
-    shared.hear_version(probe.from.addresses.peers, probe.book, distance);
+    quarantine::merge_reports(shared, &message.reports);
+    shared.hear_version(message.from.addresses.peers, message.book, distance);
 }
 
 /// The status that this entry reports: its load in calls per second and its book version.
@@ -415,14 +415,14 @@
 }
 
 /// Sends messages, all with the same quarantine reports attached.
-async fn send_all(shared: &Shared, members: &Members, out: Vec<Send>) {
+async fn send_all(shared: &Shared, members: &Members, out: Vec<Outgoing>) {
     if out.is_empty() {
         return;
     }
     let reports = quarantine::next_reports(shared, members.count());
-    for Send { to, mut probe } in out {
-        probe.carry(&reports);
-        members.probes.send(to, probe).await;
+    for Outgoing { to, mut message } in out {
+        message.attach_reports(&reports);
+        members.probes.send(to, message).await;
     }
 }
 
--- a/crates/relay/tests/world/net.rs
+++ b/crates/relay/tests/world/net.rs
@@ -8,7 +8,7 @@
 };
 
 use chestnut_book::BookVersion;
-use chestnut_fleet::Probe;
+use chestnut_fleet::Message;
 use chestnut_flow::lock;
 use chestnut_port::{
     Batch, Content, Feed, FeedError, FeedService, Freshness, Item, PeerPulse, Probes, RawBatch,
@@ -25,8 +25,8 @@
 
 use super::store::LeafItem;
 
-/// A probe and its sender.
-type Datagram = (Probe, SocketAddr);
+/// A message and its sender.
+type Datagram = (Message, SocketAddr);
 
 /// A network that carries probes between entries.
 #[derive(Clone, Default)]
@@ -70,18 +70,18 @@
 }
 
 impl Probes for FakeProbes {
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
+    fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         let isolated = {
             let isolated = lock(&self.net.1);
             isolated.contains(&to) || isolated.contains(&self.own)
         };
         if let Some(inbox) = lock(&self.net.0).get(&to).filter(|_| !isolated) {
-            let _ = inbox.send((probe, self.own));
+            let _ = inbox.send((message, self.own));
         }
         async {}.boxed()
     }
 
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)> {
         async move {
             match self.inbox.lock().await.recv().await {
                 Some(datagram) => datagram,
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
-use chestnut_fleet::{Member, Probe};
+use chestnut_fleet::{Member, Message};
 use chestnut_once::Handed;
 use chestnut_port::{
     Dispatch, PeerError, PeerService, Peers, Probes, SubAnswer, SubQuery, Submission, SubmitReply,
@@ -69,7 +69,7 @@
     pub(crate) number: usize,
     pub(crate) life: Arc<Life>,
     pub(crate) service: Arc<dyn PeerService>,
-    pub(crate) inbox: mpsc::Sender<(Probe, SocketAddr)>,
+    pub(crate) inbox: mpsc::Sender<(Message, SocketAddr)>,
 }
 
 /// The network between entries.
@@ -217,11 +217,11 @@
     pub(crate) number: usize,
     pub(crate) address: SocketAddr,
     pub(crate) life: Arc<Life>,
-    pub(crate) inbox: tokio::sync::Mutex<mpsc::Receiver<(Probe, SocketAddr)>>,
+    pub(crate) inbox: tokio::sync::Mutex<mpsc::Receiver<(Message, SocketAddr)>>,
 }
 
 impl Probes for FakeProbes {
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
+    fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         async move {
             self.life.gate().await;
             let Some(process) = self.links.find(self.number, to) else {
@@ -231,13 +231,13 @@
             tokio::spawn(async move {
                 sleep(LATENCY).await;
                 // A full inbox loses datagrams, as a full socket buffer does.
-                let _ = process.inbox.try_send((probe, from));
+                let _ = process.inbox.try_send((message, from));
             });
         }
         .boxed()
     }
 
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)> {
         async move {
             let mut inbox = self.inbox.lock().await;
             self.life.gate().await;
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -164,7 +164,7 @@
         number: usize,
         address: SocketAddr,
         life: Arc<Life>,
-        inbox: mpsc::Sender<(chestnut_fleet::Probe, SocketAddr)>,
+        inbox: mpsc::Sender<(chestnut_fleet::Message, SocketAddr)>,
     ) -> PeerBinder {
         let links = self.links.clone();
         Box::new(move |service: Arc<dyn PeerService>| {
--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/boot.rs
@@ -79,7 +79,7 @@
             .into_iter()
             .filter(|member| swim.view.get(&member.id).is_none())
             .collect();
-        swim.introduce(&unknown, shared.now());
+        swim.merge_members(&unknown, shared.now());
         swim.view.confirm_absent_gone(&live);
     }
     gossip::take_changes(shared);
@@ -121,7 +121,7 @@
         let Ok(members) = shared.peers().members(address).await else {
             continue;
         };
-        lock(&shared.swim).introduce(&members, shared.now());
+        lock(&shared.swim).merge_members(&members, shared.now());
         gossip::take_changes(shared);
         let have = lock(&shared.conf).book.keys();
         if let Ok(objects) = shared.peers().objects(address, have).await {
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use chestnut_fleet::{Change, Probe, Send};
+use chestnut_fleet::{Change, Message, Outgoing};
 use slog::info;
 use tokio::time::sleep_until;
 
@@ -15,7 +15,7 @@
         let mut out = Vec::new();
         tokio::select! {
             biased;
-            (probe, from) = shared.probes.receive() => receive(&shared, &probe, from, &mut out),
+            (message, from) = shared.probes.receive() => receive(&shared, &message, from, &mut out),
             () = sleep_until(wake) => tick(&shared, &mut out),
         }
         send_all(&shared, out).await;
@@ -24,13 +24,13 @@
 }
 
 /// Sends messages of the detector.
-pub(crate) async fn send_all(shared: &Shared, out: Vec<Send>) {
-    for Send { to, probe } in out {
-        shared.probes.send(to, probe).await;
+pub(crate) async fn send_all(shared: &Shared, out: Vec<Outgoing>) {
+    for Outgoing { to, message } in out {
+        shared.probes.send(to, message).await;
     }
 }
 
-fn tick(shared: &Shared, out: &mut Vec<Send>) {
+fn tick(shared: &Shared, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
     let mut rng = shared.rng();
@@ -45,19 +45,19 @@
         .confirm_in_outage(present.iter(), status.digest, now);
 }
 
-fn receive(shared: &Shared, probe: &Probe, from: SocketAddr, out: &mut Vec<Send>) {
+fn receive(shared: &Shared, message: &Message, from: SocketAddr, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
-    lock(&shared.swim).receive(probe, from, status, now, out);
+    lock(&shared.swim).receive(message, from, status, now, out);
     lock(&shared.conf)
         .confirmation
-        .peer_reported(probe, status.digest, now);
-    if probe.digest != status.digest {
+        .peer_reported(message, status.digest, now);
+    if message.digest != status.digest {
         let differs = Differs {
-            peer: probe.from.addresses.peers,
-            digest: probe.digest,
+            peer: message.from.addresses.peers,
+            digest: message.digest,
         };
-        // When the queue is full the next probe says it again.
+        // When the queue is full the next message says it again.
         let _ = shared.differs.try_send(differs);
     }
 }
