--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnut_conf::{Leaf, Service};
-use chestnut_fleet::{Addresses, Heir, HolderPlan, Liveness, Member, Ranked, holders_wanted};
+use chestnut_fleet::{
+    Addresses, HashedMembers, HolderPlan, Liveness, Member, Successor, holder_count,
+};
 use chestnut_unit::{DomainName, Incarnation, LeafId, MemberId, ServiceName};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -31,19 +33,19 @@
         any::<bool>(),
         prop::option::of(1u64..4),
     )
-        .prop_map(|(incarnation, beat, liveness, leaving, successor)| {
+        .prop_map(|(incarnation, version, liveness, leaving, successor)| {
             let mut update = member(1, 0);
             update.incarnation = Incarnation(incarnation);
-            update.beat = beat;
+            update.version = version;
             update.liveness =
                 [Liveness::Alive, Liveness::Suspect, Liveness::Gone][liveness as usize];
             update.leaving = leaving;
             if let Some(of) = successor {
-                let successor = Heir {
+                let successor = Successor {
                     member: MemberId::new(format!("h{of}")).unwrap(),
-                    life: Incarnation(of),
+                    incarnation: Incarnation(of),
                 };
-                update.heirs.insert(Incarnation(of), successor);
+                update.successors.insert(Incarnation(of), successor);
             }
             update
         })
@@ -123,7 +125,7 @@
 #[case(12, 4, 5)]
 #[case(40, 4, 60)]
 #[case(3, 4, 7)]
-fn holders_stay_within_the_connections(
+fn holders_stay_within_the_connection_limit(
     #[case] connections: u32,
     #[case] share: u32,
     #[case] members: usize,
@@ -135,9 +137,9 @@
         &make_members(members),
         share,
     );
-    let wanted = holders_wanted(connections, share);
+    let count = holder_count(connections, share);
     for holders in plan.groups.values() {
-        assert_eq!(holders.len(), wanted.min(members));
+        assert_eq!(holders.len(), count.min(members));
         let distinct: BTreeSet<&MemberId> = holders.iter().collect();
         assert_eq!(distinct.len(), holders.len());
         let used = holders.len() as u32 * share;
@@ -152,10 +154,10 @@
         .map(|n| DomainName::new(format!("d{n}")).unwrap())
         .collect();
     let members = make_members(30);
-    let ranked = Ranked::new(&members);
+    let hashed = HashedMembers::new(&members);
     let wanted: BTreeSet<&DomainName> = domains.iter().collect();
     for group in 0..50 {
-        let holders = ranked.holders_of(&format!("g{group}"), 3, &wanted);
+        let holders = hashed.holders_of(&format!("g{group}"), 3, &wanted);
         let covered: BTreeSet<&DomainName> = holders
             .iter()
             .map(|id| &members.iter().find(|m| m.id == *id).unwrap().domain)
--- a/crates/port/src/probe.rs
+++ b/crates/port/src/probe.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use chestnut_fleet::Probe;
+use chestnut_fleet::Message;
 use futures::{FutureExt, future::BoxFuture};
 use tokio::net::UdpSocket;
 
@@ -20,7 +20,7 @@
 
 /// Returns the encoded size of a probe in bytes.
 #[must_use]
-pub fn probe_size(probe: &Probe) -> usize {
+pub fn probe_size(probe: &Message) -> usize {
     wire::encode_probe(probe).len()
 }
 
@@ -28,10 +28,10 @@
 /// probes may be lost, duplicated or delayed.
 pub trait Probes: Send + Sync {
     /// Sends a probe. A failure to send is not reported.
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()>;
+    fn send(&self, to: SocketAddr, probe: Message) -> BoxFuture<'_, ()>;
 
     /// Waits for the next probe; returns it with the address of its sender.
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)>;
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)>;
 
     /// Total bytes sent and received.
     fn bytes(&self) -> u64;
@@ -92,7 +92,7 @@
 
 impl Probes for ProbeSocket {
     /// Ignores send errors: to the failure detector they equal a lost datagram.
-    fn send(&self, to: SocketAddr, probe: Probe) -> BoxFuture<'_, ()> {
+    fn send(&self, to: SocketAddr, probe: Message) -> BoxFuture<'_, ()> {
         async move {
             let bytes = wire::encode_probe(&probe);
             self.count(bytes.len());
@@ -105,7 +105,7 @@
     }
 
     /// Counts and skips datagrams that can't be decoded.
-    fn receive(&self) -> BoxFuture<'_, (Probe, SocketAddr)> {
+    fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)> {
         async move {
             let mut buffer = vec![0; MAX_DATAGRAM];
             loop {
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -9,7 +9,7 @@
 use capnp::{message::ReaderOptions, struct_list, text};
 use chestnut_book::BookVersion;
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
-use chestnut_fleet::{Addresses, Heir, Liveness, Member, Probe, ProbeKind};
+use chestnut_fleet::{Addresses, Liveness, Member, Message, MessageKind, Successor};
 use chestnut_once::{Handed, Outcome, Ticket};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
 use chestnut_route::{Failure, Refusal};
@@ -69,7 +69,7 @@
     to.set_operators(member.addresses.operators.to_string().as_str());
     to.set_peers(member.addresses.peers.to_string().as_str());
     to.set_incarnation(member.incarnation.0);
-    to.set_beat(member.beat);
+    to.set_beat(member.version);
     to.set_liveness(match member.liveness {
         Liveness::Alive => schema::Liveness::Alive,
         Liveness::Suspect => schema::Liveness::Suspect,
@@ -78,12 +78,12 @@
     to.set_leaving(member.leaving);
     to.set_weight(member.weight);
     to.set_load(member.load);
-    let mut successors = to.init_heirs(member.heirs.len() as u32);
-    for (at, (incarnation, successor)) in (0u32..).zip(&member.heirs) {
+    let mut successors = to.init_heirs(member.successors.len() as u32);
+    for (at, (incarnation, successor)) in (0u32..).zip(&member.successors) {
         let mut item = successors.reborrow().get(at);
         item.set_of(incarnation.0);
         item.set_member(successor.member.as_str());
-        item.set_life(successor.life.0);
+        item.set_life(successor.incarnation.0);
     }
 }
 
@@ -99,7 +99,7 @@
             peers: address(from.get_peers()?)?,
         },
         incarnation: Incarnation(from.get_incarnation()),
-        beat: from.get_beat(),
+        version: from.get_beat(),
         liveness: match from.get_liveness()? {
             schema::Liveness::Alive => Liveness::Alive,
             schema::Liveness::Suspect => Liveness::Suspect,
@@ -108,7 +108,7 @@
         leaving: from.get_leaving(),
         weight: from.get_weight(),
         load: from.get_load(),
-        heirs: from
+        successors: from
             .get_heirs()?
             .iter()
             .map(get_successor)
@@ -118,10 +118,10 @@
 
 /// Reads the successor that took over the tickets of one incarnation of a
 /// member.
-fn get_successor(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Heir)> {
-    let successor = Heir {
+fn get_successor(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Successor)> {
+    let successor = Successor {
         member: parse(from.get_member()?)?,
-        life: Incarnation(from.get_life()),
+        incarnation: Incarnation(from.get_life()),
     };
     Ok((Incarnation(from.get_of()), successor))
 }
@@ -181,49 +181,52 @@
 }
 
 /// Encodes a probe as one datagram.
-pub(crate) fn encode_probe(probe: &Probe) -> Vec<u8> {
-    let mut message = capnp::message::Builder::new_default();
-    let mut root = message.init_root::<schema::probe::Builder<'_>>();
+pub(crate) fn encode_probe(message: &Message) -> Vec<u8> {
+    let mut builder = capnp::message::Builder::new_default();
+    let mut root = builder.init_root::<schema::probe::Builder<'_>>();
     root.set_version(VERSION);
-    match &probe.kind {
-        ProbeKind::Ping => root.set_kind(schema::ProbeKind::Ping),
-        ProbeKind::Ack => root.set_kind(schema::ProbeKind::Ack),
-        ProbeKind::Relay { target } => {
+    match &message.kind {
+        MessageKind::Ping => root.set_kind(schema::ProbeKind::Ping),
+        MessageKind::Ack => root.set_kind(schema::ProbeKind::Ack),
+        MessageKind::IndirectPing { target } => {
             root.set_kind(schema::ProbeKind::Relay);
             root.set_target(target.as_str());
         }
     }
-    root.set_seq(probe.seq);
-    put_member(&probe.from, root.reborrow().init_from());
-    root.set_digest(probe.digest.0);
-    root.set_confirmed_ms(probe.confirmed.map_or(-1, |age| age.as_millis() as i64));
-    root.set_load(probe.load);
-    root.set_book(probe.book.0);
-    let updates = root.reborrow().init_news(probe.news.len() as u32);
-    put_members(&probe.news, updates);
-    if !probe.cases.is_empty() {
-        put_reports(&probe.cases, root.init_cases(probe.cases.len() as u32));
+    root.set_seq(message.seq);
+    put_member(&message.from, root.reborrow().init_from());
+    root.set_digest(message.digest.0);
+    root.set_confirmed_ms(message.confirmed.map_or(-1, |age| age.as_millis() as i64));
+    root.set_load(message.load);
+    root.set_book(message.book.0);
+    let updates = root.reborrow().init_news(message.updates.len() as u32);
+    put_members(&message.updates, updates);
+    if !message.reports.is_empty() {
+        put_reports(
+            &message.reports,
+            root.init_cases(message.reports.len() as u32),
+        );
     }
     let mut bytes = Vec::new();
-    capnp::serialize_packed::write_message(&mut bytes, &message)
+    capnp::serialize_packed::write_message(&mut bytes, &builder)
         .expect("writing to memory does not fail");
     bytes
 }
 
 /// Decodes a probe from a datagram.
-pub(crate) fn decode_probe(bytes: &[u8]) -> Read<Probe> {
+pub(crate) fn decode_probe(bytes: &[u8]) -> Read<Message> {
     let message = capnp::serialize_packed::read_message(bytes, reader_options())?;
     let root = message.get_root::<schema::probe::Reader<'_>>()?;
     check_version(root.get_version())?;
     let kind = match root.get_kind()? {
-        schema::ProbeKind::Ping => ProbeKind::Ping,
-        schema::ProbeKind::Ack => ProbeKind::Ack,
-        schema::ProbeKind::Relay => ProbeKind::Relay {
+        schema::ProbeKind::Ping => MessageKind::Ping,
+        schema::ProbeKind::Ack => MessageKind::Ack,
+        schema::ProbeKind::Relay => MessageKind::IndirectPing {
             target: parse(root.get_target()?)?,
         },
     };
     let age = u64::try_from(root.get_confirmed_ms()).ok();
-    Ok(Probe {
+    Ok(Message {
         kind,
         seq: root.get_seq(),
         from: get_member(root.get_from()?)?,
@@ -231,8 +234,8 @@
         confirmed: age.map(Duration::from_millis),
         load: root.get_load(),
         book: BookVersion(root.get_book()),
-        news: get_members(root.get_news()?)?,
-        cases: get_reports(root.get_cases()?)?,
+        updates: get_members(root.get_news()?)?,
+        reports: get_reports(root.get_cases()?)?,
     })
 }
 
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use chestnut_book::BookVersion;
 use chestnut_conf::BookDigest;
-use chestnut_fleet::{Addresses, Member, Probe, ProbeKind};
+use chestnut_fleet::{Addresses, Member, Message, MessageKind};
 use chestnut_port::{ProbeSocket, Probes, probe_size};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
 use chestnut_unit::{Incarnation, MemberId};
@@ -27,7 +27,7 @@
         addresses,
         incarnation,
     );
-    (member.weight, member.load, member.beat) = (12_345, 6_789, n);
+    (member.weight, member.load, member.version) = (12_345, 6_789, n);
     member
 }
 
@@ -49,31 +49,31 @@
     }
 }
 
-fn probe(updates: u32, records: u32) -> Probe {
-    let mut probe = Probe {
-        kind: ProbeKind::Ping,
+fn message(updates: u32, reports: u32) -> Message {
+    let mut message = Message {
+        kind: MessageKind::Ping,
         seq: 123_456_789,
         from: member(200),
         digest: BookDigest(0x1234_5678_9abc_def0),
         confirmed: Some(Duration::from_millis(4321)),
         load: 4321,
         book: BookVersion(98_765),
-        news: (0..updates).map(member).collect(),
-        cases: Vec::new(),
+        updates: (0..updates).map(member).collect(),
+        reports: Vec::new(),
     };
-    probe.carry(&(0..records).map(report).collect::<Vec<_>>());
-    probe
+    message.attach_reports(&(0..reports).map(report).collect::<Vec<_>>());
+    message
 }
 
 /// Guards against fragmented datagrams, which are lost more often, so that some entries
 /// never get the records.
 #[test]
 fn largest_probe_is_not_fragmented() {
-    let size = probe_size(&probe(8, 4));
+    let size = probe_size(&message(8, 4));
     assert!(
         size <= DATAGRAM_MAX,
         "{size} bytes, {} without records",
-        probe_size(&probe(8, 0))
+        probe_size(&message(8, 0))
     );
 }
 
@@ -84,7 +84,7 @@
     let sender = ProbeSocket::bind(any, Arc::default()).await.unwrap();
     let receiver = ProbeSocket::bind(any, Arc::default()).await.unwrap();
     for (updates, records) in [(0, 0), (1, 1), (8, 4)] {
-        let sent = probe(updates, records);
+        let sent = message(updates, records);
         sender.send(receiver.address().unwrap(), sent.clone()).await;
         let (received, _) = receiver.receive().await;
         assert_eq!(received, sent);
--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/boot.rs
@@ -26,7 +26,7 @@
             break;
         }
         read_peers(&shared).await;
-        if lock(&shared.conf).confirm.age(shared.now()).is_some() {
+        if lock(&shared.conf).confirmation.age(shared.now()).is_some() {
             break;
         }
         sleep(RETRY_INTERVAL).await;
@@ -82,8 +82,8 @@
             .into_iter()
             .filter(|member| swim.view.get(&member.id).is_none())
             .collect();
-        swim.introduce(&unknown, shared.now());
-        swim.view.dismiss_absent(&live);
+        swim.merge_members(&unknown, shared.now());
+        swim.view.confirm_absent_gone(&live);
     }
     gossip::apply_member_changes(shared);
     let leaving = leafs::apply_vm_list(shared, &vms);
@@ -124,7 +124,7 @@
         let Ok(members) = shared.peers().members(address).await else {
             continue;
         };
-        lock(&shared.swim).introduce(&members, shared.now());
+        lock(&shared.swim).merge_members(&members, shared.now());
         gossip::apply_member_changes(shared);
         let versions = lock(&shared.conf).book.keys();
         if let Ok(objects) = shared.peers().objects(address, versions).await {
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use chestnut_fleet::{Change, Probe, Send};
+use chestnut_fleet::{Change, Message, Outgoing};
 use slog::info;
 use tokio::time::sleep_until;
 
@@ -15,7 +15,7 @@
         let mut out = Vec::new();
         tokio::select! {
             biased;
-            (probe, from) = shared.probes.receive() => receive(&shared, &probe, from, &mut out),
+            (message, from) = shared.probes.receive() => receive(&shared, &message, from, &mut out),
             () = sleep_until(wake) => tick(&shared, &mut out),
         }
         send_all(&shared, out).await;
@@ -24,39 +24,42 @@
 }
 
 /// Sends messages of the failure detector.
-pub(crate) async fn send_all(shared: &Shared, out: Vec<Send>) {
-    for Send { to, probe } in out {
-        shared.probes.send(to, probe).await;
+pub(crate) async fn send_all(shared: &Shared, out: Vec<Outgoing>) {
+    for Outgoing { to, message } in out {
+        shared.probes.send(to, message).await;
     }
 }
 
 /// Runs the timers of the failure detector, and updates the confirmation of the
 /// configuration from the members that are present.
-fn tick(shared: &Shared, out: &mut Vec<Send>) {
+fn tick(shared: &Shared, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
     let mut rng = shared.rng();
     let present = {
         let mut swim = lock(&shared.swim);
         swim.tick(status, now, &mut rng, out);
-        let ids = swim.view.not_known_gone().map(|m| m.id.clone());
+        let ids = swim.view.not_confirmed_gone().map(|m| m.id.clone());
         ids.collect::<Vec<_>>()
     };
     let mut conf = lock(&shared.conf);
-    conf.confirm.outage(present.iter(), status.digest, now);
+    conf.confirmation
+        .confirm_in_outage(present.iter(), status.digest, now);
 }
 
-/// Handles a probe; a different configuration digest is queued for
+/// Handles a message; a different configuration digest is queued for
 /// reconciliation with the sender.
-fn receive(shared: &Shared, probe: &Probe, from: SocketAddr, out: &mut Vec<Send>) {
+fn receive(shared: &Shared, message: &Message, from: SocketAddr, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
-    lock(&shared.swim).receive(probe, from, status, now, out);
-    lock(&shared.conf).confirm.peer(probe, status.digest, now);
-    if probe.digest != status.digest {
+    lock(&shared.swim).receive(message, from, status, now, out);
+    lock(&shared.conf)
+        .confirmation
+        .peer_reported(message, status.digest, now);
+    if message.digest != status.digest {
         let differs = Differs {
-            peer: probe.from.addresses.peers,
-            digest: probe.digest,
+            peer: message.from.addresses.peers,
+            digest: message.digest,
         };
         // If the queue is full, the next probe from this peer reports it again.
         let _ = shared.differs.try_send(differs);
@@ -79,7 +82,7 @@
         info!(shared.host.log, "fleet: {id} {event}");
         changed |= change != Change::Suspected;
         if change == Change::Gone {
-            lock(&shared.conf).confirm.forget(&id);
+            lock(&shared.conf).confirmation.remove_peer(&id);
         }
     }
     if changed {
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -74,7 +74,7 @@
 pub(crate) fn place_all(shared: &Shared) -> HeldLeafs {
     let (services, layouts) = read_objects(shared);
     let evacuated = lock(&shared.conf).book.evacuated();
-    let members: Vec<Member> = lock(&shared.swim).view.working().cloned().collect();
+    let members: Vec<Member> = lock(&shared.swim).view.accepting_work().cloned().collect();
     let names: BTreeSet<ServiceName> = services.keys().cloned().collect();
     shared.drop_services(&names);
     let mut held = HeldLeafs::new();
@@ -152,7 +152,7 @@
         let mut backends: BTreeMap<&LeafId, Vec<Ix>> = BTreeMap::new();
         let mut places = BTreeMap::new();
         for (id, leaf) in &self.object.leafs {
-            let holders = self.plan.of(leaf.group);
+            let holders = self.plan.holders(leaf.group);
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
                 let excluded = self.evacuated.contains(&leaf.domain);
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -67,7 +67,7 @@
     }
     let now = shared.now();
     let mut conf = lock(&shared.conf);
-    let age = conf.confirm.age(now);
+    let age = conf.confirmation.age(now);
     let policy = conf.policy(org);
     drop(conf);
     let Some(policy) = policy else {
@@ -117,7 +117,7 @@
     if !policy.may_refuse(Reason::OrgLimit) {
         return Ok(None);
     }
-    let entries = lock(&shared.swim).view.working().count();
+    let entries = lock(&shared.swim).view.accepting_work().count();
     let now = shared.now();
     let entered = lock(&shared.org_limiters).admit(org, &effective.policy.limits, entries, now);
     match entered {
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -100,7 +100,7 @@
         let swim = lock(&shared.swim);
         let ticket = &submission.ticket;
         swim.view
-            .keeper_of(&ticket.keeper, ticket.incarnation)
+            .ticket_owner(&ticket.keeper, ticket.incarnation)
             .cloned()
     };
     let Some(keeper) = keeper else {
@@ -178,7 +178,7 @@
     let successor = {
         let swim = lock(&shared.swim);
         let own = swim.view.own();
-        let successor = own.heirs.get(&own.incarnation);
+        let successor = own.successors.get(&own.incarnation);
         successor.and_then(|successor| swim.view.get(&successor.member).cloned())
     };
     match successor {
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chestnut_conf::{ObjectKey, Settings};
-use chestnut_fleet::{Addresses, Heir, Liveness, Member};
+use chestnut_fleet::{Addresses, Liveness, Member, Successor};
 use chestnut_port::Clock;
 use chestnut_unit::{DomainName, Incarnation, MemberId};
 use displaydoc::Display;
@@ -322,11 +322,14 @@
     };
     let tickets = lock(&shared.keeper).hand_over();
     let count = tickets.len();
-    let Ok(life) = shared.peers().adopt(address, tickets).await else {
+    let Ok(incarnation) = shared.peers().adopt(address, tickets).await else {
         return false;
     };
     info!(shared.host.log, "keep: handed {count} tickets to {member}");
-    lock(&shared.swim).leave(Some(Heir { member, life }));
+    lock(&shared.swim).leave(Some(Successor {
+        member,
+        incarnation,
+    }));
     true
 }
 
@@ -335,7 +338,7 @@
     let swim = lock(&shared.swim);
     swim.view
         .others()
-        .filter(|member| member.takes_work() && member.liveness == Liveness::Alive)
+        .filter(|member| member.accepts_work() && member.liveness == Liveness::Alive)
         .map(|member| (member.id.clone(), member.addresses.peers))
         .choose(&mut shared.rng())
 }
