--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,7 +7,7 @@
 
 use chestnut_conf::Settings;
 use chestnut_log::Output;
-use chestnut_tier::{Front, Ports, Tier};
+use chestnut_tier::{HttpServers, Ports, Tier};
 use clap::Parser;
 use slog::{Logger, info};
 use tokio::signal::unix::{SignalKind, signal};
@@ -75,10 +75,10 @@
         .map_err(|e| format!("listen.peers: can't bind {peers}: {e}"))?;
     let seed = rand::random();
     let tier = Tier::spawn(settings, log.clone(), ports, seed).await?;
-    let front = Front::bind(&tier)
+    let http = HttpServers::bind(&tier)
         .await
         .map_err(|e| format!("listen.callers or listen.operators: can't bind: {e}"))?;
-    let (callers, operators) = (front.callers(), front.operators());
+    let (callers, operators) = (http.callers(), http.operators());
     info!(log, "fleet: {} listens", tier.member();
         "callers" => %callers, "operators" => %operators);
     wait_for_stop(&tier).await?;
@@ -87,7 +87,7 @@
         () = tier.leave() => {}
         _ = second.recv() => info!(log, "fleet: received another SIGTERM during the planned stop, exiting now"),
     }
-    front.close().await;
+    http.close().await;
     tier.stop().await;
     Ok(())
 }
@@ -99,7 +99,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = tier.drain_asked() => {}
+        () = tier.drain_requested() => {}
     }
     Ok(())
 }
--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -3,7 +3,7 @@
 use std::{io, path::Path};
 
 use chestnut_conf::{Kind, ObjectKey, Settings, Stored};
-use chestnut_tier::{Front, Ports, SpawnError, Tier};
+use chestnut_tier::{HttpServers, Ports, SpawnError, Tier};
 use displaydoc::Display;
 use slog::Logger;
 
@@ -31,7 +31,7 @@
     /// The tier.
     pub tier: Tier,
     /// HTTP before it.
-    pub front: Front,
+    pub http: HttpServers,
 }
 
 /// A running demo. Dropping it ends it.
@@ -112,8 +112,8 @@
     let tier = Tier::spawn(settings, log, ports, seed)
         .await
         .map_err(DemoError::Spawn)?;
-    let front = Front::bind(&tier).await.map_err(DemoError::Bind)?;
-    Ok(DemoEntry { tier, front })
+    let http = HttpServers::bind(&tier).await.map_err(DemoError::Bind)?;
+    Ok(DemoEntry { tier, http })
 }
 
 type Written = (ObjectKey, serde_json::Value);
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -206,14 +206,14 @@
     println!("platform   {}", demo.platform.address());
     println!("targets    {} leafs", demo.targets.len());
     for (entry, spec) in demo.entries.iter().zip(&demo.world.entry) {
-        let (callers, operators) = (entry.front.callers(), entry.front.operators());
+        let (callers, operators) = (entry.http.callers(), entry.http.operators());
         println!(
             "entry      {} callers {callers} operators {operators}",
             spec.member
         );
     }
     let first = demo.entries.first().ok_or("the world has no entry")?;
-    let (callers, operators) = (first.front.callers(), first.front.operators());
+    let (callers, operators) = (first.http.callers(), first.http.operators());
     println!("\nTry:\n  curl -s http://{callers}/v1/entries");
     if let Some((org, service, call)) = sample(folder) {
         println!(
--- a/crates/scene/src/judge.rs
+++ b/crates/scene/src/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chestnut_tier::{Answer, Refused};
+use chestnut_tier::{Answer, Refusal};
 use chestnut_unit::Run;
 use serde_json::Value;
 
@@ -12,7 +12,7 @@
     /// An answer to query `number`.
     Answer(Box<Answer>),
     /// A refusal.
-    Refused(Box<Refused>),
+    Refused(Box<Refusal>),
 }
 
 /// Violations found so far.
@@ -37,15 +37,15 @@
                 self.answers += 1;
                 self.judge_answer(number, answer);
             }
-            Told::Refused(refused) => {
+            Told::Refused(refusal) => {
                 self.refusals += 1;
-                if refused.run == Run::NotRun {
+                if refusal.execution == Run::NotRun {
                     self.not_run.insert(number);
                 }
-                if refused.receipt.is_empty() {
+                if refusal.receipt.is_empty() {
                     self.wrong.push(format!("query {number}: no receipt"));
                 }
-                self.receipts.insert(refused.receipt.clone());
+                self.receipts.insert(refusal.receipt.clone());
             }
         }
     }
--- a/crates/scene/src/run.rs
+++ b/crates/scene/src/run.rs
@@ -152,9 +152,9 @@
         let word = match &done {
             Ok(_) => "accepted",
             Err(EditError::Conflict { .. }) => "conflict",
-            Err(EditError::Outage) => "outage",
-            Err(EditError::Unsettled { .. }) => "unsettled",
-            Err(EditError::Check(_)) => "wrong",
+            Err(EditError::Unavailable) => "outage",
+            Err(EditError::Unconfirmed { .. }) => "unsettled",
+            Err(EditError::Invalid(_)) => "wrong",
         };
         if want != "any" && want != word {
             return Err(format!("the edit was to be {want} and is {done:?}"));
@@ -251,7 +251,7 @@
 
     fn ticket(&mut self, name: String, entry: usize) -> Result<(), String> {
         let minted = self.entry(entry)?.tier.ticket();
-        let reply = minted.map_err(|refused| format!("no ticket: {}", refused.reason))?;
+        let reply = minted.map_err(|refusal| format!("no ticket: {}", refusal.reason))?;
         self.tickets.insert(name, reply.ticket.to_string());
         Ok(())
     }
@@ -272,7 +272,7 @@
             life.gate().await;
             let word = match tier.submit(ask).await {
                 Ok(_) => "done",
-                Err(refused) if refused.run == Run::NotRun => "not_run",
+                Err(refusal) if refusal.execution == Run::NotRun => "not_run",
                 Err(_) => "unknown",
             };
             life.gate().await;
@@ -373,16 +373,16 @@
         (_, Want::Any) => Ok(()),
         (Told::Answer(answer), Want::Complete) if answer.coverage.is_complete() => Ok(()),
         (Told::Answer(answer), Want::Partial) if !answer.coverage.is_complete() => Ok(()),
-        (Told::Refused(refused), Want::Refused(reason)) => {
-            let code = refused.reason.as_str();
+        (Told::Refused(refusal), Want::Refused(reason)) => {
+            let code = refusal.reason.as_str();
             match reason {
-                Some(reason) if reason != code => Err(format!("refused for {code}: {refused:?}")),
+                Some(reason) if reason != code => Err(format!("refused for {code}: {refusal:?}")),
                 _ => Ok(()),
             }
         }
         (Told::Answer(answer), _) => Err(format!("{want:?} was expected: {:?}", answer.coverage)),
-        (Told::Refused(refused), _) => {
-            let (reason, detail) = (refused.reason, &refused.detail);
+        (Told::Refused(refusal), _) => {
+            let (reason, detail) = (refusal.reason, &refusal.detail);
             Err(format!(
                 "{want:?} was expected: refused for {reason}, {detail}"
             ))
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -432,7 +432,7 @@
         life.gate().await;
         let told = match tier.query(ask).await {
             Ok(answer) => Told::Answer(Box::new(answer)),
-            Err(refused) => Told::Refused(Box::new(refused)),
+            Err(refusal) => Told::Refused(Box::new(refusal)),
         };
         life.gate().await;
         lock(&verdict).judge(number, &told);
--- a/crates/tier/src/api.rs
+++ b/crates/tier/src/api.rs
@@ -53,14 +53,14 @@
     /// Version of the organisation object.
     pub organisation: u64,
     /// Time since the settings were last confirmed to be current.
-    pub confirmed: Duration,
+    pub confirmed_age: Duration,
 }
 
 /// An answer to a query.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The id of the request at this entry.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// The entry that answered.
     pub entry: MemberId,
     /// The snapshot that every row comes from.
@@ -75,7 +75,7 @@
 
 /// A refusal of a request.
 #[derive(Clone, Debug)]
-pub struct Refused {
+pub struct Refusal {
     /// The encoded receipt, which can be decoded later without any stored state.
     pub receipt: String,
     /// Why the request was refused.
@@ -83,9 +83,9 @@
     /// What was wrong with this request, for people to read.
     pub detail: String,
     /// Whether a target ran any part of the request.
-    pub run: Run,
+    pub execution: Run,
     /// Delay before a retry; `None` if a retry won't help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Other entries to try.
     pub entries: Vec<Entry>,
 }
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct SubmitOutcome {
     /// The id of the request at this entry.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// The target's answer as JSON.
     pub answer: Bytes,
 }
@@ -121,16 +121,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum EditError {
     /// {0}
-    Check(String),
+    Invalid(String),
     /// the object is at version {current}; read it again and redo the edit
     Conflict {
         /// The version in force; 0 if there is none.
         current: u64,
     },
     /// the platform can't be reached; the edit was not accepted
-    Outage,
+    Unavailable,
     /// the platform gave no answer; repeat the same edit with edit id {id} to learn its fate
-    Unsettled {
+    Unconfirmed {
         /// The id of the edit.
         id: String,
     },
--- a/crates/tier/src/edge.rs
+++ b/crates/tier/src/callers.rs
@@ -16,10 +16,10 @@
 use serde_json::{json, value::RawValue};
 
 use crate::{
-    api::{Answer, QueryRequest, Refused, SubmitOutcome, SubmitRequest},
-    refuse::{Subject, Why, refuse},
+    api::{Answer, QueryRequest, Refusal, SubmitOutcome, SubmitRequest},
+    refuse::{RefusalCause, Subject, refuse},
     shared::Phase,
-    tier::{EMPTY, Tier},
+    tier::{EMPTY_JSON, Tier},
     web::{self, BodyError, Reply, WebLimits},
 };
 
@@ -112,7 +112,7 @@
     };
     match tier.query(request).await {
         Ok(answer) => web::json(StatusCode::OK, answer_json(&answer)),
-        Err(refused) => refusal_reply(&refused),
+        Err(refusal) => refusal_reply(&refusal),
     }
 }
 
@@ -126,7 +126,7 @@
             });
             web::json(StatusCode::OK, body.to_string())
         }
-        Err(refused) => refusal_reply(&refused),
+        Err(refusal) => refusal_reply(&refusal),
     }
 }
 
@@ -158,13 +158,13 @@
     };
     match tier.submit(request).await {
         Ok(outcome) => web::json(StatusCode::OK, outcome_json(&outcome)),
-        Err(refused) => refusal_reply(&refused),
+        Err(refusal) => refusal_reply(&refusal),
     }
 }
 
 /// Decodes a receipt, which contains the whole refusal, so no store is read.
 fn explain(tier: &Tier, text: &str) -> Reply {
-    match Receipt::decode(text, &tier.shared.check) {
+    match Receipt::decode(text, &tier.shared.receipt_key) {
         Ok(receipt) => {
             let sentence = receipt.reason.sentence();
             let mut body = json!(receipt);
@@ -177,7 +177,7 @@
 
 /// Copies raw JSON; an absent value becomes an empty object.
 fn raw_bytes(value: Option<&RawValue>) -> Bytes {
-    value.map_or(EMPTY, |raw| Bytes::copy_from_slice(raw.get().as_bytes()))
+    value.map_or(EMPTY_JSON, |v| Bytes::copy_from_slice(v.get().as_bytes()))
 }
 
 /// Checks that a deadline is positive and within the configured limit.
@@ -215,14 +215,14 @@
     refusal_reply(&refuse(
         &tier.shared,
         &subject,
-        Why::not_run(reason, detail),
+        RefusalCause::not_run(reason, detail),
     ))
 }
 
 /// Encodes an answer to a query.
 fn answer_json(answer: &Answer) -> String {
     let head = json!({
-        "request": answer.request,
+        "request": answer.request_id,
         "entry": answer.entry,
         "snapshot": answer.snapshot,
         "coverage": {
@@ -234,7 +234,7 @@
         "settings": {
             "template": answer.settings.template,
             "organisation": answer.settings.organisation,
-            "confirmed_ms": answer.settings.confirmed.as_millis() as u64,
+            "confirmed_ms": answer.settings.confirmed_age.as_millis() as u64,
         },
     })
     .to_string();
@@ -250,7 +250,7 @@
     } else {
         String::from_utf8_lossy(&outcome.answer)
     };
-    let request = outcome.request;
+    let request = outcome.request_id;
     format!(r#"{{"outcome":"done","request":{request},"answer":{answer}}}"#)
 }
 
@@ -263,21 +263,21 @@
 }
 
 /// Builds the HTTP reply to a refused request.
-fn refusal_reply(refused: &Refused) -> Reply {
+fn refusal_reply(refusal: &Refusal) -> Reply {
     let body = json!({
         "refused": true,
-        "receipt": refused.receipt,
-        "reason": refused.reason,
-        "sentence": refused.reason.sentence(),
-        "detail": refused.detail,
-        "run": refused.run,
-        "retry_after_ms": refused.after.map(|span| span.as_millis() as u64),
-        "entries": refused.entries.iter().map(entry_json).collect::<Vec<_>>(),
+        "receipt": refusal.receipt,
+        "reason": refusal.reason,
+        "sentence": refusal.reason.sentence(),
+        "detail": refusal.detail,
+        "run": refusal.execution,
+        "retry_after_ms": refusal.retry_after.map(|span| span.as_millis() as u64),
+        "entries": refusal.entries.iter().map(entry_json).collect::<Vec<_>>(),
     });
-    let mut reply = web::json(http_status(refused.reason), body.to_string());
-    if let Some(after) = refused.after {
+    let mut reply = web::json(http_status(refusal.reason), body.to_string());
+    if let Some(retry_after) = refusal.retry_after {
         // Whole seconds, rounded up; the body has the milliseconds.
-        let seconds = after.as_millis().div_ceil(1000) as u64;
+        let seconds = retry_after.as_millis().div_ceil(1000) as u64;
         reply
             .headers_mut()
             .insert(RETRY_AFTER, HeaderValue::from(seconds));
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -10,12 +10,12 @@
 use futures::{FutureExt, future::BoxFuture};
 
 use crate::{
-    service::{Place, Placed, Service},
+    service::{BackendAddress, Service, ServiceRoutes},
     shared::Shared,
 };
 
 /// One query and the service that it is sent to; issues its calls.
-pub(crate) struct Ask<'a> {
+pub(crate) struct QueryCalls<'a> {
     /// The tables of the entry.
     pub(crate) shared: &'a Shared,
     /// The service that is queried.
@@ -29,8 +29,8 @@
 /// The pending result of one call.
 type CallFuture = BoxFuture<'static, Result<Parts<Bytes>, Failure>>;
 
-impl Calls for Ask<'_> {
-    type Extra = Placed;
+impl Calls for QueryCalls<'_> {
+    type Extra = ServiceRoutes;
     type Part = Bytes;
 
     fn request(&self) -> &dyn Display {
@@ -39,14 +39,14 @@
 
     fn call(&self, start: Start<'_>) -> CallFuture {
         self.shared.metrics.count_call(start.kind);
-        let place = lock(&self.service.state)
+        let backend = lock(&self.service.state)
             .extra
-            .places
+            .addresses
             .get(&start.to)
             .cloned();
-        match place {
-            Some(Place::Leaf(leaf, address)) => self.call_leaf(leaf, address, &start),
-            Some(Place::Peer(_, address)) => self.call_peer(address, &start),
+        match backend {
+            Some(BackendAddress::Leaf(leaf, address)) => self.call_leaf(leaf, address, &start),
+            Some(BackendAddress::Peer(_, address)) => self.call_peer(address, &start),
             None => async { Err(Failure::NotSent) }.boxed(),
         }
     }
@@ -56,7 +56,7 @@
     }
 }
 
-impl Ask<'_> {
+impl QueryCalls<'_> {
     /// Sends the shards of a call to a leaf.
     fn call_leaf(&self, leaf: LeafId, address: SocketAddr, start: &Start<'_>) -> CallFuture {
         let names = shard_names(start.routes, &start.shards);
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     api::{EditError, EditReply},
+    propagation,
     shared::{Shared, lock},
-    spread,
 };
 
 /// Attempts to write an edit before it is reported as failed.
@@ -35,9 +35,9 @@
     /// The new content of the object.
     pub(crate) spec: serde_json::Value,
     /// The id of the edit; a request that repeats an id is idempotent.
-    pub(crate) id: String,
+    pub(crate) edit_id: String,
     /// The operator, for the edit history.
-    pub(crate) by: String,
+    pub(crate) author: String,
 }
 
 /// Validates an edit, writes it to the platform with retries, and applies it
@@ -58,11 +58,13 @@
         sleep(RETRY_BACKOFF).await;
     }
     warn!(shared.host.log, "conf: gave up on the edit of {}: no answer from the platform",
-        request.key; "edit" => &request.id);
+        request.key; "edit" => &request.edit_id);
     if sent {
-        Err(EditError::Unsettled { id: request.id })
+        Err(EditError::Unconfirmed {
+            id: request.edit_id,
+        })
     } else {
-        Err(EditError::Outage)
+        Err(EditError::Unavailable)
     }
 }
 
@@ -81,11 +83,11 @@
     let current = match shared.platform.get(request.key.clone()).await {
         Ok(current) => current,
         Err(PlatformError::Unavailable) => return Err(Attempt::ReadFailed),
-        Err(error) => return Err(Attempt::Final(EditError::Check(error.to_string()))),
+        Err(error) => return Err(Attempt::Final(EditError::Invalid(error.to_string()))),
     };
     let version = current.as_ref().map_or(0, |object| object.version);
     let stored = current.as_ref().and_then(parse_stored);
-    if let Some(applied) = stored.as_ref().and_then(|s| find_edit(s, &request.id)) {
+    if let Some(applied) = stored.as_ref().and_then(|s| find_edit(s, &request.edit_id)) {
         if let Some(object) = current {
             apply_edit(shared, request, object);
         }
@@ -95,9 +97,9 @@
         return Err(Attempt::Final(EditError::Conflict { current: version }));
     }
     let edit = Edit {
-        id: request.id.clone(),
+        id: request.edit_id.clone(),
         version: version + 1,
-        by: request.by.clone(),
+        by: request.author.clone(),
         at: shared.host.clock.wall(),
     };
     let next = Stored::next(stored.as_ref(), request.spec.clone(), edit);
@@ -116,21 +118,21 @@
             apply_edit(shared, request, object);
             Ok(EditReply {
                 version,
-                id: request.id.clone(),
+                id: request.edit_id.clone(),
             })
         }
         // A conflict comes from another edit or from an earlier attempt of this
         // one; the next read shows which.
         Err(PlatformError::Conflict { .. } | PlatformError::Unavailable) => Err(Attempt::Unknown),
-        Err(error) => Err(Attempt::Final(EditError::Check(error.to_string()))),
+        Err(error) => Err(Attempt::Final(EditError::Invalid(error.to_string()))),
     }
 }
 
 /// Logs an accepted edit, applies it here and sends it to the peers.
 fn apply_edit(shared: &Arc<Shared>, request: &EditRequest, object: Object) {
     info!(shared.host.log, "conf: accepted {} version {}", request.key, object.version;
-        "edit" => &request.id, "by" => &request.by);
-    spread::take(shared, vec![object], "an edit here");
+        "edit" => &request.edit_id, "by" => &request.author);
+    propagation::apply_and_forward(shared, vec![object], "an edit here");
 }
 
 fn parse_stored(object: &Object) -> Option<Stored> {
@@ -162,7 +164,7 @@
             let conf = lock(&shared.conf);
             let Some((_, template)) = conf.book.template(&org.template) else {
                 let problem = format!("template: {} does not exist", org.template);
-                return Err(EditError::Check(problem));
+                return Err(EditError::Invalid(problem));
             };
             org.check(&template).map_err(check_error)
         }
@@ -170,19 +172,19 @@
             let _: Evacuation = parse(&request.spec)?;
             let name = DomainName::new(&request.key.name);
             name.map(drop)
-                .map_err(|error| EditError::Check(error.to_string()))
+                .map_err(|error| EditError::Invalid(error.to_string()))
         }
         kind @ (Kind::Service | Kind::Layout | Kind::Refusal) => {
             let problem = format!("{kind} objects are written by the platform, not edited here");
-            Err(EditError::Check(problem))
+            Err(EditError::Invalid(problem))
         }
     }
 }
 
 fn parse<T: DeserializeOwned>(spec: &serde_json::Value) -> Result<T, EditError> {
-    T::deserialize(spec).map_err(|error| EditError::Check(error.to_string()))
+    T::deserialize(spec).map_err(|error| EditError::Invalid(error.to_string()))
 }
 
 fn check_error(error: chestnut_conf::CheckError) -> EditError {
-    EditError::Check(error.to_string())
+    EditError::Invalid(error.to_string())
 }
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -6,7 +6,7 @@
 use slog::info;
 use tokio::time::sleep_until;
 
-use crate::shared::{Differs, Shared, lock};
+use crate::shared::{DivergentPeer, Shared, lock};
 
 /// Sends and answers probes until the entry stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
@@ -54,12 +54,12 @@
     lock(&shared.swim).receive(probe, from, status, now, out);
     lock(&shared.conf).confirm.peer(probe, status.digest, now);
     if probe.digest != status.digest {
-        let differs = Differs {
+        let divergent = DivergentPeer {
             peer: probe.from.addresses.peers,
             digest: probe.digest,
         };
         // If the queue is full, the next probe from this peer reports it again.
-        let _ = shared.differs.try_send(differs);
+        let _ = shared.divergent_peers.try_send(divergent);
     }
 }
 
@@ -83,6 +83,6 @@
         }
     }
     if changed {
-        shared.place.notify_one();
+        shared.placement_due.notify_one();
     }
 }
--- a/crates/tier/src/leafs.rs
+++ b/crates/tier/src/leafs.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    service::{Service, held, mark_leaving},
+    service::{Service, held_leafs, mark_leaving},
     shared::{Shared, lock},
 };
 
@@ -22,11 +22,11 @@
 const UNHEALTHY_FACTOR: f64 = 2.0;
 
 /// Polls the state of all leafs that this entry connects to, without end.
-pub(crate) async fn watch(shared: Arc<Shared>) {
+pub(crate) async fn poll_states(shared: Arc<Shared>) {
     loop {
         sleep(POLL_INTERVAL).await;
         for service in shared.services() {
-            let polls = held(&service).into_iter().map(|(_, id, address)| {
+            let polls = held_leafs(&service).into_iter().map(|(_, id, address)| {
                 let targets = shared.targets.clone();
                 async move { (id.clone(), targets.state(id, address).await) }
             });
@@ -42,7 +42,7 @@
 /// Updates the leaving mark and the cost factor of a leaf from its own report.
 fn apply_report(shared: &Shared, service: &Service, id: &LeafId, report: &LeafState) {
     let now = shared.now();
-    let listed = lock(&shared.leaving).contains(id);
+    let listed = lock(&shared.leaving_leafs).contains(id);
     if mark_leaving(service, id, report.draining || listed, now) {
         let event = if report.draining || listed {
             "leaving"
@@ -74,7 +74,7 @@
         .filter(|vm| vm.role == VmRole::Leaf)
         .filter_map(|vm| LeafId::new(&vm.name).ok())
         .collect();
-    lock(&shared.leaving).retain(|id| listed.contains(id));
+    lock(&shared.leaving_leafs).retain(|id| listed.contains(id));
     let leaving: Vec<LeafId> = vms
         .iter()
         .filter(|vm| vm.role == VmRole::Leaf && vm.leaving)
@@ -88,7 +88,7 @@
     let now = shared.now();
     let mut added = Vec::new();
     for id in ids {
-        if !lock(&shared.leaving).insert(id.clone()) {
+        if !lock(&shared.leaving_leafs).insert(id.clone()) {
             continue;
         }
         added.push(id.clone());
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,7 +1,7 @@
 //! The query tier as a library.
 //!
 //! [`Tier::spawn`] starts one entry on the given ports and returns its handle;
-//! [`Front::bind`] serves HTTP for callers and operators on top of it. This
+//! [`HttpServers::bind`] serves HTTP for callers and operators on top of it. This
 //! crate runs the tasks and does the I/O; the algorithms are in the crates that
 //! it depends on.
 //!
@@ -22,25 +22,25 @@
 
 #![warn(clippy::unwrap_used)]
 
-mod admin;
 mod api;
-mod boot;
+mod callers;
 mod calls;
-mod edge;
 mod edit;
-mod front;
 mod gossip;
 mod leafs;
 mod metrics;
+mod operators;
 mod peers;
 mod place;
 mod ports;
+mod propagation;
 mod query;
 mod records;
 mod refuse;
+mod server;
 mod service;
 mod shared;
-mod spread;
+mod startup;
 mod status;
 mod submit;
 mod tier;
@@ -48,10 +48,10 @@
 mod web;
 
 pub use api::{
-    Answer, EditError, EditReply, EntryList, QueryRequest, Refused, SettingsUsed, SubmitOutcome,
+    Answer, EditError, EditReply, EntryList, QueryRequest, Refusal, SettingsUsed, SubmitOutcome,
     SubmitRequest, TicketReply,
 };
-pub use front::Front;
 pub use ports::{PeerBinder, Ports};
+pub use server::HttpServers;
 pub use status::{LeafStatus, MemberStatus, Status};
 pub use tier::{SpawnError, Tier};
--- a/crates/tier/src/metrics.rs
+++ b/crates/tier/src/metrics.rs
@@ -54,22 +54,22 @@
     refusals: Family<ReasonLabels, Counter>,
     connections: Family<LeafLabels, Gauge>,
     /// Connection limit of this entry per leaf.
-    pub(crate) share: Gauge,
+    pub(crate) connection_limit: Gauge,
     /// Back ends evicted as outliers.
     pub(crate) evictions: Counter,
     /// Received objects dropped because their version is old.
-    pub(crate) stale: Counter,
+    pub(crate) stale_objects: Counter,
     /// Members that are present.
     pub(crate) members: Gauge,
     /// Time since the configuration was confirmed, in milliseconds; -1 if it never
     /// was.
-    pub(crate) confirmed: Gauge,
+    pub(crate) confirmed_age: Gauge,
     /// Digest of the configuration.
     pub(crate) digest: Gauge,
     /// Bytes of membership traffic.
     pub(crate) probe_bytes: Gauge,
     /// Refusal records not yet written to the platform.
-    pub(crate) records: Gauge,
+    pub(crate) pending_records: Gauge,
     /// Requests in progress.
     pub(crate) in_flight: Gauge,
     /// Processor time of the process in milliseconds.
@@ -90,14 +90,14 @@
             calls: Family::default(),
             refusals: Family::default(),
             connections: Family::default(),
-            share: Gauge::default(),
+            connection_limit: Gauge::default(),
             evictions: Counter::default(),
-            stale: Counter::default(),
+            stale_objects: Counter::default(),
             members: Gauge::default(),
-            confirmed: Gauge::default(),
+            confirmed_age: Gauge::default(),
             digest: Gauge::default(),
             probe_bytes: Gauge::default(),
-            records: Gauge::default(),
+            pending_records: Gauge::default(),
             in_flight: Gauge::default(),
             cpu: Gauge::default(),
         };
@@ -127,15 +127,19 @@
         r.register(
             "connections_share",
             "Most connections to a leaf",
-            self.share.clone(),
+            self.connection_limit.clone(),
         );
         r.register("evictions", "Back ends evicted", self.evictions.clone());
-        r.register("conf_stale", "Old versions dropped", self.stale.clone());
+        r.register(
+            "conf_stale",
+            "Old versions dropped",
+            self.stale_objects.clone(),
+        );
         r.register("members", "Members present", self.members.clone());
         r.register(
             "conf_confirmed_ms",
             "Age of confirmation",
-            self.confirmed.clone(),
+            self.confirmed_age.clone(),
         );
         r.register("conf_digest", "Digest of settings", self.digest.clone());
         r.register(
@@ -146,14 +150,14 @@
         r.register(
             "records_waiting",
             "Refusal records waiting",
-            self.records.clone(),
+            self.pending_records.clone(),
         );
         r.register("in_flight", "Requests that run", self.in_flight.clone());
         r.register("cpu_ms", "Processor time of the process", self.cpu.clone());
     }
 
     /// Records the latency and coverage of an answered query.
-    pub(crate) fn observe(
+    pub(crate) fn observe_answer(
         &self,
         service: &ServiceName,
         urgency: Urgency,
--- a/crates/tier/src/admin.rs
+++ b/crates/tier/src/operators.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     api::EditError,
-    edge,
+    callers,
     edit::{self, EditRequest},
     metrics::cpu_ms,
     shared::lock,
@@ -41,7 +41,7 @@
         (Method::GET, ["healthz"]) => web::json(StatusCode::OK, r#"{"alive":true}"#),
         (Method::GET, ["readyz"]) => ready(&tier),
         (Method::GET, ["status"]) => web::json(StatusCode::OK, json!(tier.status()).to_string()),
-        (Method::GET, ["entries"]) => edge::list_entries(&tier, request.uri().query()),
+        (Method::GET, ["entries"]) => callers::list_entries(&tier, request.uri().query()),
         (Method::GET, ["targets"]) => web::json(
             StatusCode::OK,
             json!(status::targets(&tier.shared)).to_string(),
@@ -77,15 +77,17 @@
     let status = tier.status();
     let present = status.members.iter().filter(|m| m.liveness != "gone");
     metrics.members.set(present.count() as i64);
-    metrics.share.set(i64::from(shared.settings.control.share));
     metrics
-        .confirmed
+        .connection_limit
+        .set(i64::from(shared.settings.control.share));
+    metrics
+        .confirmed_age
         .set(status.confirmed_ms.map_or(-1, |ms| ms as i64));
     metrics
         .digest
         .set(lock(&shared.conf).book.digest().0 as i64);
     metrics.probe_bytes.set(status.probe_bytes as i64);
-    metrics.records.set(status.records_waiting as i64);
+    metrics.pending_records.set(status.records_waiting as i64);
     metrics.in_flight.set(i64::from(status.in_flight));
     metrics.cpu.set(cpu_ms());
     let mut reply = Response::new(metrics.text().into());
@@ -192,23 +194,23 @@
         },
         expected: body.expected,
         spec: body.spec,
-        id: body.edit.unwrap_or_else(|| edit_id(&tier.shared)),
-        by: body.by,
+        edit_id: body.edit.unwrap_or_else(|| edit_id(&tier.shared)),
+        author: body.by,
     })
 }
 
 fn edit_error_reply(error: &EditError) -> Reply {
     let status = match error {
-        EditError::Check(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        EditError::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
         EditError::Conflict { .. } => StatusCode::CONFLICT,
-        EditError::Outage => StatusCode::SERVICE_UNAVAILABLE,
-        EditError::Unsettled { .. } => StatusCode::GATEWAY_TIMEOUT,
+        EditError::Unavailable => StatusCode::SERVICE_UNAVAILABLE,
+        EditError::Unconfirmed { .. } => StatusCode::GATEWAY_TIMEOUT,
     };
     let mut body = json!({ "error": error.to_string() });
     match error {
         EditError::Conflict { current } => body["version"] = (*current).into(),
-        EditError::Unsettled { id } => body["edit"] = id.clone().into(),
-        EditError::Check(_) | EditError::Outage => {}
+        EditError::Unconfirmed { id } => body["edit"] = id.clone().into(),
+        EditError::Invalid(_) | EditError::Unavailable => {}
     }
     web::json(status, body.to_string())
 }
@@ -217,7 +219,7 @@
 /// is still in memory or on the platform.
 async fn explain_refusal(tier: &Tier, text: &str) -> Reply {
     let shared = &tier.shared;
-    let receipt = match Receipt::decode(text, &shared.check) {
+    let receipt = match Receipt::decode(text, &shared.receipt_key) {
         Ok(receipt) => receipt,
         Err(error) => return web::error(StatusCode::NOT_FOUND, &error.to_string()),
     };
@@ -271,6 +273,6 @@
 
 /// Starts a graceful shutdown; the daemon exits once it is complete.
 fn drain(tier: &Tier) -> Reply {
-    tier.shared.drain.notify_one();
+    tier.shared.drain_requested.notify_one();
     web::json(StatusCode::ACCEPTED, r#"{"draining":true}"#)
 }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -13,15 +13,15 @@
 use slog::info;
 
 use crate::{
-    leafs, query,
+    leafs, propagation, query,
     shared::{Shared, lock},
-    spread, submit,
+    submit,
 };
 
 /// Implements [`PeerService`] on the tables of the entry.
-pub(crate) struct Served(pub(crate) Arc<Shared>);
+pub(crate) struct PeerHandler(pub(crate) Arc<Shared>);
 
-impl PeerService for Served {
+impl PeerService for PeerHandler {
     fn query(&self, request: SubQuery) -> BoxFuture<'static, SubAnswer> {
         let shared = self.0.clone();
         async move { query::serve_part(&shared, request).await }.boxed()
@@ -29,12 +29,12 @@
 
     fn submit(&self, request: Submission) -> BoxFuture<'static, SubmitReply> {
         let shared = self.0.clone();
-        async move { submit::keep(&shared, request).await }.boxed()
+        async move { submit::run_once(&shared, request).await }.boxed()
     }
 
     fn dispatch(&self, request: Dispatch) -> BoxFuture<'static, Result<Bytes, Failure>> {
         let shared = self.0.clone();
-        async move { submit::dispatch_here(&shared, request).await }.boxed()
+        async move { submit::dispatch_local(&shared, request).await }.boxed()
     }
 
     fn leaving(&self, ids: Vec<LeafId>) {
@@ -50,12 +50,12 @@
     }
 
     fn push(&self, objects: Vec<Object>) {
-        spread::take(&self.0, objects, "a peer");
+        propagation::apply_and_forward(&self.0, objects, "a peer");
     }
 
     fn records(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
-            Ok(batch) => lock(&self.0.copies).add(batch),
+            Ok(batch) => lock(&self.0.peer_records).add(batch),
             Err(_) => slog::warn!(self.0.host.log, "refuse: invalid records from a peer"),
         }
     }
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    service::{Place, Service, State},
+    service::{BackendAddress, Service, State},
     shared::{Phase, Shared, lock},
 };
 
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             biased;
-            () = shared.place.notified() => {}
+            () = shared.placement_due.notified() => {}
             () = sleep(PLACE_INTERVAL) => {}
         }
         // An entry that knows no other members would hold every leaf. The
@@ -150,18 +150,18 @@
     fn place(&self, service: &Service, layouts: &[Layout], held: &mut HeldLeafs) {
         let mut state = lock(&service.state);
         let mut backends: BTreeMap<&LeafId, Vec<Ix>> = BTreeMap::new();
-        let mut places = BTreeMap::new();
+        let mut addresses = BTreeMap::new();
         for (id, leaf) in &self.object.leafs {
             let holders = self.plan.of(leaf.group);
             if holders.contains(&self.shared.own.id) {
                 let ix = self.add_leaf(&mut state, id, leaf.slots);
                 let excluded = self.evacuated.contains(&leaf.domain);
                 state.table.set_excluded(ix, excluded, self.shared.now());
-                places.insert(ix, Place::Leaf(id.clone(), leaf.address));
+                addresses.insert(ix, BackendAddress::Leaf(id.clone(), leaf.address));
                 held.insert((id.clone(), leaf.address));
                 backends.insert(id, vec![ix]);
             } else {
-                backends.insert(id, self.add_peers(&mut state, holders, &mut places));
+                backends.insert(id, self.add_peers(&mut state, holders, &mut addresses));
             }
         }
         let current = |v| self.object.versions.contains(&v);
@@ -169,10 +169,10 @@
         state.extra.local.retain(current);
         for layout in layouts {
             if current(layout.snapshot.version) {
-                self.add_routes(&mut state, layout, &backends, &places);
+                self.add_routes(&mut state, layout, &backends, &addresses);
             }
         }
-        state.extra.places = places;
+        state.extra.addresses = addresses;
     }
 
     /// Whether the leaf is listed and its failure domain is not evacuated.
@@ -187,13 +187,13 @@
         let backend = Backend::Leaf(id.clone());
         // Leafs of the first placement count as warm, since their age is
         // unknown; leafs that are added later have just started.
-        let since = if state.extra.places.is_empty() {
+        let since = if state.extra.addresses.is_empty() {
             chestnut_unit::Time::ZERO
         } else {
             now
         };
         let ix = state.table.add(backend, slots, since);
-        if lock(&self.shared.leaving).contains(id) {
+        if lock(&self.shared.leaving_leafs).contains(id) {
             state.table.set_leaving(ix, true, now);
         }
         ix
@@ -204,7 +204,7 @@
         &self,
         state: &mut State,
         holders: &[chestnut_unit::MemberId],
-        places: &mut BTreeMap<Ix, Place>,
+        addresses: &mut BTreeMap<Ix, BackendAddress>,
     ) -> Vec<Ix> {
         let mut list = Vec::with_capacity(holders.len());
         for holder in holders {
@@ -216,7 +216,7 @@
                 .table
                 .add(backend, PEER_CAPACITY, chestnut_unit::Time::ZERO);
             let address = member.addresses.peers;
-            places.insert(ix, Place::Peer(holder.clone(), address));
+            addresses.insert(ix, BackendAddress::Peer(holder.clone(), address));
             list.push(ix);
         }
         list
@@ -229,9 +229,9 @@
         state: &mut State,
         layout: &Layout,
         backends: &BTreeMap<&LeafId, Vec<Ix>>,
-        places: &BTreeMap<Ix, Place>,
+        addresses: &BTreeMap<Ix, BackendAddress>,
     ) {
-        let is_local = |ix: &Ix| matches!(places.get(ix), Some(Place::Leaf(..)));
+        let is_local = |ix: &Ix| matches!(addresses.get(ix), Some(BackendAddress::Leaf(..)));
         let mut all = Vec::with_capacity(layout.shards.len());
         let mut local = Vec::with_capacity(layout.shards.len());
         for shard in &layout.shards {
--- a/crates/tier/src/spread.rs
+++ b/crates/tier/src/propagation.rs
@@ -10,7 +10,7 @@
 use slog::{debug, info};
 use tokio::{sync::mpsc, time::sleep};
 
-use crate::shared::{Differs, Shared, lock};
+use crate::shared::{DivergentPeer, Shared, lock};
 
 /// Number of peers to which an entry forwards a new object.
 const FANOUT: usize = 3;
@@ -18,12 +18,12 @@
 const FETCH_DELAY: Duration = Duration::from_millis(200);
 
 /// Applies objects from `from` and forwards the new ones to a few peers.
-pub(crate) fn take(shared: &Arc<Shared>, objects: Vec<Object>, from: &'static str) {
+pub(crate) fn apply_and_forward(shared: &Arc<Shared>, objects: Vec<Object>, from: &'static str) {
     let new = apply(shared, objects, from);
     if new.is_empty() || shared.peers.get().is_none() {
         return;
     }
-    for (_, address) in shared.some_peers(FANOUT) {
+    for (_, address) in shared.random_peers(FANOUT) {
         let (shared, objects) = (shared.clone(), new.clone());
         tokio::spawn(async move {
             // A peer that this misses fetches the objects after its next probe.
@@ -40,7 +40,7 @@
         match conf.book.apply(object.clone()) {
             Applied::New => new.push(object),
             Applied::Old => {
-                shared.metrics.stale.inc();
+                shared.metrics.stale_objects.inc();
                 debug!(
                     shared.host.log,
                     "conf: ignored stale {} version {}", object.key, object.version
@@ -62,14 +62,14 @@
         .iter()
         .any(|o| matches!(o.key.kind, Kind::Service | Kind::Layout | Kind::Evacuation))
     {
-        shared.place.notify_one();
+        shared.placement_due.notify_one();
     }
     new
 }
 
 /// Fetches newer objects from peers whose digest differs.
-pub(crate) async fn fetch(shared: Arc<Shared>, mut differs: mpsc::Receiver<Differs>) {
-    while let Some(peer) = differs.recv().await {
+pub(crate) async fn fetch(shared: Arc<Shared>, mut divergent_peers: mpsc::Receiver<DivergentPeer>) {
+    while let Some(peer) = divergent_peers.recv().await {
         sleep(FETCH_DELAY).await;
         let (digest, have) = {
             let conf = lock(&shared.conf);
@@ -79,7 +79,7 @@
             continue;
         }
         if let Ok(objects) = shared.peers().objects(peer.peer, have).await {
-            take(&shared, objects, "a peer's digest");
+            apply_and_forward(&shared, objects, "a peer's digest");
         }
     }
 }
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -13,16 +13,17 @@
 use chestnut_flow::{GateId, InFlight, Running, Trace, admit, run};
 use chestnut_port::{SubAnswer, SubQuery};
 use chestnut_route::{
-    AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal, Routes, Sheddable,
+    AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal as TargetRefusal,
+    Routes, Sheddable,
 };
 use chestnut_unit::{Reason, Run, Share, Time};
 use slog::debug;
 
 use crate::{
-    api::{Answer, QueryRequest, Refused, SettingsUsed},
-    calls::Ask,
-    refuse::{Subject, Why, refuse},
-    service::{Placed, Service},
+    api::{Answer, QueryRequest, Refusal, SettingsUsed},
+    calls::QueryCalls,
+    refuse::{RefusalCause, Subject, refuse},
+    service::{Service, ServiceRoutes},
     shared::{Phase, Shared, lock},
 };
 
@@ -59,11 +60,11 @@
     shared: &Shared,
     org: &chestnut_unit::OrgName,
     subject: &mut Subject,
-) -> Result<EffectivePolicy, Why> {
+) -> Result<EffectivePolicy, RefusalCause> {
     let phase = shared.phase();
     if phase == Phase::Starting || phase == Phase::Stopped {
         let detail = "this entry has no confirmed settings yet";
-        return Err(Why::not_run(Reason::NotReady, detail));
+        return Err(RefusalCause::not_run(Reason::NotReady, detail));
     }
     let now = shared.now();
     let mut conf = lock(&shared.conf);
@@ -71,24 +72,24 @@
     let policy = conf.policy(org);
     drop(conf);
     let Some(policy) = policy else {
-        return Err(Why::not_run(
+        return Err(RefusalCause::not_run(
             Reason::UnknownOrg,
             format!("no organisation {org}"),
         ));
     };
     subject.set_versions(&policy);
     match age {
-        Some(confirmed) if confirmed <= policy.unconfirmed => Ok(EffectivePolicy {
+        Some(confirmed_age) if confirmed_age <= policy.unconfirmed => Ok(EffectivePolicy {
             settings: SettingsUsed {
                 template: policy.template,
                 organisation: policy.organisation,
-                confirmed,
+                confirmed_age,
             },
             policy,
         }),
         _ => {
             let detail = format!("settings last confirmed {:?} ago", age.unwrap_or_default());
-            Err(Why::not_run(Reason::Unconfirmed, detail))
+            Err(RefusalCause::not_run(Reason::Unconfirmed, detail))
         }
     }
 }
@@ -99,11 +100,11 @@
     kind: CallKind,
     service: &chestnut_unit::ServiceName,
     call: &chestnut_unit::CallType,
-) -> Result<&'a CallPolicy, Why> {
+) -> Result<&'a CallPolicy, RefusalCause> {
     effective
         .policy
         .call(call, kind, service)
-        .map_err(|error| Why::not_run(error.reason(), error.to_string()))
+        .map_err(|error| RefusalCause::not_run(error.reason(), error.to_string()))
 }
 
 /// Admits a request under its organisation's limit, unless its policy forbids
@@ -113,7 +114,7 @@
     org: &chestnut_unit::OrgName,
     effective: &EffectivePolicy,
     policy: &CallPolicy,
-) -> Result<Option<impl Drop + 'a + use<'a>>, Why> {
+) -> Result<Option<impl Drop + 'a + use<'a>>, RefusalCause> {
     if !policy.may_refuse(Reason::OrgLimit) {
         return Ok(None);
     }
@@ -125,7 +126,7 @@
             shared,
             org: org.clone(),
         })),
-        Err(after) => Err(Why::not_run(
+        Err(after) => Err(RefusalCause::not_run(
             Reason::OrgLimit,
             format!("limit {}", effective.policy.limits.rate),
         )
@@ -158,7 +159,7 @@
 }
 
 /// Answers a caller's query.
-pub(crate) async fn answer(shared: &Shared, request: QueryRequest) -> Result<Answer, Refused> {
+pub(crate) async fn answer(shared: &Shared, request: QueryRequest) -> Result<Answer, Refusal> {
     let _flight = InFlight::enter(&shared.in_flight);
     let start = shared.now();
     let mut subject = Subject {
@@ -174,10 +175,10 @@
         .inspect(|(answer, urgency)| {
             shared
                 .metrics
-                .observe(&request.service, *urgency, span, &answer.coverage);
+                .observe_answer(&request.service, *urgency, span, &answer.coverage);
         })
         .map(|(answer, _)| answer)
-        .map_err(|why| refuse(shared, &subject, why))
+        .map_err(|cause| refuse(shared, &subject, cause))
 }
 
 /// Admits and runs a query; the error says why it is refused.
@@ -185,18 +186,18 @@
     shared: &Shared,
     request: &QueryRequest,
     subject: &mut Subject,
-) -> Result<(Answer, chestnut_unit::Urgency), Why> {
+) -> Result<(Answer, chestnut_unit::Urgency), RefusalCause> {
     let effective = effective_policy(shared, &request.organisation, subject)?;
     let policy = call_policy(&effective, CallKind::Query, &request.service, &request.call)?;
-    let service = shared
-        .service(&request.service)
-        .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "the platform lists no such service"))?;
+    let service = shared.service(&request.service).ok_or_else(|| {
+        RefusalCause::not_run(Reason::NoSnapshot, "the platform lists no such service")
+    })?;
     let _permit = org_permit(shared, &request.organisation, &effective, policy)?;
     let deadline = deadline(shared, request.deadline, policy);
     let admission = admit_request(subject, policy, deadline);
     let mut running = admit(&shared.host, &service, GateId::default(), admission)
         .await
-        .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
+        .map_err(|(reason, after)| RefusalCause::not_run(reason, "at admission").after(after))?;
     if shared.host.trace > Trace::None {
         debug!(shared.host.log, "admit: query of {} admitted", request.service;
             "request" => subject.request.0, "why" => policy.urgency.as_str());
@@ -210,7 +211,7 @@
         return Err(coverage_refusal(&query, run));
     }
     let answer = Answer {
-        request: subject.request,
+        request_id: subject.request,
         entry: shared.own.id.clone(),
         snapshot: query.routes().snapshot.clone(),
         coverage,
@@ -234,9 +235,9 @@
     request: &QueryRequest,
     subject: &Subject,
     config: QueryConfig,
-    running: &mut Running<'_, Placed>,
-) -> Result<FanOut, Why> {
-    let asked = Ask {
+    running: &mut Running<'_, ServiceRoutes>,
+) -> Result<FanOut, RefusalCause> {
+    let calls = QueryCalls {
         shared,
         service,
         request: subject.request,
@@ -248,7 +249,7 @@
         let Some(routes) = pin_snapshot(shared, service) else {
             break;
         };
-        let query = run(&shared.host, service, &asked, routes, None, config).await;
+        let query = run(&shared.host, service, &calls, routes, None, config).await;
         running.calls += query.calls() as u32;
         running.sheds += query.shed_calls();
         none_ran &= query.not_run().is_some();
@@ -265,8 +266,9 @@
         debug!(shared.host.log, "retry: the snapshot is gone, restarting the query";
             "request" => subject.request.0);
     }
-    let query =
-        best.ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no index version has a live leaf"))?;
+    let query = best.ok_or_else(|| {
+        RefusalCause::not_run(Reason::NoSnapshot, "no index version has a live leaf")
+    })?;
     let run = if none_ran { Run::NotRun } else { Run::Partial };
     Ok(FanOut { query, run })
 }
@@ -279,7 +281,7 @@
 }
 
 /// Builds the refusal of a query that is below its minimum coverage.
-fn coverage_refusal(query: &Query<Bytes>, run: Run) -> Why {
+fn coverage_refusal(query: &Query<Bytes>, run: Run) -> RefusalCause {
     let coverage = query.coverage();
     let reason = match query.end() {
         Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
@@ -299,7 +301,7 @@
         query.routes().snapshot,
         missing.join(" ")
     );
-    Why::not_run(reason, detail).run(run)
+    RefusalCause::not_run(reason, detail).execution(run)
 }
 
 /// Maximum number of missing shards listed in a refusal.
@@ -328,14 +330,14 @@
 pub(crate) async fn serve_part(shared: &Shared, part: SubQuery) -> SubAnswer {
     let running = shared.in_flight.load(Ordering::Relaxed);
     if running >= MAX_IN_FLIGHT {
-        return SubAnswer::Failed(Failure::Refused(Refusal::Shed));
+        return SubAnswer::Failed(Failure::Refused(TargetRefusal::Shed));
     }
     let _flight = InFlight::enter(&shared.in_flight);
     let Some(service) = shared.service(&part.service) else {
-        return SubAnswer::Failed(Failure::Refused(Refusal::NoSnapshot));
+        return SubAnswer::Failed(Failure::Refused(TargetRefusal::NoSnapshot));
     };
     let Some(routes) = lock(&service.state).extra.local.get(part.index) else {
-        return SubAnswer::Failed(Failure::Refused(Refusal::NoSnapshot));
+        return SubAnswer::Failed(Failure::Refused(TargetRefusal::NoSnapshot));
     };
     let held = |at: &usize| {
         routes
@@ -351,10 +353,10 @@
         .collect();
     if subset.is_empty() {
         // The peer's view differs and has this entry as a holder. Nothing ran.
-        return SubAnswer::Failed(Failure::Refused(Refusal::Connections));
+        return SubAnswer::Failed(Failure::Refused(TargetRefusal::Connections));
     }
     let config = QueryConfig::new(shared.now() + part.deadline, Share::from_permille(0));
-    let asked = Ask {
+    let calls = QueryCalls {
         shared,
         service: &service,
         request: part.request,
@@ -363,7 +365,7 @@
     let query = run(
         &shared.host,
         &service,
-        &asked,
+        &calls,
         routes,
         Some(&subset),
         config,
@@ -372,8 +374,8 @@
     if query.coverage().answered == 0 {
         let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         return SubAnswer::Failed(match query.not_run() {
-            Some(_) if lost => Failure::Refused(Refusal::NoSnapshot),
-            Some(_) => Failure::Refused(Refusal::Shed),
+            Some(_) if lost => Failure::Refused(TargetRefusal::NoSnapshot),
+            Some(_) => Failure::Refused(TargetRefusal::Shed),
             None => Failure::Lost,
         });
     }
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -23,11 +23,11 @@
         if let Some(batch) = batch {
             write_or_copy(&shared, batch).await;
         }
-        let copy = lock(&shared.copies).next();
+        let copy = lock(&shared.peer_records).next();
         if let Some(copy) = copy
             && write(&shared, &copy).await
         {
-            lock(&shared.copies).confirm(&copy.name);
+            lock(&shared.peer_records).confirm(&copy.name);
         }
     }
 }
@@ -50,7 +50,7 @@
         lock(&shared.journal).confirm(&batch.name);
         return;
     }
-    let Some((peer, address)) = shared.some_peers(1).pop() else {
+    let Some((peer, address)) = shared.random_peers(1).pop() else {
         return;
     };
     let copy = serde_json::to_vec(&batch).expect("records are plain JSON");
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -12,7 +12,7 @@
 use slog::info;
 
 use crate::{
-    api::Refused,
+    api::Refusal,
     shared::{Shared, lock},
 };
 
@@ -35,34 +35,34 @@
 }
 
 /// The reason of a refusal, before its receipt is made.
-pub(crate) struct Why {
+pub(crate) struct RefusalCause {
     pub(crate) reason: Reason,
-    pub(crate) run: Run,
+    pub(crate) execution: Run,
     pub(crate) detail: String,
     /// Time after which the caller may retry.
-    pub(crate) after: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
-impl Why {
+impl RefusalCause {
     /// A refusal of a request of which nothing was sent.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
-            run: Run::NotRun,
+            execution: Run::NotRun,
             detail: detail.into(),
-            after: None,
+            retry_after: None,
         }
     }
 
     /// Sets how much of the request may have run.
-    pub(crate) fn run(mut self, run: Run) -> Self {
-        self.run = run;
+    pub(crate) fn execution(mut self, run: Run) -> Self {
+        self.execution = run;
         self
     }
 
     /// Sets the time after which the caller may retry.
     pub(crate) fn after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+        self.retry_after = Some(after);
         self
     }
 }
@@ -90,38 +90,38 @@
 }
 
 /// Makes the receipt of a refusal, then logs, counts and records it.
-pub(crate) fn refuse(shared: &Shared, subject: &Subject, why: Why) -> Refused {
+pub(crate) fn refuse(shared: &Shared, subject: &Subject, cause: RefusalCause) -> Refusal {
     let wall = shared.host.clock.wall();
     let receipt = Receipt {
         entry: shared.own.id.clone(),
         request: subject.request,
         at: wall,
-        reason: why.reason,
-        run: why.run,
+        reason: cause.reason,
+        run: cause.execution,
         org_version: subject.versions.1,
         template_version: subject.versions.0,
         organisation: subject.organisation.clone(),
         service: subject.service.clone(),
         call: subject.call.clone(),
     };
-    let text = receipt.encode(&shared.check);
-    info!(shared.host.log, "refuse: {}", why.reason;
-        "request" => subject.request.0, "run" => why.run.as_str(), "why" => &why.detail,
+    let text = receipt.encode(&shared.receipt_key);
+    info!(shared.host.log, "refuse: {}", cause.reason;
+        "request" => subject.request.0, "run" => cause.execution.as_str(), "why" => &cause.detail,
         "organisation" => subject.organisation.as_ref().map_or("-", OrgName::as_str));
-    shared.metrics.count_refusal(why.reason);
+    shared.metrics.count_refusal(cause.reason);
     let record = Record {
         receipt: text.clone(),
-        detail: why.detail.clone(),
+        detail: cause.detail.clone(),
     };
-    lock(&shared.journal).add(why.reason, record, wall);
-    Refused {
+    lock(&shared.journal).add(cause.reason, record, wall);
+    Refusal {
         receipt: text,
-        reason: why.reason,
-        detail: why.detail,
-        run: why.run,
-        after: why
-            .after
-            .or_else(|| default_retry_delay(why.reason, &mut shared.rng())),
+        reason: cause.reason,
+        detail: cause.detail,
+        execution: cause.execution,
+        retry_after: cause
+            .retry_after
+            .or_else(|| default_retry_delay(cause.reason, &mut shared.rng())),
         entries: shared.other_entries(),
     }
 }
--- a/crates/tier/src/front.rs
+++ b/crates/tier/src/server.rs
@@ -5,7 +5,7 @@
 use tokio::{sync::watch, task::JoinHandle};
 
 use crate::{
-    admin, edge,
+    callers, operators,
     tier::Tier,
     web::{self, WebLimits},
 };
@@ -16,15 +16,15 @@
 const MAX_EDIT_BYTES: usize = 1 << 20;
 
 /// The HTTP servers of a [`Tier`], for callers and operators. Dropping it closes
-/// all connections at once; [`Front::close`] lets each finish its request.
-pub struct Front {
+/// all connections at once; [`HttpServers::close`] lets each finish its request.
+pub struct HttpServers {
     callers: SocketAddr,
     operators: SocketAddr,
     shutdown: watch::Sender<bool>,
     servers: Vec<JoinHandle<()>>,
 }
 
-impl Front {
+impl HttpServers {
     /// Binds the addresses in the tier's settings and starts the servers.
     ///
     /// # Errors
@@ -37,7 +37,7 @@
         let limits = WebLimits {
             body: settings.limits.body.0 as usize,
             headers: settings.limits.headers,
-            patience: settings.limits.patience,
+            request_timeout: settings.limits.patience,
             connections: settings.limits.connections,
         };
         let operator_limits = WebLimits {
@@ -46,23 +46,23 @@
             ..limits
         };
         let (shutdown, shutdown_rx) = watch::channel(false);
-        let mut front = Self {
+        let mut http = Self {
             callers: callers.local_addr()?,
             operators: operators.local_addr()?,
             shutdown,
             servers: Vec::new(),
         };
-        let edge_tier = tier.clone();
-        let edge = web::serve(callers, limits, shutdown_rx.clone(), move |request| {
-            edge::handle(edge_tier.clone(), limits, request)
+        let caller_tier = tier.clone();
+        let caller_server = web::serve(callers, limits, shutdown_rx.clone(), move |request| {
+            callers::handle(caller_tier.clone(), limits, request)
         });
-        front.servers.push(tokio::spawn(edge));
-        let admin_tier = tier.clone();
-        let admin = web::serve(operators, operator_limits, shutdown_rx, move |request| {
-            admin::handle(admin_tier.clone(), operator_limits, request)
+        http.servers.push(tokio::spawn(caller_server));
+        let operator_tier = tier.clone();
+        let operator_server = web::serve(operators, operator_limits, shutdown_rx, move |request| {
+            operators::handle(operator_tier.clone(), operator_limits, request)
         });
-        front.servers.push(tokio::spawn(admin));
-        Ok(front)
+        http.servers.push(tokio::spawn(operator_server));
+        Ok(http)
     }
 
     /// The bound address for callers.
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for Front {
+impl Drop for HttpServers {
     fn drop(&mut self) {
         for server in &self.servers {
             server.abort();
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -9,7 +9,7 @@
 
 /// The address of a back end, and whether it is called directly.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum BackendAddress {
     /// A leaf that this entry holds.
     Leaf(LeafId, SocketAddr),
     /// A peer that holds leafs which this entry doesn't.
@@ -18,19 +18,19 @@
 
 /// The routes of a service and the addresses of its back ends.
 #[derive(Default)]
-pub(crate) struct Placed {
+pub(crate) struct ServiceRoutes {
     /// Routes for queries of callers, by index version.
     pub(crate) versions: Versions,
     /// Routes over leafs held here, for parts that peers request.
     pub(crate) local: Versions,
     /// The address of each back end.
-    pub(crate) places: BTreeMap<Ix, Place>,
+    pub(crate) addresses: BTreeMap<Ix, BackendAddress>,
 }
 
 /// A service with its table of back ends, admission queue and routes.
-pub(crate) type Service = Cell<Placed>;
+pub(crate) type Service = Cell<ServiceRoutes>;
 /// The part of a [`Service`] behind its lock.
-pub(crate) type State = FlowState<Placed>;
+pub(crate) type State = FlowState<ServiceRoutes>;
 
 /// Creates a service without back ends or routes.
 pub(crate) fn new(name: ServiceName, route: &RouteSettings) -> Service {
@@ -50,18 +50,18 @@
         ..AdmitConfig::default()
     };
     let admission = Admission::new(admission);
-    Cell::new(name, Table::new(table), admission, Placed::default())
+    Cell::new(name, Table::new(table), admission, ServiceRoutes::default())
 }
 
 /// The leafs of a service that this entry holds, with their table indexes.
-pub(crate) fn held(service: &Service) -> Vec<(Ix, LeafId, SocketAddr)> {
+pub(crate) fn held_leafs(service: &Service) -> Vec<(Ix, LeafId, SocketAddr)> {
     lock(&service.state)
         .extra
-        .places
+        .addresses
         .iter()
-        .filter_map(|(ix, place)| match place {
-            Place::Leaf(id, address) => Some((*ix, id.clone(), *address)),
-            Place::Peer(..) => None,
+        .filter_map(|(ix, backend)| match backend {
+            BackendAddress::Leaf(id, address) => Some((*ix, id.clone(), *address)),
+            BackendAddress::Peer(..) => None,
         })
         .collect()
 }
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -66,7 +66,7 @@
     /// `asked`. Settings are confirmed as of the older read of the two kinds
     /// that operators edit. A revision older than one already seen comes from a
     /// stale copy and confirms nothing.
-    pub(crate) fn note_read(&mut self, kind: Kind, revision: u64, asked: Time) {
+    pub(crate) fn record_read(&mut self, kind: Kind, revision: u64, asked: Time) {
         let last = self.read.get(&kind).map_or(0, |read| read.revision);
         if revision < last {
             return;
@@ -99,7 +99,7 @@
 }
 
 /// A peer whose configuration digest differs from that of this entry.
-pub(crate) struct Differs {
+pub(crate) struct DivergentPeer {
     pub(crate) peer: std::net::SocketAddr,
     pub(crate) digest: BookDigest,
 }
@@ -129,19 +129,19 @@
     /// Refusal records that the platform doesn't have yet.
     pub(crate) journal: Mutex<Journal>,
     /// Refusal records stored for peers.
-    pub(crate) copies: Mutex<Copies>,
+    pub(crate) peer_records: Mutex<Copies>,
     /// Leafs that are listed as leaving.
-    pub(crate) leaving: Mutex<BTreeSet<LeafId>>,
+    pub(crate) leaving_leafs: Mutex<BTreeSet<LeafId>>,
     /// Key that authenticates receipts.
-    pub(crate) check: CheckKey,
+    pub(crate) receipt_key: CheckKey,
     pub(crate) metrics: Metrics,
     pub(crate) phase: watch::Sender<Phase>,
     /// Notified when members or services change.
-    pub(crate) place: Notify,
+    pub(crate) placement_due: Notify,
     /// Notified when an operator requests a drain.
-    pub(crate) drain: Notify,
+    pub(crate) drain_requested: Notify,
     /// Peers to fetch newer configuration from.
-    pub(crate) differs: mpsc::Sender<Differs>,
+    pub(crate) divergent_peers: mpsc::Sender<DivergentPeer>,
     requests: AtomicU64,
     /// Requests that are running.
     pub(crate) in_flight: AtomicU32,
@@ -163,7 +163,7 @@
         ports: SharedPorts,
         own: Member,
         seed: u64,
-        differs: mpsc::Sender<Differs>,
+        divergent_peers: mpsc::Sender<DivergentPeer>,
     ) -> Self {
         let control = &settings.control;
         let swim = SwimConfig {
@@ -180,7 +180,7 @@
         };
         let now = ports.clock.now();
         Self {
-            check: CheckKey::from_secret(&control.secret),
+            receipt_key: CheckKey::from_secret(&control.secret),
             host: Host::new(
                 log,
                 match settings.log.level {
@@ -193,7 +193,7 @@
             swim: Mutex::new(Swim::new(swim, own.clone(), now)),
             keeper: Mutex::new(Keeper::new(own.id.clone(), own.incarnation, keeper)),
             journal: Mutex::new(Journal::new(journal, own.id.clone(), own.incarnation)),
-            copies: Mutex::new(Copies::new(MAX_COPIES)),
+            peer_records: Mutex::new(Copies::new(MAX_COPIES)),
             metrics: Metrics::new(),
             settings,
             targets: ports.targets,
@@ -205,11 +205,11 @@
             services: Mutex::new(BTreeMap::new()),
             org_limiters: Mutex::new(OrgLimiters::default()),
             dispatches: Mutex::new(BTreeMap::new()),
-            leaving: Mutex::new(BTreeSet::new()),
+            leaving_leafs: Mutex::new(BTreeSet::new()),
             phase: watch::Sender::new(Phase::Starting),
-            place: Notify::new(),
-            drain: Notify::new(),
-            differs,
+            placement_due: Notify::new(),
+            drain_requested: Notify::new(),
+            divergent_peers,
             requests: AtomicU64::new(1),
             in_flight: AtomicU32::new(0),
         }
@@ -305,7 +305,7 @@
     }
 
     /// Names and call addresses of at most `most` other members, at random.
-    pub(crate) fn some_peers(&self, most: usize) -> Vec<(MemberId, std::net::SocketAddr)> {
+    pub(crate) fn random_peers(&self, most: usize) -> Vec<(MemberId, std::net::SocketAddr)> {
         use rand::seq::SliceRandom;
         let mut peers: Vec<(MemberId, std::net::SocketAddr)> = lock(&self.swim)
             .view
--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/startup.rs
@@ -10,9 +10,8 @@
 use tokio::time::sleep;
 
 use crate::{
-    gossip, leafs, place,
+    gossip, leafs, place, propagation,
     shared::{Phase, Shared, lock},
-    spread,
 };
 
 /// Delay between attempts to fetch the first configuration.
@@ -20,9 +19,9 @@
 
 /// Fetches the configuration from the platform, or from peers if the platform
 /// can't be reached, and starts serving once the configuration is confirmed.
-pub(crate) async fn run(shared: Arc<Shared>) {
+pub(crate) async fn start_serving(shared: Arc<Shared>) {
     while shared.phase() == Phase::Starting {
-        if read_platform(&shared).await {
+        if load_platform(&shared).await {
             break;
         }
         read_peers(&shared).await;
@@ -39,30 +38,30 @@
         }
         starting
     });
-    shared.place.notify_one();
+    shared.placement_due.notify_one();
     info!(shared.host.log, "fleet: {} serves", shared.own.id);
 }
 
 /// Reads all configuration from the platform, then the VMs; returns whether the
 /// configuration was read completely.
-pub(crate) async fn read_platform(shared: &Arc<Shared>) -> bool {
-    let complete = list_all(shared).await.is_some();
+pub(crate) async fn load_platform(shared: &Arc<Shared>) -> bool {
+    let complete = list_objects(shared).await.is_some();
     if complete {
-        read_vms(shared).await;
+        refresh_vms(shared).await;
     }
     complete
 }
 
 /// Lists every replicated kind and returns the revisions to watch from; `None`
 /// if a list failed.
-pub(crate) async fn list_all(shared: &Arc<Shared>) -> Option<Vec<u64>> {
+pub(crate) async fn list_objects(shared: &Arc<Shared>) -> Option<Vec<u64>> {
     let mut revisions = Vec::new();
     for kind in Kind::SPREAD {
         // A list is only known to be current as of its request.
         let requested = shared.now();
         let listing = shared.platform.list(kind).await.ok()?;
-        spread::take(shared, listing.objects, "the platform");
-        lock(&shared.conf).note_read(kind, listing.revision, requested);
+        propagation::apply_and_forward(shared, listing.objects, "the platform");
+        lock(&shared.conf).record_read(kind, listing.revision, requested);
         revisions.push(listing.revision);
     }
     Some(revisions)
@@ -70,7 +69,7 @@
 
 /// Reads the platform's list of VMs, updates members and leafs from it, and
 /// reports newly leaving leafs to some peers.
-pub(crate) async fn read_vms(shared: &Arc<Shared>) {
+pub(crate) async fn refresh_vms(shared: &Arc<Shared>) {
     let Ok(vms) = shared.platform.vms().await else {
         return;
     };
@@ -90,7 +89,7 @@
     if leaving.is_empty() {
         return;
     }
-    for (_, address) in shared.some_peers(LEAVING_FANOUT) {
+    for (_, address) in shared.random_peers(LEAVING_FANOUT) {
         let (shared, leaving) = (shared.clone(), leaving.clone());
         tokio::spawn(async move {
             let _ = shared.peers().leaving(address, leaving).await;
@@ -119,7 +118,12 @@
 /// Reads configuration and members from the seeds and known peers.
 async fn read_peers(shared: &Arc<Shared>) {
     let mut addresses: Vec<SocketAddr> = shared.settings.control.seeds.clone();
-    addresses.extend(shared.some_peers(2).into_iter().map(|(_, address)| address));
+    addresses.extend(
+        shared
+            .random_peers(2)
+            .into_iter()
+            .map(|(_, address)| address),
+    );
     for address in addresses {
         let Ok(members) = shared.peers().members(address).await else {
             continue;
@@ -128,7 +132,7 @@
         gossip::apply_member_changes(shared);
         let versions = lock(&shared.conf).book.keys();
         if let Ok(objects) = shared.peers().objects(address, versions).await {
-            spread::take(shared, objects, "a peer at start");
+            propagation::apply_and_forward(shared, objects, "a peer at start");
         }
     }
 }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::{
-    service::Place,
+    service::BackendAddress,
     shared::{Phase, Shared, lock},
 };
 
@@ -79,7 +79,7 @@
 /// Collects the status of this entry.
 pub(crate) fn status(shared: &Shared) -> Status {
     let now = shared.now();
-    let (confirmed, templates, organisations) = {
+    let (confirmed_age, templates, organisations) = {
         let conf = lock(&shared.conf);
         (
             conf.confirm.age(now),
@@ -95,7 +95,7 @@
     Status {
         member: shared.own.id.to_string(),
         phase: phase_name(shared.phase()),
-        confirmed_ms: confirmed.map(|age: Duration| age.as_millis() as u64),
+        confirmed_ms: confirmed_age.map(|age: Duration| age.as_millis() as u64),
         templates,
         organisations,
         members,
@@ -139,15 +139,15 @@
     let mut list = Vec::new();
     for service in shared.services() {
         let state = lock(&service.state);
-        for (ix, place) in &state.extra.places {
+        for (ix, address) in &state.extra.addresses {
             let evicted = state.table.evicted_until(*ix, now);
-            let (target, place_name, connections) = match (state.table.backend(*ix), place) {
+            let (target, place_name, connections) = match (state.table.backend(*ix), address) {
                 (Backend::Leaf(id), _) => (
                     id.to_string(),
                     "held here",
                     open.get(id).copied().unwrap_or(0),
                 ),
-                (Backend::Peer(id), Place::Peer(..) | Place::Leaf(..)) => {
+                (Backend::Peer(id), BackendAddress::Peer(..) | BackendAddress::Leaf(..)) => {
                     (id.to_string(), "peer", 0)
                 }
             };
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -11,17 +11,19 @@
 use chestnut_flow::{GateId, InFlight, Trace, admit};
 use chestnut_once::{Claim, Outcome};
 use chestnut_port::{Dispatch, LeafSubmit, PeerError, Submission, SubmitReply};
-use chestnut_route::{Attempt, Ended, Failure, Ix, NotRun, Refusal, Routes, choose_replica};
+use chestnut_route::{
+    Attempt, Ended, Failure, Ix, NotRun, Refusal as TargetRefusal, Routes, choose_replica,
+};
 use chestnut_unit::{Reason, RequestId, Run, Time};
 use rand::Rng;
 use slog::debug;
 use tokio::{sync::watch, time::timeout};
 
 use crate::{
-    api::{Refused, SubmitOutcome, SubmitRequest, TicketReply},
+    api::{Refusal, SubmitOutcome, SubmitRequest, TicketReply},
     query,
-    refuse::{Subject, Why, refuse},
-    service::{Place, Service},
+    refuse::{RefusalCause, Subject, refuse},
+    service::{BackendAddress, Service},
     shared::{Shared, lock},
 };
 
@@ -29,7 +31,7 @@
 const FORWARD_MARGIN: Duration = Duration::from_millis(5);
 
 /// Mints a ticket, whose keeper is this entry.
-pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refused> {
+pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refusal> {
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
     let wall = shared.host.clock.wall();
@@ -39,8 +41,8 @@
             request: shared.next_request(),
             ..Subject::default()
         };
-        let why = Why::not_run(Reason::NotReady, "no tickets are minted here now");
-        return Err(refuse(shared, &subject, why));
+        let cause = RefusalCause::not_run(Reason::NotReady, "no tickets are minted here now");
+        return Err(refuse(shared, &subject, cause));
     };
     Ok(TicketReply {
         expiry: ticket.expiry,
@@ -52,7 +54,7 @@
 pub(crate) async fn submit(
     shared: &Arc<Shared>,
     request: SubmitRequest,
-) -> Result<SubmitOutcome, Refused> {
+) -> Result<SubmitOutcome, Refusal> {
     let _flight = InFlight::enter(&shared.in_flight);
     let mut subject = Subject {
         request: shared.next_request(),
@@ -76,19 +78,19 @@
         body: request.body,
         deadline: request.deadline.unwrap_or(DEFAULT_DEADLINE),
     };
-    let why = match send_to_keeper(shared, submission).await {
+    let cause = match send_to_keeper(shared, submission).await {
         SubmitReply::Done(answer) => {
             return Ok(SubmitOutcome {
-                request: subject.request,
+                request_id: subject.request,
                 answer,
             });
         }
-        SubmitReply::NotRun(reason) => Why::not_run(reason, "not run, and not to be run"),
+        SubmitReply::NotRun(reason) => RefusalCause::not_run(reason, "not run, and not to be run"),
         SubmitReply::Unknown(reason) => {
-            Why::not_run(reason, "it is not sent again").run(Run::Unknown)
+            RefusalCause::not_run(reason, "it is not sent again").execution(Run::Unknown)
         }
     };
-    Err(refuse(shared, &subject, why))
+    Err(refuse(shared, &subject, cause))
 }
 
 /// Deadline of a submission whose caller sets none.
@@ -107,7 +109,7 @@
         return SubmitReply::Unknown(Reason::KeeperGone);
     };
     if keeper.id == shared.own.id {
-        return keep(shared, submission).await;
+        return run_once(shared, submission).await;
     }
     debug!(
         shared.host.log,
@@ -133,7 +135,7 @@
 
 /// Runs a submission whose ticket this entry keeps, or replies with the outcome
 /// of an earlier use.
-pub(crate) async fn keep(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
+pub(crate) async fn run_once(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let wall = shared.host.clock.wall();
     let body = body_hash(&submission);
     let claim = lock(&shared.keeper).claim(&submission.ticket, body, wall);
@@ -239,7 +241,7 @@
     };
     match decide(shared, &submission, &mut subject).await {
         Ok(outcome) => outcome,
-        Err(why) => Outcome::NotRun(why.reason),
+        Err(cause) => Outcome::NotRun(cause.reason),
     }
 }
 
@@ -249,7 +251,7 @@
     shared: &Shared,
     submission: &Submission,
     subject: &mut Subject,
-) -> Result<Outcome, Why> {
+) -> Result<Outcome, RefusalCause> {
     let effective = query::effective_policy(shared, &submission.organisation, subject)?;
     let policy = query::call_policy(
         &effective,
@@ -259,19 +261,19 @@
     )?;
     let service = shared
         .service(&submission.service)
-        .ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no such service"))?;
+        .ok_or_else(|| RefusalCause::not_run(Reason::NoSnapshot, "no such service"))?;
     let _permit = query::org_permit(shared, &submission.organisation, &effective, policy)?;
     let deadline = query::deadline(shared, Some(submission.deadline), policy);
     let admission = query::admit_request(subject, policy, deadline);
     let _running = admit(&shared.host, &service, GateId::default(), admission)
         .await
-        .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
+        .map_err(|(reason, after)| RefusalCause::not_run(reason, "at admission").after(after))?;
     let now = shared.now();
     let routes = {
         let state = lock(&service.state);
         state.extra.versions.pin(&state.table, now)
     };
-    let routes = routes.ok_or_else(|| Why::not_run(Reason::NoSnapshot, "no live leaf"))?;
+    let routes = routes.ok_or_else(|| RefusalCause::not_run(Reason::NoSnapshot, "no live leaf"))?;
     let shard = (shared.rng().next_u64() % routes.shards.len().max(1) as u64) as usize;
     let params = CallParams {
         request: subject.request,
@@ -304,7 +306,7 @@
         return Outcome::Done(answer.to_vec());
     }
     match NotRun::prove(&attempts.ends) {
-        Some(_) if attempts.last == Failure::Refused(Refusal::Deadline) => {
+        Some(_) if attempts.last == Failure::Refused(TargetRefusal::Deadline) => {
             Outcome::NotRun(Reason::Deadline)
         }
         Some(_) => Outcome::NotRun(Reason::TargetRefused),
@@ -330,16 +332,16 @@
     loop {
         let now = shared.now();
         if now >= params.deadline {
-            attempts.last = Failure::Refused(Refusal::Deadline);
+            attempts.last = Failure::Refused(TargetRefusal::Deadline);
             return attempts;
         }
-        let Some((to, place)) = next_replica(shared, service, routes, shard, &tried) else {
+        let Some((to, backend)) = next_replica(shared, service, routes, shard, &tried) else {
             return attempts;
         };
-        log_choice(shared, &place, params, tried.len());
+        log_choice(shared, &backend, params, tried.len());
         tried.push(to);
         let attempt = Attempt::plan(to).queue().send(now);
-        let result = send(shared, service, routes, shard, place, params).await;
+        let result = send(shared, service, routes, shard, backend, params).await;
         record_result(shared, service, to, now, &result);
         match result {
             Ok(answer) => {
@@ -365,11 +367,11 @@
 }
 
 /// Logs the replica that was chosen and the number of the attempt.
-fn log_choice(shared: &Shared, place: &Place, params: &CallParams, earlier: usize) {
+fn log_choice(shared: &Shared, backend: &BackendAddress, params: &CallParams, earlier: usize) {
     if shared.host.trace == Trace::None {
         return;
     }
-    let (Place::Leaf(_, address) | Place::Peer(_, address)) = place;
+    let (BackendAddress::Leaf(_, address) | BackendAddress::Peer(_, address)) = backend;
     let part = if earlier == 0 { "choose" } else { "retry" };
     debug!(shared.host.log, "{part}: {address} for a submission";
         "request" => params.request.0, "why" => format!("attempt {}", earlier + 1));
@@ -382,7 +384,7 @@
     routes: &Routes,
     shard: usize,
     tried: &[Ix],
-) -> Option<(Ix, Place)> {
+) -> Option<(Ix, BackendAddress)> {
     let mut rng = shared.rng();
     let now = shared.now();
     let replicas = &routes.shards.get(shard)?.replicas;
@@ -390,7 +392,7 @@
     let version = routes.snapshot.version;
     let to = choose_replica(&mut state.table, replicas, tried, version, now, &mut rng)?;
     state.table.sent(to, now);
-    Some((to, state.extra.places.get(&to)?.clone()))
+    Some((to, state.extra.addresses.get(&to)?.clone()))
 }
 
 /// Records the result and the latency of an attempt in the table.
@@ -415,13 +417,13 @@
     service: &Service,
     routes: &Routes,
     shard: usize,
-    place: Place,
+    backend: BackendAddress,
     params: &CallParams,
 ) -> Result<Bytes, Failure> {
     let left = params.deadline.since(shared.now());
     let call = async {
-        match place {
-            Place::Leaf(leaf, address) => {
+        match backend {
+            BackendAddress::Leaf(leaf, address) => {
                 let submit = LeafSubmit {
                     leaf,
                     address,
@@ -433,7 +435,7 @@
                 };
                 shared.targets.submit(submit).await
             }
-            Place::Peer(_, address) => {
+            BackendAddress::Peer(_, address) => {
                 let dispatch = Dispatch {
                     request: params.request,
                     service: service.name.clone(),
@@ -452,8 +454,8 @@
 }
 
 /// Dispatches a keeper's submission to a leaf that this entry holds.
-pub(crate) async fn dispatch_here(shared: &Shared, dispatch: Dispatch) -> Result<Bytes, Failure> {
-    let not_run = Failure::Refused(Refusal::Connections);
+pub(crate) async fn dispatch_local(shared: &Shared, dispatch: Dispatch) -> Result<Bytes, Failure> {
+    let not_run = Failure::Refused(TargetRefusal::Connections);
     let service = shared.service(&dispatch.service).ok_or(not_run)?;
     let routes = lock(&service.state)
         .extra
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -18,25 +18,24 @@
 
 use crate::{
     api::{
-        Answer, EditError, EditReply, EntryList, QueryRequest, Refused, SubmitOutcome,
+        Answer, EditError, EditReply, EntryList, QueryRequest, Refusal, SubmitOutcome,
         SubmitRequest, TicketReply,
     },
-    boot,
     edit::{self, EditRequest},
     gossip, leafs,
-    peers::Served,
+    peers::PeerHandler,
     place,
     ports::Ports,
-    query, records,
-    shared::{Differs, Phase, Shared, SharedPorts, lock},
-    spread,
+    propagation, query, records,
+    shared::{DivergentPeer, Phase, Shared, SharedPorts, lock},
+    startup,
     status::{self, Status},
     submit, watch,
 };
 
 /// Queue of peers with a different digest. Those beyond it are dropped and
 /// queued again after a later probe.
-const DIFFERS_QUEUE: usize = 16;
+const DIVERGENT_QUEUE: usize = 16;
 /// Poll interval for requests and dispatches in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// Number of peers that get a leave message or an update directly.
@@ -91,7 +90,7 @@
         seed: u64,
     ) -> Result<Self, SpawnError> {
         let own = own_member(&settings, &ports.clock);
-        let (differs, differing) = mpsc::channel::<Differs>(DIFFERS_QUEUE);
+        let (divergent_peers, divergent_rx) = mpsc::channel::<DivergentPeer>(DIVERGENT_QUEUE);
         let shared_ports = SharedPorts {
             targets: ports.targets,
             platform: ports.platform,
@@ -99,18 +98,25 @@
             clock: ports.clock,
         };
         let address = settings.listen.peers;
-        let shared = Arc::new(Shared::new(settings, log, shared_ports, own, seed, differs));
-        let peers = (ports.peers)(Arc::new(Served(shared.clone())))
+        let shared = Arc::new(Shared::new(
+            settings,
+            log,
+            shared_ports,
+            own,
+            seed,
+            divergent_peers,
+        ));
+        let peers = (ports.peers)(Arc::new(PeerHandler(shared.clone())))
             .await
             .map_err(|source| SpawnError::Peers { address, source })?;
         let _ = shared.peers.set(peers);
         let mut set = JoinSet::new();
-        set.spawn(boot::run(shared.clone()));
+        set.spawn(startup::start_serving(shared.clone()));
         set.spawn(place::run(shared.clone()));
         set.spawn(gossip::run(shared.clone()));
         set.spawn(watch::run(shared.clone()));
-        set.spawn(leafs::watch(shared.clone()));
-        set.spawn(spread::fetch(shared.clone(), differing));
+        set.spawn(leafs::poll_states(shared.clone()));
+        set.spawn(propagation::fetch(shared.clone(), divergent_rx));
         set.spawn(records::run(shared.clone()));
         let tasks = Tasks {
             shared: shared.clone(),
@@ -139,8 +145,8 @@
     /// # Errors
     ///
     /// The query was refused; the error has the receipt.
-    pub async fn query(&self, ask: QueryRequest) -> Result<Answer, Refused> {
-        query::answer(&self.shared, ask).await
+    pub async fn query(&self, request: QueryRequest) -> Result<Answer, Refusal> {
+        query::answer(&self.shared, request).await
     }
 
     /// Mints a ticket for a submission.
@@ -148,7 +154,7 @@
     /// # Errors
     ///
     /// The entry is leaving, or keeps as many tickets as it may.
-    pub fn ticket(&self) -> Result<TicketReply, Refused> {
+    pub fn ticket(&self) -> Result<TicketReply, Refusal> {
         submit::mint(&self.shared)
     }
 
@@ -158,8 +164,8 @@
     ///
     /// The submission did not run, or its outcome is unknown; the refusal says
     /// which.
-    pub async fn submit(&self, ask: SubmitRequest) -> Result<SubmitOutcome, Refused> {
-        submit::submit(&self.shared, ask).await
+    pub async fn submit(&self, request: SubmitRequest) -> Result<SubmitOutcome, Refusal> {
+        submit::submit(&self.shared, request).await
     }
 
     /// The entries that a caller in `domain` should use.
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Edits a template or organisation. Edits with the same `id` are applied
+    /// Edits a template or organisation. Edits with the same `edit_id` are applied
     /// once.
     ///
     /// # Errors
@@ -183,21 +189,21 @@
         key: ObjectKey,
         spec: serde_json::Value,
         expected: Option<u64>,
-        id: String,
+        edit_id: String,
     ) -> Result<EditReply, EditError> {
-        let ask = EditRequest {
+        let request = EditRequest {
             key,
             expected,
             spec,
-            id,
-            by: String::new(),
+            edit_id,
+            author: String::new(),
         };
-        edit::put(&self.shared, ask).await
+        edit::put(&self.shared, request).await
     }
 
     /// Waits until an operator requests a drain.
-    pub async fn drain_asked(&self) {
-        self.shared.drain.notified().await;
+    pub async fn drain_requested(&self) {
+        self.shared.drain_requested.notified().await;
     }
 
     /// The status of the entry for operators.
@@ -354,4 +360,4 @@
 }
 
 /// An empty JSON object, the default body of a request.
-pub(crate) const EMPTY: Bytes = Bytes::from_static(b"{}");
+pub(crate) const EMPTY_JSON: Bytes = Bytes::from_static(b"{}");
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -13,9 +13,9 @@
 use tokio::time::sleep;
 
 use crate::{
-    boot,
+    propagation,
     shared::{Shared, lock},
-    spread,
+    startup,
 };
 
 /// Number of entries of a failure domain that watch. Two, so that changes still
@@ -57,7 +57,7 @@
 
 /// Watches all kinds until the platform fails or this entry is no watcher.
 async fn watch_all(shared: &Arc<Shared>) {
-    let Some(revisions) = boot::list_all(shared).await else {
+    let Some(revisions) = startup::list_objects(shared).await else {
         return;
     };
     let watches = Kind::SPREAD
@@ -69,7 +69,7 @@
         () = async { futures::future::select_all(watches.map(Box::pin)).await; } => {
             warn!(shared.host.log, "conf: the watch of the platform ended");
         }
-        () = read_vms(shared) => {}
+        () = poll_vms(shared) => {}
         () = until_turn_ends(shared) => {}
     }
 }
@@ -84,8 +84,8 @@
                 revision = changes.revision;
                 let complete_at =
                     complete_at(asked, shared.now(), wait, changes.objects.is_empty());
-                spread::take(&shared, changes.objects, "the platform");
-                lock(&shared.conf).note_read(kind, revision, complete_at);
+                propagation::apply_and_forward(&shared, changes.objects, "the platform");
+                lock(&shared.conf).record_read(kind, revision, complete_at);
             }
             Err(PlatformError::Unavailable) => return,
             Err(error) => {
@@ -107,9 +107,9 @@
 }
 
 /// Reads the list of VMs periodically.
-async fn read_vms(shared: &Arc<Shared>) {
+async fn poll_vms(shared: &Arc<Shared>) {
     loop {
-        boot::read_vms(shared).await;
+        startup::refresh_vms(shared).await;
         sleep(VMS_INTERVAL).await;
     }
 }
--- a/crates/tier/src/web.rs
+++ b/crates/tier/src/web.rs
@@ -38,7 +38,7 @@
     pub(crate) headers: usize,
     /// Timeout for the headers and for the body of a request, and keep-alive
     /// interval over HTTP/2.
-    pub(crate) patience: Duration,
+    pub(crate) request_timeout: Duration,
     /// Maximum number of open connections.
     pub(crate) connections: usize,
 }
@@ -81,11 +81,11 @@
 
 /// Reads a request body within the limits of size and time.
 pub(crate) async fn read_body(mut body: Incoming, limits: &WebLimits) -> Result<Bytes, BodyError> {
-    let read = timeout(limits.patience, port_body(&mut body, limits.body)).await;
+    let read = timeout(limits.request_timeout, port_body(&mut body, limits.body)).await;
     match read {
         Err(_) => Err(BodyError::Slow),
         Ok(Err(chestnut_port::BodyError::Large)) => {
-            let _ = timeout(limits.patience, discard(&mut body)).await;
+            let _ = timeout(limits.request_timeout, discard(&mut body)).await;
             Err(BodyError::Large)
         }
         Ok(Err(chestnut_port::BodyError::Broken)) => Err(BodyError::Broken),
@@ -188,12 +188,12 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.patience)
+        .header_read_timeout(limits.request_timeout)
         .max_headers(limits.headers);
     builder
         .http2()
         .timer(TokioTimer::new())
-        .keep_alive_interval(limits.patience)
+        .keep_alive_interval(limits.request_timeout)
         .max_header_list_size(MAX_HEADER_BYTES);
     builder
         .serve_connection(TokioIo::new(stream), service)
