--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -30,7 +30,7 @@
 pub struct DemoEntry {
     /// The tier.
     pub tier: Tier,
-    /// HTTP before it.
+    /// Its HTTP servers.
     pub http: HttpServers,
 }
 
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -22,7 +22,7 @@
 use crate::{
     api::{Answer, QueryRequest, Refusal, SettingsUsed},
     calls::QueryCalls,
-    refuse::{RefusalCause, Subject, refuse},
+    refuse::{RefusalCause as Cause, Subject, refuse},
     service::{Service, ServiceRoutes},
     shared::{Phase, Shared, lock},
 };
@@ -60,11 +60,11 @@
     shared: &Shared,
     org: &chestnut_unit::OrgName,
     subject: &mut Subject,
-) -> Result<EffectivePolicy, RefusalCause> {
+) -> Result<EffectivePolicy, Cause> {
     let phase = shared.phase();
     if phase == Phase::Starting || phase == Phase::Stopped {
         let detail = "this entry has no confirmed settings yet";
-        return Err(RefusalCause::not_run(Reason::NotReady, detail));
+        return Err(Cause::not_run(Reason::NotReady, detail));
     }
     let now = shared.now();
     let mut conf = lock(&shared.conf);
@@ -72,7 +72,7 @@
     let policy = conf.policy(org);
     drop(conf);
     let Some(policy) = policy else {
-        return Err(RefusalCause::not_run(
+        return Err(Cause::not_run(
             Reason::UnknownOrg,
             format!("no organisation {org}"),
         ));
@@ -89,7 +89,7 @@
         }),
         _ => {
             let detail = format!("settings last confirmed {:?} ago", age.unwrap_or_default());
-            Err(RefusalCause::not_run(Reason::Unconfirmed, detail))
+            Err(Cause::not_run(Reason::Unconfirmed, detail))
         }
     }
 }
@@ -100,11 +100,11 @@
     kind: CallKind,
     service: &chestnut_unit::ServiceName,
     call: &chestnut_unit::CallType,
-) -> Result<&'a CallPolicy, RefusalCause> {
+) -> Result<&'a CallPolicy, Cause> {
     effective
         .policy
         .call(call, kind, service)
-        .map_err(|error| RefusalCause::not_run(error.reason(), error.to_string()))
+        .map_err(|error| Cause::not_run(error.reason(), error.to_string()))
 }
 
 /// Admits a request under its organisation's limit, unless its policy forbids
@@ -114,7 +114,7 @@
     org: &chestnut_unit::OrgName,
     effective: &EffectivePolicy,
     policy: &CallPolicy,
-) -> Result<Option<impl Drop + 'a + use<'a>>, RefusalCause> {
+) -> Result<Option<impl Drop + 'a + use<'a>>, Cause> {
     if !policy.may_refuse(Reason::OrgLimit) {
         return Ok(None);
     }
@@ -126,7 +126,7 @@
             shared,
             org: org.clone(),
         })),
-        Err(after) => Err(RefusalCause::not_run(
+        Err(after) => Err(Cause::not_run(
             Reason::OrgLimit,
             format!("limit {}", effective.policy.limits.rate),
         )
@@ -186,18 +186,18 @@
     shared: &Shared,
     request: &QueryRequest,
     subject: &mut Subject,
-) -> Result<(Answer, chestnut_unit::Urgency), RefusalCause> {
+) -> Result<(Answer, chestnut_unit::Urgency), Cause> {
     let effective = effective_policy(shared, &request.organisation, subject)?;
     let policy = call_policy(&effective, CallKind::Query, &request.service, &request.call)?;
-    let service = shared.service(&request.service).ok_or_else(|| {
-        RefusalCause::not_run(Reason::NoSnapshot, "the platform lists no such service")
-    })?;
+    let service = shared
+        .service(&request.service)
+        .ok_or_else(|| Cause::not_run(Reason::NoSnapshot, "the platform lists no such service"))?;
     let _permit = org_permit(shared, &request.organisation, &effective, policy)?;
     let deadline = deadline(shared, request.deadline, policy);
     let admission = admit_request(subject, policy, deadline);
     let mut running = admit(&shared.host, &service, GateId::default(), admission)
         .await
-        .map_err(|(reason, after)| RefusalCause::not_run(reason, "at admission").after(after))?;
+        .map_err(|(reason, after)| Cause::not_run(reason, "at admission").after(after))?;
     if shared.host.trace > Trace::None {
         debug!(shared.host.log, "admit: query of {} admitted", request.service;
             "request" => subject.request.0, "why" => policy.urgency.as_str());
@@ -236,7 +236,7 @@
     subject: &Subject,
     config: QueryConfig,
     running: &mut Running<'_, ServiceRoutes>,
-) -> Result<FanOut, RefusalCause> {
+) -> Result<FanOut, Cause> {
     let calls = QueryCalls {
         shared,
         service,
@@ -266,9 +266,8 @@
         debug!(shared.host.log, "retry: the snapshot is gone, restarting the query";
             "request" => subject.request.0);
     }
-    let query = best.ok_or_else(|| {
-        RefusalCause::not_run(Reason::NoSnapshot, "no index version has a live leaf")
-    })?;
+    let query =
+        best.ok_or_else(|| Cause::not_run(Reason::NoSnapshot, "no index version has a live leaf"))?;
     let run = if none_ran { Run::NotRun } else { Run::Partial };
     Ok(FanOut { query, run })
 }
@@ -281,7 +280,7 @@
 }
 
 /// Builds the refusal of a query that is below its minimum coverage.
-fn coverage_refusal(query: &Query<Bytes>, run: Run) -> RefusalCause {
+fn coverage_refusal(query: &Query<Bytes>, run: Run) -> Cause {
     let coverage = query.coverage();
     let reason = match query.end() {
         Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
@@ -301,7 +300,7 @@
         query.routes().snapshot,
         missing.join(" ")
     );
-    RefusalCause::not_run(reason, detail).execution(run)
+    Cause::not_run(reason, detail).execution(run)
 }
 
 /// Maximum number of missing shards listed in a refusal.
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -68,7 +68,7 @@
 }
 
 /// Reads the platform's list of VMs, updates members and leafs from it, and
-/// reports newly leaving leafs to some peers.
+/// reports newly leaving leafs to random peers.
 pub(crate) async fn refresh_vms(shared: &Arc<Shared>) {
     let Ok(vms) = shared.platform.vms().await else {
         return;
@@ -118,12 +118,7 @@
 /// Reads configuration and members from the seeds and known peers.
 async fn read_peers(shared: &Arc<Shared>) {
     let mut addresses: Vec<SocketAddr> = shared.settings.control.seeds.clone();
-    addresses.extend(
-        shared
-            .random_peers(2)
-            .into_iter()
-            .map(|(_, address)| address),
-    );
+    addresses.extend(shared.random_peers(2).into_iter().map(|(_, addr)| addr));
     for address in addresses {
         let Ok(members) = shared.peers().members(address).await else {
             continue;
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Edits a template or organisation. Edits with the same `edit_id` are applied
-    /// once.
+    /// Edits a template or organisation. Edits with the same `edit_id` are
+    /// applied once.
     ///
     /// # Errors
     ///
