--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -6,7 +6,7 @@
 use slog::info;
 use tokio::time::sleep_until;
 
-use crate::shared::{Differs, Shared, lock};
+use crate::shared::{DivergentPeer, Shared, lock};
 
 /// Sends and answers probes until the entry stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
@@ -57,12 +57,12 @@
         .confirmation
         .peer_reported(message, status.digest, now);
     if message.digest != status.digest {
-        let differs = Differs {
+        let divergent = DivergentPeer {
             peer: message.from.addresses.peers,
             digest: message.digest,
         };
         // If the queue is full, the next probe from this peer reports it again.
-        let _ = shared.differs.try_send(differs);
+        let _ = shared.divergent_peers.try_send(divergent);
     }
 }
 
@@ -86,6 +86,6 @@
         }
     }
     if changed {
-        shared.place.notify_one();
+        shared.placement_due.notify_one();
     }
 }
