--- a/crates/fake/src/bound.rs
+++ b/crates/fake/src/bound.rs
@@ -1,59 +1,59 @@
-//! The most that any policy could serve, by flow.
+//! Upper bound on what any routing policy could serve, from a flow model.
 //!
-//! What an oracle would serve that knows each leaf's state at each moment and has the
-//! same slots and extra calls. Queues are left out, and that calls start where nobody
-//! knows anything yet, so the bound is above what can be reached.
+//! Models an oracle that always knows the state of each leaf and has the same slots and
+//! budget for extra calls (hedges and retries). Queueing and the cost of learning the
+//! state of leafs are ignored, so no real policy reaches the bound.
 
 use std::{fmt, path::Path};
 
 use displaydoc::Display;
 use serde::Deserialize;
 
-/// A deployment, and spans of its days.
+/// Describes a deployment and the time spans to evaluate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Extra calls of each shard, as a part of its requests.
+    /// Budget for extra calls of each shard, as a fraction of its requests.
     pub part: f64,
-    /// Extra calls of each shard beyond that, a second.
+    /// Budget for extra calls of each shard beyond that, per second.
     pub slack: f64,
-    /// Kinds of requests over all shards.
+    /// Classes of requests; each request goes to all shards.
     pub classes: Vec<ClassShape>,
-    /// Spans of time.
+    /// Time spans, each evaluated by itself.
     pub spans: Vec<Span>,
 }
 
-/// A kind of requests over all shards.
+/// Describes a class of requests that go to all shards.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassShape {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Time of a call, in milliseconds.
+    /// Service time of a call, in milliseconds.
     pub work: f64,
-    /// Time within which the answer is wanted, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub goal: f64,
-    /// Least share of shards in an answer.
+    /// Minimum coverage: the smallest fraction of shards in a valid answer.
     pub least: f64,
-    /// Worth of an answer.
+    /// Weight of an answer relative to other classes.
     pub worth: f64,
 }
 
-/// A span of time in which nothing changes.
+/// Describes a time span with constant load and leaf states.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
-    /// Its name in the report.
+    /// Name in the report.
     pub name: String,
-    /// Its length in seconds.
+    /// Length in seconds.
     pub length: f64,
-    /// Seconds of it in which no entry runs.
+    /// Seconds of the span in which no entry runs.
     #[serde(default)]
     pub dark: f64,
-    /// Factor on the rates.
+    /// Factor on the request rates.
     #[serde(default = "one")]
     pub load: f64,
-    /// The shards.
+    /// Shards, grouped by the state of their leafs.
     pub shards: Vec<Shards>,
 }
 
@@ -61,48 +61,48 @@
     1.0
 }
 
-/// Shards whose leafs are in the same state.
+/// Describes a group of shards whose leafs are in the same state.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shards {
-    /// How many.
+    /// Number of shards.
     pub count: u32,
-    /// Calls that a leaf runs at once.
+    /// Calls that a leaf runs concurrently.
     pub slots: f64,
-    /// Leafs that are sound, of each shard.
+    /// Healthy leafs per shard.
     #[serde(default)]
     pub sound: f64,
-    /// Leafs that refuse or lose calls at random.
+    /// Leafs per shard that refuse or lose calls at random.
     #[serde(default)]
     pub faulty: f64,
-    /// Part of the calls that those refuse or lose.
+    /// Fraction of calls that faulty leafs refuse or lose.
     #[serde(default)]
     pub fails: f64,
-    /// Leafs whose calls take longer.
+    /// Leafs per shard whose calls take longer.
     #[serde(default)]
     pub slow: f64,
-    /// How many times as long.
+    /// Factor on the service time of slow leafs.
     #[serde(default = "one")]
     pub times: f64,
 }
 
-/// Why a file of spans can't be used.
+/// Errors from reading a deployment file.
 #[derive(Debug, Display)]
 pub enum BoundError {
-    /// {0} can't be read: {1}
+    /// can't read {0}: {1}
     Read(String, std::io::Error),
-    /// {0} is no list of spans: {1}
+    /// {0} is not a valid deployment: {1}
     Parse(String, toml::de::Error),
 }
 
 impl std::error::Error for BoundError {}
 
 impl Deployment {
-    /// Reads a file.
+    /// Reads a deployment from a TOML file.
     ///
     /// # Errors
     ///
-    /// It can't be read, or is not TOML of this form.
+    /// The file can't be read or is not a valid deployment.
     pub fn open(path: &Path) -> Result<Self, BoundError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path);
@@ -110,7 +110,7 @@
         toml::from_str(&text).map_err(|error| BoundError::Parse(name, error))
     }
 
-    /// The bound of each span.
+    /// Returns the bound of each span, in order.
     #[must_use]
     pub fn bounds(&self) -> Vec<Row> {
         let row = |span: &Span| Row {
@@ -120,25 +120,26 @@
         self.spans.iter().map(row).collect()
     }
 
-    /// The part of its worth that requests of a span can get.
+    /// Returns the largest fraction of the total weight that a span can earn.
     fn bound(&self, span: &Span) -> f64 {
         let weight = |class: &ClassShape| class.rate * class.worth;
         let all: f64 = self.classes.iter().map(weight).sum();
         let classes = self.classes.iter();
-        let got: f64 = classes.map(|c| weight(c) * self.served(c, span)).sum();
-        let lit = 1.0 - (span.dark / span.length).clamp(0.0, 1.0);
-        lit * got / all
+        let earned: f64 = classes.map(|c| weight(c) * self.mean_credit(c, span)).sum();
+        let uptime = 1.0 - (span.dark / span.length).clamp(0.0, 1.0);
+        uptime * earned / all
     }
 
-    /// The mean credit of the requests of a class while entries run.
-    fn served(&self, class: &ClassShape, span: &Span) -> f64 {
-        /// Numbers of answered requests that are tried, as parts of all.
+    /// Returns the largest mean credit of a class while entries run: a complete answer
+    /// earns 1, one of minimum coverage the square of that coverage.
+    fn mean_credit(&self, class: &ClassShape, span: &Span) -> f64 {
+        /// Steps of the search over the fraction of requests that are answered.
         const STEPS: u32 = 400;
         let rate = class.rate * span.load;
         let shards: Vec<(u32, f64)> = span
             .shards
             .iter()
-            .map(|shards| (shards.count, self.parts(class, shards, span.load)))
+            .map(|shards| (shards.count, self.shard_rate(class, shards, span.load)))
             .collect();
         let count: u32 = shards.iter().map(|(count, _)| count).sum();
         let count = f64::from(count);
@@ -153,7 +154,7 @@
             if each + 1e-9 < least {
                 return 0.0;
             }
-            // Some answers may be whole and the others cover the least share.
+            // The best mix has complete answers and answers of minimum coverage.
             let whole = if least < count {
                 (each - least) / (count - least)
             } else {
@@ -164,8 +165,8 @@
         (1..=STEPS).map(credit).fold(0.0, f64::max)
     }
 
-    /// Parts of a class that a shard can bring a second.
-    fn parts(&self, class: &ClassShape, shards: &Shards, load: f64) -> f64 {
+    /// Returns the requests per second of a class that one shard can answer.
+    fn shard_rate(&self, class: &ClassShape, shards: &Shards, load: f64) -> f64 {
         let all: f64 = self.classes.iter().map(|class| class.rate).sum();
         let busy: f64 = self
             .classes
@@ -173,8 +174,8 @@
             .map(|class| class.rate * class.work)
             .sum();
         let share = class.rate / all;
-        // Calls a second of this class that one leaf can run.
-        let leaf = shards.slots * 1e3 / (busy / all) * share;
+        // Calls per second of this class that one leaf can run.
+        let leaf_rate = shards.slots * 1e3 / (busy / all) * share;
         let rate = class.rate * load;
         let in_time = class.work * shards.times <= class.goal;
         let slow = if in_time {
@@ -182,19 +183,19 @@
         } else {
             0.0
         };
-        let sound = rate.min((shards.sound + slow) * leaf);
-        let calls = rate * (1.0 + self.part) + self.slack * share - sound;
-        let lucky = (calls * (1.0 - shards.fails)).min(shards.faulty * leaf);
-        rate.min(sound + lucky.max(0.0))
+        let healthy = rate.min((shards.sound + slow) * leaf_rate);
+        let spare = rate * (1.0 + self.part) + self.slack * share - healthy;
+        let accepted = (spare * (1.0 - shards.fails)).min(shards.faulty * leaf_rate);
+        rate.min(healthy + accepted.max(0.0))
     }
 }
 
-/// The bound of one span.
+/// Holds the bound of one span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// The span's name.
+    /// Name of the span.
     pub span: String,
-    /// The part of its worth that requests can get, from 0 to 1.
+    /// Largest fraction of the total weight that can be earned, from 0 to 1.
     pub bound: f64,
 }
 
--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -1,4 +1,4 @@
-//! The whole system in one process, on the stand-ins.
+//! Runs a whole deployment in one process, with a simulated platform and leafs.
 
 use std::{io, path::Path};
 
@@ -9,7 +9,7 @@
 
 use crate::{PlatformServer, TargetServer, World, WorldError};
 
-/// Why the demo can't start.
+/// Errors from starting the demo.
 #[derive(Debug, Display)]
 pub enum DemoError {
     /// {0}
@@ -26,23 +26,23 @@
 
 impl std::error::Error for DemoError {}
 
-/// One entry of the demo.
+/// A running entry of the demo.
 pub struct DemoEntry {
-    /// The tier.
+    /// Tier instance of the entry.
     pub tier: Tier,
-    /// Its HTTP servers.
+    /// HTTP servers for callers and operators.
     pub http: HttpServers,
 }
 
-/// A running demo. Dropping it ends it.
+/// A running demo, stopped on drop.
 pub struct Demo {
-    /// The deployment.
+    /// Description of the deployment.
     pub world: World,
-    /// The platform.
+    /// Simulated platform.
     pub platform: PlatformServer,
-    /// The leafs, in the order of the world.
+    /// Simulated leafs, in the order of [`World::leafs`].
     pub targets: Vec<TargetServer>,
-    /// The entries, in the order of the world.
+    /// Entries, in the order of [`World::entry`].
     pub entries: Vec<DemoEntry>,
 }
 
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Demo::spawn`].
+    /// See [`Demo::spawn`].
     pub async fn spawn_world(world: World, folder: &Path, log: &Logger) -> Result<Self, DemoError> {
         let platform = PlatformServer::bind_world(&world)
             .await
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Waits until every entry serves.
+    /// Waits until every entry is ready to serve.
     pub async fn ready(&self) {
         while !self.entries.iter().all(|entry| entry.tier.is_ready()) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -98,11 +98,11 @@
     }
 }
 
-/// Starts one entry from the text of its settings.
+/// Starts one entry from its settings in TOML.
 ///
 /// # Errors
 ///
-/// The settings are wrong, or an address can't be bound.
+/// The settings are invalid, or an address can't be bound.
 pub async fn spawn_entry(text: &str, log: &Logger) -> Result<DemoEntry, DemoError> {
     let settings = Settings::parse(text, Path::new("demo.toml"))
         .map_err(|e| DemoError::Settings(e.to_string()))?;
@@ -116,14 +116,15 @@
     Ok(DemoEntry { tier, http })
 }
 
-type Written = (ObjectKey, serde_json::Value);
+/// An object and the key to store it under.
+type KeyedObject = (ObjectKey, serde_json::Value);
 
-/// Templates and organisations in a folder, wrapped as the platform keeps them.
+/// Reads the templates and organisations in a folder as [`Stored`] objects.
 ///
 /// # Errors
 ///
 /// A file can't be read or is not JSON.
-pub fn objects_in(folder: &Path) -> Result<Vec<Written>, DemoError> {
+pub fn objects_in(folder: &Path) -> Result<Vec<KeyedObject>, DemoError> {
     let mut objects = Vec::new();
     for (kind, name) in [
         (Kind::Template, "templates"),
@@ -144,13 +145,13 @@
                 kind,
                 name: stem.into_owned(),
             };
-            objects.push((key, stored(spec)));
+            objects.push((key, wrap_spec(spec)));
         }
     }
     Ok(objects)
 }
 
-fn stored(spec: serde_json::Value) -> serde_json::Value {
+fn wrap_spec(spec: serde_json::Value) -> serde_json::Value {
     let stored = Stored {
         spec,
         edits: Vec::new(),
@@ -158,7 +159,7 @@
     serde_json::to_value(stored).expect("plain JSON")
 }
 
-/// A logger that drops everything.
+/// Returns a logger that discards all records.
 pub fn no_log() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/fake/src/gate.rs
+++ b/crates/fake/src/gate.rs
@@ -1,4 +1,4 @@
-//! Connections that can go silent.
+//! TCP connections that can be made unresponsive without closing.
 
 use std::{
     io,
@@ -15,56 +15,55 @@
     net::TcpStream,
 };
 
-/// Makes a connection silent: nothing is read or written any more, and it
-/// never closes. What a lost entry in a translation table between the two
-/// ends looks like.
+/// Switch that makes a connection unresponsive: reads stay pending, writes are
+/// dropped and it never closes, as after the loss of its NAT table entry.
 #[derive(Clone, Debug, Default)]
 pub struct Silence(Arc<AtomicBool>);
 
 impl Silence {
-    /// Silences the connection for good.
+    /// Makes the connection unresponsive for good.
     pub fn fall(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    fn is_fallen(&self) -> bool {
+    fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A connection under a [`Silence`].
-pub(crate) struct Gated {
+/// TCP stream that stops when its [`Silence`] is set.
+pub(crate) struct GatedStream {
     pub(crate) stream: TcpStream,
     pub(crate) silence: Silence,
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for GatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silence.is_fallen() {
+        if self.silence.is_set() {
             return Poll::Pending;
         }
-        let before = buffer.filled().len();
+        let filled = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
-        if self.silence.is_fallen() {
-            buffer.set_filled(before);
+        if self.silence.is_set() {
+            buffer.set_filled(filled);
             return Poll::Pending;
         }
         polled
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for GatedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.silence.is_fallen() {
-            // Taken and dropped, as a full socket buffer would look broken.
+        if self.silence.is_set() {
+            // Accepts and drops the bytes: backpressure would reveal the fault.
             return Poll::Ready(Ok(buffer.len()));
         }
         Pin::new(&mut self.stream).poll_write(cx, buffer)
@@ -75,7 +74,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silence.is_fallen() {
+        if self.silence.is_set() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,10 +1,13 @@
-//! Stand-ins for the systems around the tier, for tests, the demo and the
-//! experiments. Nothing here is part of a deployment.
+//! Simulated platform and leafs for tests, the demo and the experiments.
+//! Nothing here is part of a deployment.
+//!
+//! An entry is a process of the tier that callers connect to. A leaf is a
+//! back-end process that answers queries for its shards.
 //!
 //! - [`World`] describes a deployment: domains, services, leafs, entries.
-//! - [`PlatformServer`] stands in for the platform, [`TargetServer`] for a leaf;
-//!   both can be told to fail in the ways that the real ones do.
-//! - [`load`] sends queries in an open loop and reports what came of them.
+//! - [`PlatformServer`] simulates the platform, [`TargetServer`] a leaf; both
+//!   support fault injection.
+//! - [`load`] sends queries in an open loop and reports their outcomes.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -1,7 +1,7 @@
-//! The load driver: queries in an open loop.
+//! Open-loop load generator.
 //!
-//! Requests are sent when they are due, whether or not earlier ones have
-//! answered, so a slow system can't slow its own measurement down.
+//! Requests are sent on schedule whether or not earlier ones have been answered,
+//! so a slow system can't reduce the offered load (coordinated omission).
 
 use std::{
     collections::BTreeMap,
@@ -26,66 +26,68 @@
 
 use crate::{Series, plot_lines};
 
-/// What to send.
+/// Configures a load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// An entry to ask for the others.
+    /// Entry that is asked for the list of entries at first.
     pub first: SocketAddr,
-    /// Failure domain of the caller, if it has one.
+    /// Failure domain of the caller, if known.
     pub domain: Option<String>,
-    /// Requests a second.
+    /// Mean request rate, per second.
     pub rate: f64,
-    /// How long to send.
+    /// Duration of the load.
     pub span: Duration,
-    /// The organisation.
+    /// Organisation of the requests.
     pub organisation: String,
-    /// The service.
+    /// Service that is queried.
     pub service: String,
-    /// The call types, each as likely as the others.
+    /// Call types, chosen uniformly.
     pub calls: Vec<String>,
     /// Deadline of each request.
     pub deadline: Duration,
-    /// Seed of the arrival times.
+    /// Seed of the arrival times and call types.
     pub seed: u64,
-    /// Operators' addresses of the entries, to read their counts of calls.
+    /// Operator addresses of the entries, to read their call counters.
     pub operators: Vec<SocketAddr>,
 }
 
-/// What came of it.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Answers that cover all shards.
     pub whole: u64,
-    /// Answers that cover a part.
+    /// Answers that cover only some of the shards.
     pub partial: u64,
-    /// Refusals by reason.
+    /// Refused requests by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Requests that got no HTTP answer.
+    /// Requests without a valid HTTP response.
     pub failed: u64,
-    /// Mean share of shards in answers.
+    /// Mean fraction of shards covered by answers.
     pub coverage: f64,
-    /// Milliseconds at quantiles of whole answers.
+    /// Latency quantiles of complete answers, in milliseconds.
     pub whole_ms: BTreeMap<String, f64>,
-    /// Milliseconds at the 99th percentile of refusals.
+    /// 99th percentile of the latency of refusals, in milliseconds.
     pub refused_p99_ms: f64,
-    /// Extra calls to back ends for each shard asked, by the entries' own
-    /// counts; absent if no operators' addresses were given.
+    /// Extra calls (hedges and retries) per shard asked, from the entries'
+    /// metrics; absent if no operator addresses were given.
     pub extra: Option<f64>,
 }
 
+/// Reported quantiles by name.
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p99.9", 0.999)];
-/// Longest time in a histogram, in microseconds.
+/// Upper limit of the histograms, in microseconds.
 const MAX_US: u64 = 120_000_000;
-/// Time beyond its deadline after which a request counts as failed.
-const SLACK: Duration = Duration::from_secs(2);
+/// Time after its deadline at which a request counts as failed.
+const DEADLINE_GRACE: Duration = Duration::from_secs(2);
 
+/// Accumulates the outcomes of requests.
 struct Tally {
     report: LoadReport,
     whole: Histogram<u64>,
     refused: Histogram<u64>,
-    covered: f64,
+    coverage_sum: f64,
     answers: u64,
 }
 
@@ -96,12 +98,13 @@
             report: LoadReport::default(),
             whole: empty.clone(),
             refused: empty,
-            covered: 0.0,
+            coverage_sum: 0.0,
             answers: 0,
         }
     }
 
-    fn take(&mut self, reply: Result<chestnut_port::HttpReply, HttpError>, span: Duration) {
+    /// Records the outcome of one request that took `span`.
+    fn record(&mut self, reply: Result<chestnut_port::HttpReply, HttpError>, span: Duration) {
         self.report.sent += 1;
         let Ok(reply) = reply else {
             self.report.failed += 1;
@@ -122,7 +125,7 @@
             return;
         };
         self.answers += 1;
-        self.covered += answered / asked.max(1.0);
+        self.coverage_sum += answered / asked.max(1.0);
         if coverage["complete"] == true {
             self.report.whole += 1;
             self.whole.saturating_record(us);
@@ -132,7 +135,7 @@
     }
 
     fn finish(mut self) -> (LoadReport, Histogram<u64>) {
-        self.report.coverage = self.covered / self.answers.max(1) as f64;
+        self.report.coverage = self.coverage_sum / self.answers.max(1) as f64;
         for (name, quantile) in QUANTILES {
             let ms = self.whole.value_at_quantile(quantile) as f64 / 1e3;
             self.report.whole_ms.insert(name.to_owned(), ms);
@@ -142,37 +145,37 @@
     }
 }
 
-/// The entries as a caller knows them.
+/// Client state of a caller: its cached list of entries.
 struct Caller {
     client: HttpClient,
     first: SocketAddr,
     domain: Option<String>,
     known: Vec<SocketAddr>,
-    until: Instant,
+    expires: Instant,
 }
 
 impl Caller {
-    /// The entry to use now. The list is asked for anew when its time is over,
-    /// of an entry of the old list, or of the first one.
+    /// Returns the preferred entry, after refreshing the list if it has expired.
     async fn entry(&mut self) -> SocketAddr {
-        if Instant::now() >= self.until {
+        if Instant::now() >= self.expires {
             self.refresh().await;
         }
         self.known.first().copied().unwrap_or(self.first)
     }
 
+    /// Fetches the list from the first entry that answers: those known, then `first`.
     async fn refresh(&mut self) {
         let path = match &self.domain {
             Some(domain) => format!("/v1/entries?domain={domain}"),
             None => "/v1/entries".to_owned(),
         };
-        let mut ask = self.known.clone();
-        ask.push(self.first);
-        for address in ask {
-            let wait = Duration::from_secs(1);
+        let mut candidates = self.known.clone();
+        candidates.push(self.first);
+        for address in candidates {
+            let timeout = Duration::from_secs(1);
             let call = self
                 .client
-                .call(Method::GET, address, &path, Bytes::new(), wait);
+                .call(Method::GET, address, &path, Bytes::new(), timeout);
             let Ok(reply) = call.await else {
                 continue;
             };
@@ -185,18 +188,18 @@
             }
             self.known = known;
             let ttl = body["ttl_ms"].as_u64().unwrap_or(1000);
-            self.until = Instant::now() + Duration::from_millis(ttl);
+            self.expires = Instant::now() + Duration::from_millis(ttl);
             return;
         }
     }
 }
 
-/// Extra calls and shards asked so far, summed over the entries.
-async fn counts(client: &HttpClient, operators: &[SocketAddr]) -> (f64, f64) {
-    let wait = Duration::from_secs(2);
+/// Reads the counters of extra calls and of shards asked, summed over the entries.
+async fn call_counts(client: &HttpClient, operators: &[SocketAddr]) -> (f64, f64) {
+    let timeout = Duration::from_secs(2);
     let (mut extra, mut shards) = (0.0, 0.0);
     for address in operators {
-        let call = client.call(Method::GET, *address, "/metrics", Bytes::new(), wait);
+        let call = client.call(Method::GET, *address, "/metrics", Bytes::new(), timeout);
         let Ok(reply) = call.await else {
             continue;
         };
@@ -215,7 +218,7 @@
     (extra, shards)
 }
 
-/// Sends the load and reports. With `plot` it also writes the latency
+/// Sends the load and returns its results. With `plot`, also writes the latency
 /// distribution as SVG.
 ///
 /// # Errors
@@ -229,9 +232,9 @@
         first: config.first,
         domain: config.domain.clone(),
         known: Vec::new(),
-        until: Instant::now(),
+        expires: Instant::now(),
     };
-    let before = counts(&client, &config.operators).await;
+    let before = call_counts(&client, &config.operators).await;
     let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
     let start = Instant::now();
     let mut due = start;
@@ -239,23 +242,23 @@
     while due < start + config.span {
         sleep_until(due).await;
         let entry = caller.entry().await;
-        let body = body_of(&config, &mut rng);
+        let body = query_body(&config, &mut rng);
         let (client, tally) = (client.clone(), tally.clone());
-        let wait = config.deadline + SLACK;
+        let timeout = config.deadline + DEADLINE_GRACE;
         requests.spawn(async move {
             let sent = Instant::now();
             let reply = client
-                .call(Method::POST, entry, "/v1/query", body, wait)
+                .call(Method::POST, entry, "/v1/query", body, timeout)
                 .await;
             let span = sent.elapsed();
             tally
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .take(reply, span);
+                .record(reply, span);
         });
         while requests.try_join_next().is_some() {}
-        let unit = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-        due += Duration::from_secs_f64(-(1.0 - unit).ln() / config.rate);
+        let uniform = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        due += Duration::from_secs_f64(-(1.0 - uniform).ln() / config.rate);
     }
     while requests.join_next().await.is_some() {}
     let tally = Arc::into_inner(tally).expect("every request has ended");
@@ -264,7 +267,7 @@
         .unwrap_or_else(PoisonError::into_inner)
         .finish();
     if !config.operators.is_empty() {
-        let after = counts(&client, &config.operators).await;
+        let after = call_counts(&client, &config.operators).await;
         report.extra = Some((after.0 - before.0) / (after.1 - before.1).max(1.0));
     }
     if let Some(path) = plot {
@@ -273,7 +276,7 @@
     Ok(report)
 }
 
-fn body_of(config: &LoadConfig, rng: &mut ChaCha8Rng) -> Bytes {
+fn query_body(config: &LoadConfig, rng: &mut ChaCha8Rng) -> Bytes {
     let call = &config.calls[rng.next_u64() as usize % config.calls.len()];
     let body = json!({
         "organisation": config.organisation,
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -1,4 +1,4 @@
-//! `chestnut-fake`: the stand-ins, the load driver and the demo.
+//! `chestnut-fake`: simulated platform and leafs, load generator and demo.
 
 #![warn(clippy::unwrap_used)]
 
@@ -17,8 +17,8 @@
 use slog::{Drain, Logger, o};
 use tokio::signal::ctrl_c;
 
-/// Stand-ins for the systems around chestnutpost, its load driver and a demo
-/// of the whole in one process.
+/// Simulated platform and leafs for chestnutpost, a load generator, experiments
+/// and a demo in one process.
 ///
 /// Nothing here is part of a deployment.
 #[derive(Parser)]
@@ -37,17 +37,17 @@
         /// Folder with world.toml, templates/ and organisations/.
         #[arg(long, default_value = "examples/flipperhouse")]
         folder: PathBuf,
-        /// Print the entries' log lines, routing decisions apart.
+        /// Print the entries' log lines, except routing decisions.
         #[arg(long)]
         log: bool,
     },
-    /// Run the platform of a deployment until Ctrl-C.
+    /// Run the simulated platform of a deployment until Ctrl-C.
     Platform {
         /// Folder with world.toml, templates/ and organisations/.
         #[arg(long)]
         folder: PathBuf,
     },
-    /// Run the leafs of a deployment in this process until Ctrl-C.
+    /// Run the simulated leafs of a deployment in this process until Ctrl-C.
     Targets {
         /// Folder with world.toml.
         #[arg(long)]
@@ -68,36 +68,36 @@
     /// Compare the routing policies under faults, in virtual time.
     ///
     /// Prints one row for each policy under each condition. The same seed gives
-    /// the same figures.
+    /// the same output.
     Experiment(ExperimentArgs),
-    /// Compare how many calls are kept under way where shards have little room,
-    /// in virtual time.
+    /// Compare limits on concurrent calls to shards with little capacity, in
+    /// virtual time.
     ///
-    /// Prints what callers get of each policy under each condition.
+    /// Prints the results for callers by condition and policy.
     Rooms {
-        /// Seeds of arrivals and service times, from 1 on.
+        /// Number of seeds of arrivals and service times, starting at 1.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Write the credit to this file, as SVG.
+        /// Plot the credit to this file, as SVG.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Tell the most that any policy could serve in spans of a deployment's days,
-    /// by flow.
+    /// Print an upper bound on what any policy could serve in each time span of a
+    /// deployment, from a flow model.
     ///
-    /// The file gives kinds of requests, and for each span the load, the time
+    /// The file gives the classes of requests, and for each span the load, the time
     /// without any entry and the state of the leafs; docs/policy/bounds has one.
     Bound {
-        /// The file, in TOML.
+        /// Description of the deployment, in TOML.
         file: PathBuf,
     },
-    /// Measure membership in virtual time: traffic of a member, time until all
-    /// know of a death, deaths that were none.
+    /// Measure the membership protocol in virtual time: traffic per member, time
+    /// until all members detect a death, false deaths.
     Membership {
-        /// Numbers of members, separated by commas.
+        /// Cluster sizes to measure, separated by commas.
         #[arg(long, default_value = "7,50,200", value_delimiter = ',')]
         members: Vec<usize>,
-        /// Seed of losses and targets.
+        /// Seed of packet losses and probe choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -120,48 +120,48 @@
     /// Seed of arrivals and service times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of a run.
+    /// Duration of a run, in virtual time.
     #[arg(long, default_value = "20s", value_parser = span)]
     span: Duration,
-    /// Write the 99th percentiles to this file, as SVG.
+    /// Plot the 99th percentiles to this file, as SVG.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct LoadArgs {
-    /// An entry to ask for the others.
+    /// Entry that is asked for the list of entries at first.
     #[arg(long, default_value = "127.0.0.1:7101")]
     entry: SocketAddr,
     /// Failure domain of the caller.
     #[arg(long)]
     domain: Option<String>,
-    /// Requests a second.
+    /// Mean request rate, per second.
     #[arg(long, default_value_t = 50.0)]
     rate: f64,
-    /// How long to send: 10s, 2m.
+    /// Duration of the load, such as 10s or 2m.
     #[arg(long, default_value = "10s", value_parser = span)]
     span: Duration,
-    /// The organisation.
+    /// Organisation of the requests.
     #[arg(long, default_value = "galway-flippers")]
     organisation: String,
-    /// The service.
+    /// Service to query.
     #[arg(long, default_value = "ladder")]
     service: String,
-    /// The call types, separated by commas; each is as likely as the others.
+    /// Call types, separated by commas and chosen uniformly.
     #[arg(long, default_value = "standings", value_delimiter = ',')]
     calls: Vec<String>,
     /// Deadline of each request.
     #[arg(long, default_value = "500ms", value_parser = span)]
     deadline: Duration,
-    /// Seed of the arrival times.
+    /// Seed of the arrival times and call types.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Operators' addresses of the entries, separated by commas, to report the
-    /// extra calls to back ends for each shard asked.
+    /// Operator addresses of the entries, separated by commas, to report the
+    /// extra calls (hedges and retries) per shard asked.
     #[arg(long, value_delimiter = ',')]
     operators: Vec<SocketAddr>,
-    /// Write the latency distribution to this file, as SVG.
+    /// Plot the latency distribution to this file, as SVG.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -181,26 +181,26 @@
     }
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-async fn run(command: Command) -> Result<(), Failure> {
+async fn run(command: Command) -> Result<(), BoxError> {
     match command {
         Command::Demo { folder, log } => demo(&folder, log).await,
         Command::Platform { folder } => platform(&folder).await,
         Command::Targets { folder, only } => targets(&folder, &only).await,
         Command::Settings { folder, out } => settings(&folder, &out),
         Command::Experiment(args) => experiment(&args),
-        Command::Rooms { seeds, plot } => rooms(seeds, plot.as_deref()),
-        Command::Bound { file } => bounds(&file),
+        Command::Rooms { seeds, plot } => compare_limits(seeds, plot.as_deref()),
+        Command::Bound { file } => print_bounds(&file),
         Command::Membership { members, seed } => {
             membership::run_table(&members, seed);
             Ok(())
         }
-        Command::Load(args) => drive(args).await,
+        Command::Load(args) => send_load(args).await,
     }
 }
 
-async fn demo(folder: &std::path::Path, log: bool) -> Result<(), Failure> {
+async fn demo(folder: &std::path::Path, log: bool) -> Result<(), BoxError> {
     let demo = Demo::spawn(folder, &logger(log)).await?;
     demo.ready().await;
     println!("platform   {}", demo.platform.address());
@@ -215,7 +215,7 @@
     let first = demo.entries.first().ok_or("the world has no entry")?;
     let (callers, operators) = (first.http.callers(), first.http.operators());
     println!("\nTry:\n  curl -s http://{callers}/v1/entries");
-    if let Some((org, service, call)) = sample(folder) {
+    if let Some((org, service, call)) = sample_query(folder) {
         println!(
             "  curl -s http://{callers}/v1/query -d \
              '{{\"organisation\":\"{org}\",\"service\":\"{service}\",\"call\":\"{call}\"}}'"
@@ -227,30 +227,30 @@
     Ok(())
 }
 
-/// An organisation of the folder with a query that it may make.
-fn sample(folder: &std::path::Path) -> Option<(String, String, String)> {
+/// Returns an organisation, a service and a call that it may query there.
+fn sample_query(folder: &std::path::Path) -> Option<(String, String, String)> {
     let objects = objects_in(folder).ok()?;
     let spec_of = |kind: chestnut_conf::Kind, name: &str| {
-        let here = |(key, _): &&(chestnut_conf::ObjectKey, serde_json::Value)| {
+        let matches = |(key, _): &&(chestnut_conf::ObjectKey, serde_json::Value)| {
             key.kind == kind && (name.is_empty() || key.name == name)
         };
-        let (key, value) = objects.iter().find(here)?;
+        let (key, value) = objects.iter().find(matches)?;
         Some((key.name.clone(), value["spec"].clone()))
     };
     let (org, spec) = spec_of(chestnut_conf::Kind::Organisation, "")?;
     let template = spec["template"].as_str()?;
     let (_, template) = spec_of(chestnut_conf::Kind::Template, template)?;
-    let reach = spec["services"].as_array()?;
+    let services = spec["services"].as_array()?;
     let calls = template["calls"].as_object()?;
-    let open = |body: &serde_json::Value| reach.contains(&body["services"][0]);
+    let allowed = |body: &serde_json::Value| services.contains(&body["services"][0]);
     let (call, body) = calls
         .iter()
-        .find(|(_, body)| body["kind"] == "query" && open(body))?;
+        .find(|(_, body)| body["kind"] == "query" && allowed(body))?;
     let service = body["services"][0].as_str()?;
     Some((org, service.to_owned(), call.clone()))
 }
 
-async fn platform(folder: &std::path::Path) -> Result<(), Failure> {
+async fn platform(folder: &std::path::Path) -> Result<(), BoxError> {
     let world = World::open(&folder.join("world.toml"))?;
     let server = PlatformServer::bind_world(&world).await?;
     for (key, value) in objects_in(folder)? {
@@ -261,7 +261,7 @@
     Ok(())
 }
 
-async fn targets(folder: &std::path::Path, only: &str) -> Result<(), Failure> {
+async fn targets(folder: &std::path::Path, only: &str) -> Result<(), BoxError> {
     let world = World::open(&folder.join("world.toml"))?;
     let mut servers = Vec::new();
     for leaf in world.leafs() {
@@ -274,7 +274,7 @@
     Ok(())
 }
 
-fn settings(folder: &std::path::Path, out: &std::path::Path) -> Result<(), Failure> {
+fn settings(folder: &std::path::Path, out: &std::path::Path) -> Result<(), BoxError> {
     let world = World::open(&folder.join("world.toml"))?;
     std::fs::create_dir_all(out)?;
     for entry in &world.entry {
@@ -285,8 +285,8 @@
     Ok(())
 }
 
-/// Prints the bound of each span of a file.
-fn bounds(file: &std::path::Path) -> Result<(), Failure> {
+/// Prints the bound of each span in the file.
+fn print_bounds(file: &std::path::Path) -> Result<(), BoxError> {
     let rows = Deployment::open(file)?.bounds();
     println!("| span | bound |");
     println!("|---|---|");
@@ -294,7 +294,7 @@
     Ok(())
 }
 
-fn rooms(seeds: u64, plot: Option<&std::path::Path>) -> Result<(), Failure> {
+fn compare_limits(seeds: u64, plot: Option<&std::path::Path>) -> Result<(), BoxError> {
     let rows = run_rooms(&Shape::search(), seeds);
     println!(
         "| condition | policy | credit (least to most) | in time % | served % | wasted calls % |"
@@ -317,7 +317,7 @@
     Ok(())
 }
 
-fn experiment(args: &ExperimentArgs) -> Result<(), Failure> {
+fn experiment(args: &ExperimentArgs) -> Result<(), BoxError> {
     let mut shape = match args.shape.as_str() {
         "ladder" => Shape::ladder(),
         "archive" => Shape::archive(),
@@ -339,7 +339,7 @@
     Ok(())
 }
 
-async fn drive(args: LoadArgs) -> Result<(), Failure> {
+async fn send_load(args: LoadArgs) -> Result<(), BoxError> {
     let config = LoadConfig {
         first: args.entry,
         domain: args.domain,
@@ -357,8 +357,8 @@
     Ok(())
 }
 
-fn logger(on: bool) -> Logger {
-    if !on {
+fn logger(enabled: bool) -> Logger {
+    if !enabled {
         return chestnut_fake::demo::no_log();
     }
     let decorator = slog_term::TermDecorator::new().stderr().build();
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in over HTTP.
+//! HTTP server that simulates the platform: object store, watches, list of VMs.
 
 use std::{
     io,
@@ -28,16 +28,17 @@
 
 use crate::{Store, World};
 
-/// Longest wait of a watch.
+/// Maximum wait of a watch.
 const WATCH_MAX: Duration = Duration::from_secs(60);
 
+/// State shared by all connections.
 struct Inner {
     store: Mutex<Store>,
     changed: Notify,
     clock: Clock,
 }
 
-/// The platform stand-in. Dropping it ends it.
+/// Simulated platform server, stopped on drop.
 pub struct PlatformServer {
     inner: Arc<Inner>,
     address: SocketAddr,
@@ -53,7 +54,7 @@
 type Reply = Response<Full<Bytes>>;
 
 impl PlatformServer {
-    /// Serves an empty platform.
+    /// Starts a server with an empty object store.
     ///
     /// # Errors
     ///
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Serves a platform that holds the services, layouts and VMs of `world`.
+    /// Starts a server with the services, layouts and VMs of `world`.
     ///
     /// # Errors
     ///
@@ -91,18 +92,18 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its state, for tests in the same process.
+    /// Locks and returns the store, for tests in the same process.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.inner.store)
     }
 
-    /// Waits until the server ends, which it does not by itself.
+    /// Runs the server; it does not end by itself.
     pub async fn run(mut self) {
         let _ = (&mut self.task).await;
     }
@@ -151,11 +152,11 @@
             Ok(kind) => answer(lock(&inner.store).list(kind)),
             Err(_) => not_found(),
         },
-        (Method::GET, ["objects", kind, name]) => match key(kind, name) {
+        (Method::GET, ["objects", kind, name]) => match object_key(kind, name) {
             Some(key) => found(lock(&inner.store).get(&key)),
             None => not_found(),
         },
-        (Method::PUT, ["objects", kind, name]) => match key(kind, name) {
+        (Method::PUT, ["objects", kind, name]) => match object_key(kind, name) {
             Some(key) => put(inner, key, &query, &body),
             None => not_found(),
         },
@@ -167,42 +168,45 @@
     }
 }
 
-fn key(kind: &str, name: &str) -> Option<ObjectKey> {
+fn object_key(kind: &str, name: &str) -> Option<ObjectKey> {
     Some(ObjectKey {
         kind: kind.parse().ok()?,
         name: name.to_owned(),
     })
 }
 
+/// Writes an object if its version is `if_version`.
 fn put(inner: &Inner, key: ObjectKey, query: &str, body: &[u8]) -> Reply {
     let Ok(value) = serde_json::from_slice(body) else {
         return reply(StatusCode::BAD_REQUEST, &json!({ "error": "not JSON" }));
     };
-    let expected = number(query, "if_version").unwrap_or(0);
+    let expected = param(query, "if_version").unwrap_or(0);
     let written = lock(&inner.store).put(key, expected, value);
     inner.changed.notify_waiters();
     answer(written.map(|version| json!({ "version": version })))
 }
 
+/// Waits up to `wait_ms` for a revision after `after` (long polling).
 async fn watch(inner: &Inner, kind: Kind, query: &str) -> Reply {
-    let after = number(query, "after").unwrap_or(0);
-    let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0)).min(WATCH_MAX);
+    let after = param(query, "after").unwrap_or(0);
+    let wait = Duration::from_millis(param(query, "wait_ms").unwrap_or(0)).min(WATCH_MAX);
     lock(&inner.store).counts.watches += 1;
-    let until = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         let changed = inner.changed.notified();
         let changes = lock(&inner.store).changes(kind, after);
         match &changes {
-            Ok(some) if some.objects.is_empty() && tokio::time::Instant::now() < until => {}
+            Ok(some) if some.objects.is_empty() && tokio::time::Instant::now() < deadline => {}
             _ => return answer(changes),
         }
-        let left = until - tokio::time::Instant::now();
+        let left = deadline - tokio::time::Instant::now();
         let _ = timeout(left, changed).await;
     }
 }
 
+/// Serves the endpoints for fault injection and inspection.
 fn control(inner: &Inner, method: &Method, parts: &[&str], body: &[u8]) -> Reply {
-    let bad =
+    let invalid =
         |e: serde_json::Error| reply(StatusCode::BAD_REQUEST, &json!({ "error": e.to_string() }));
     match (method, parts) {
         (&Method::PUT, ["control", "vms"]) => match serde_json::from_slice(body) {
@@ -210,24 +214,25 @@
                 lock(&inner.store).set_vms(vms, inner.clock.now());
                 reply(StatusCode::OK, &json!({}))
             }
-            Err(error) => bad(error),
+            Err(error) => invalid(error),
         },
         (&Method::GET, ["control", "vms"]) => reply(StatusCode::OK, &lock(&inner.store).true_vms()),
         (&Method::PUT, ["control", "fault"]) => match serde_json::from_slice(body) {
             Ok(fault) => {
                 lock(&inner.store).fault = fault;
-                // Waiting watches end with an outage.
+                // Waiting watches fail at once in an outage.
                 inner.changed.notify_waiters();
                 reply(StatusCode::OK, &json!({}))
             }
-            Err(error) => bad(error),
+            Err(error) => invalid(error),
         },
         (&Method::GET, ["control", "counts"]) => reply(StatusCode::OK, &lock(&inner.store).counts),
         _ => not_found(),
     }
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+/// Parses a numeric parameter of the query string.
+fn param(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
@@ -235,6 +240,7 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
+/// Maps a result of the store to an HTTP response.
 fn answer<T: Serialize>(result: Result<T, PlatformError>) -> Reply {
     match result {
         Ok(value) => reply(StatusCode::OK, &value),
@@ -248,6 +254,7 @@
     }
 }
 
+/// Like [`answer`], with 404 for a missing object.
 fn found<T: Serialize>(result: Result<Option<T>, PlatformError>) -> Reply {
     match result {
         Ok(None) => not_found(),
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -1,4 +1,4 @@
-//! The state of the platform stand-in, and the ways in which it can fail.
+//! State of the simulated platform, with fault injection.
 
 use std::collections::BTreeMap;
 
@@ -7,68 +7,70 @@
 use chestnut_unit::Time;
 use serde::{Deserialize, Serialize};
 
-/// How the stand-in misbehaves.
+/// Faults injected into the simulated platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFault {
-    /// Every call fails.
+    /// Whether every call fails.
     pub down: bool,
-    /// Milliseconds added to every call.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// Writes that take effect and whose answer is lost, counted down.
+    /// Number of next writes that take effect but return an error.
     pub lose_answers: u32,
-    /// Reads are answered from this many revisions ago.
+    /// Number of revisions by which reads lag.
     pub stale: u64,
-    /// Milliseconds by which the list of VMs lags.
+    /// Lag of the list of VMs, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// Calls counted since the start.
+/// Counts calls since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads of one object.
     pub gets: u64,
-    /// Lists.
+    /// Lists of a kind.
     pub lists: u64,
     /// Writes.
     pub puts: u64,
-    /// Watches, each waiting one counted once.
+    /// Watches, counted once however long they wait.
     pub watches: u64,
-    /// Readings of the list of VMs.
+    /// Reads of the list of VMs.
     pub vms: u64,
 }
 
 impl Counts {
-    /// All calls but writes.
+    /// Returns the number of calls other than writes.
     #[must_use]
     pub fn reads(&self) -> u64 {
         self.gets + self.lists + self.watches + self.vms
     }
 }
 
-/// The objects with their whole history, and the list of VMs.
+/// Stores every revision of all objects, and the list of VMs over time.
 #[derive(Debug, Default)]
 pub struct Store {
     history: Vec<Object>,
     vms: Vec<(Time, Vec<Vm>)>,
-    /// How it misbehaves.
+    /// Injected faults.
     pub fault: PlatformFault,
-    /// Calls so far.
+    /// Calls since the start.
     pub counts: Counts,
 }
 
 impl Store {
-    /// The latest revision.
+    /// Returns the latest revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.history.len() as u64
     }
 
-    /// Writes an object if it is at version `expected`.
+    /// Writes an object if it is at version `expected` (0: absent) and returns
+    /// its new version.
     ///
     /// # Errors
     ///
-    /// The platform is down, or the object is at another version.
+    /// The platform is down, the answer is lost by a fault, or the object is at
+    /// another version.
     pub fn put(
         &mut self,
         key: ObjectKey,
@@ -76,7 +78,7 @@
         value: serde_json::Value,
     ) -> Result<u64, PlatformError> {
         self.counts.puts += 1;
-        self.up()?;
+        self.check_up()?;
         let current = self.latest(&key, self.revision()).map_or(0, |o| o.version);
         if current != expected {
             return Err(PlatformError::Conflict { current });
@@ -94,7 +96,7 @@
         Ok(version)
     }
 
-    /// Writes an object as the platform itself does, whatever its faults.
+    /// Writes an object unconditionally, ignoring faults.
     pub fn write(&mut self, key: ObjectKey, value: serde_json::Value) {
         let version = self.peek(&key).map_or(0, |object| object.version) + 1;
         self.history.push(Object {
@@ -104,52 +106,52 @@
         });
     }
 
-    /// The newest state of an object, whatever the faults.
+    /// Returns the latest version of an object, ignoring faults.
     #[must_use]
     pub fn peek(&self, key: &ObjectKey) -> Option<Object> {
         self.latest(key, self.revision()).cloned()
     }
 
-    /// Every object of a kind, whatever the faults.
+    /// Returns the latest version of every object of a kind, ignoring faults.
     #[must_use]
     pub fn peek_all(&self, kind: Kind) -> Vec<Object> {
-        self.newest(kind, self.revision())
+        self.latest_all(kind, self.revision())
     }
 
-    /// Reads one object.
+    /// Returns one object, or `None` if it does not exist.
     ///
     /// # Errors
     ///
     /// The platform is down.
     pub fn get(&mut self, key: &ObjectKey) -> Result<Option<Object>, PlatformError> {
         self.counts.gets += 1;
-        self.up()?;
-        Ok(self.latest(key, self.readable()).cloned())
+        self.check_up()?;
+        Ok(self.latest(key, self.visible_revision()).cloned())
     }
 
-    /// Reads all objects of a kind.
+    /// Returns all objects of a kind.
     ///
     /// # Errors
     ///
     /// The platform is down.
     pub fn list(&mut self, kind: Kind) -> Result<Listing, PlatformError> {
         self.counts.lists += 1;
-        self.up()?;
-        let revision = self.readable();
+        self.check_up()?;
+        let revision = self.visible_revision();
         Ok(Listing {
-            objects: self.newest(kind, revision),
+            objects: self.latest_all(kind, revision),
             revision,
         })
     }
 
-    /// Changes of a kind after `revision`, without waiting.
+    /// Returns the changes of a kind after `revision`, without waiting.
     ///
     /// # Errors
     ///
     /// The platform is down.
     pub fn changes(&self, kind: Kind, revision: u64) -> Result<Changes, PlatformError> {
-        self.up()?;
-        let until = self.readable();
+        self.check_up()?;
+        let until = self.visible_revision();
         let from = revision.min(until) as usize;
         let objects = self.history[from..until as usize]
             .iter()
@@ -167,14 +169,14 @@
         self.vms.push((now, vms));
     }
 
-    /// Reads the lagging list of VMs.
+    /// Returns the list of VMs as of `lag_ms` ago.
     ///
     /// # Errors
     ///
     /// The platform is down.
     pub fn vms(&mut self, now: Time) -> Result<Vec<Vm>, PlatformError> {
         self.counts.vms += 1;
-        self.up()?;
+        self.check_up()?;
         let lag = std::time::Duration::from_millis(self.fault.lag_ms);
         let seen = self.vms.iter().rev().find(|(at, _)| *at + lag <= now);
         let first = self.vms.first();
@@ -184,7 +186,7 @@
             .unwrap_or_default())
     }
 
-    /// The list of VMs as it truly is.
+    /// Returns the current list of VMs, ignoring faults.
     #[must_use]
     pub fn true_vms(&self) -> Vec<Vm> {
         self.vms
@@ -193,27 +195,30 @@
             .unwrap_or_default()
     }
 
-    fn up(&self) -> Result<(), PlatformError> {
+    fn check_up(&self) -> Result<(), PlatformError> {
         if self.fault.down {
             return Err(PlatformError::Unavailable);
         }
         Ok(())
     }
 
-    fn readable(&self) -> u64 {
+    /// Returns the latest revision that reads can see.
+    fn visible_revision(&self) -> u64 {
         self.revision().saturating_sub(self.fault.stale)
     }
 
-    fn newest(&self, kind: Kind, revision: u64) -> Vec<Object> {
-        let mut newest: BTreeMap<&ObjectKey, &Object> = BTreeMap::new();
+    /// Returns the objects of a kind as of `revision`.
+    fn latest_all(&self, kind: Kind, revision: u64) -> Vec<Object> {
+        let mut latest: BTreeMap<&ObjectKey, &Object> = BTreeMap::new();
         for object in &self.history[..revision as usize] {
             if object.key.kind == kind {
-                newest.insert(&object.key, object);
+                latest.insert(&object.key, object);
             }
         }
-        newest.into_values().cloned().collect()
+        latest.into_values().cloned().collect()
     }
 
+    /// Returns an object as of `revision`.
     fn latest(&self, key: &ObjectKey, revision: u64) -> Option<&Object> {
         self.history[..revision as usize]
             .iter()
--- a/crates/fake/src/target/calls.rs
+++ b/crates/fake/src/target/calls.rs
@@ -1,4 +1,4 @@
-//! What a leaf does with each call.
+//! HTTP handlers of the simulated leaf.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -52,6 +52,7 @@
     deadline_ms: u64,
 }
 
+/// Runs a query call and returns one row per shard.
 async fn query(inner: &Inner, body: &[u8]) -> Reply {
     let Ok(call) = serde_json::from_slice::<QueryCall>(body) else {
         return reply(
@@ -59,20 +60,20 @@
             &json!({ "error": "not a query call" }),
         );
     };
-    count_late(inner);
-    thaw(inner).await;
+    count_late_call(inner);
+    wait_unfrozen(inner).await;
     if inner.config.borrow().closed {
         return refuse(inner, "draining");
     }
     if !holds(inner, &call) {
         return refuse(inner, "no_snapshot");
     }
-    let Some(_slot) = slot(inner, call.deadline_ms).await else {
+    let Some(_slot) = acquire_slot(inner, call.deadline_ms).await else {
         return refuse(inner, "shed");
     };
     sleep(inner.service_time()).await;
-    thaw(inner).await;
-    // Gone while it ran: the answer would be of no version at all.
+    wait_unfrozen(inner).await;
+    // The shards may have been unloaded while the call ran.
     if !holds(inner, &call) {
         return refuse(inner, "no_snapshot");
     }
@@ -88,10 +89,11 @@
     reply(StatusCode::OK, &body)
 }
 
+/// Reports whether the leaf holds all shards of the call at its index version.
 fn holds(inner: &Inner, call: &QueryCall) -> bool {
     let config = inner.config.borrow();
-    let held = config.shards.get(&call.version);
-    held.is_some_and(|held| call.shards.iter().all(|shard| held.contains(shard)))
+    let shards = config.shards.get(&call.version);
+    shards.is_some_and(|held| call.shards.iter().all(|shard| held.contains(shard)))
 }
 
 #[derive(Deserialize)]
@@ -106,6 +108,7 @@
     id: String,
 }
 
+/// Applies a submission and counts it by its `id`.
 async fn submit(inner: &Inner, body: &[u8]) -> Reply {
     let Ok(call) = serde_json::from_slice::<SubmitCall<'_>>(body) else {
         return reply(
@@ -113,16 +116,16 @@
             &json!({ "error": "not a submit call" }),
         );
     };
-    count_late(inner);
-    thaw(inner).await;
+    count_late_call(inner);
+    wait_unfrozen(inner).await;
     if inner.config.borrow().closed {
         return refuse(inner, "draining");
     }
-    let Some(_slot) = slot(inner, call.deadline_ms).await else {
+    let Some(_slot) = acquire_slot(inner, call.deadline_ms).await else {
         return refuse(inner, "shed");
     };
     sleep(inner.service_time()).await;
-    thaw(inner).await;
+    wait_unfrozen(inner).await;
     let id = serde_json::from_str::<Identified>(call.body.get()).map(|i| i.id);
     let id = id.unwrap_or_else(|_| call.body.get().to_owned());
     *lock(&inner.ledger).applied.entry(id).or_default() += 1;
@@ -135,14 +138,14 @@
     )
 }
 
-/// Waits while the leaf is frozen.
-async fn thaw(inner: &Inner) {
+/// Waits until the leaf is not frozen.
+async fn wait_unfrozen(inner: &Inner) {
     let mut config = inner.config.subscribe();
     let _ = config.wait_for(|config| !config.frozen).await;
 }
 
-/// A slot, unless too many wait or the deadline is over first.
-async fn slot(inner: &Inner, deadline_ms: u64) -> Option<tokio::sync::SemaphorePermit<'_>> {
+/// Acquires a slot; `None` if the queue is full or the deadline expires first.
+async fn acquire_slot(inner: &Inner, deadline_ms: u64) -> Option<tokio::sync::SemaphorePermit<'_>> {
     if let Ok(slot) = inner.slots.try_acquire() {
         return Some(slot);
     }
@@ -154,15 +157,16 @@
         .ok()
 }
 
-/// A call that waits for a slot.
+/// Counts a call that waits for a slot, until dropped.
 struct Waiting<'a>(&'a Inner);
 
 impl<'a> Waiting<'a> {
+    /// Joins the queue; `None` if it is full.
     fn enter(inner: &'a Inner) -> Option<Self> {
-        let most = inner.config.borrow().queue;
+        let limit = inner.config.borrow().queue;
         let waiting = inner.waiting.fetch_add(1, Ordering::Relaxed);
         let entered = Self(inner);
-        (waiting < most).then_some(entered)
+        (waiting < limit).then_some(entered)
     }
 }
 
@@ -172,13 +176,15 @@
     }
 }
 
-fn count_late(inner: &Inner) {
-    let left = *lock(&inner.left);
-    if left.is_some_and(|at| at.elapsed() > LEAVE_GRACE) {
+/// Counts a call that came after [`LEAVE_GRACE`] had passed.
+fn count_late_call(inner: &Inner) {
+    let left_at = *lock(&inner.left_at);
+    if left_at.is_some_and(|at| at.elapsed() > LEAVE_GRACE) {
         lock(&inner.ledger).late_calls += 1;
     }
 }
 
+/// Reports health, load and index versions; inverted if the config says `lies`.
 fn state(inner: &Inner) -> Reply {
     let config = inner.config.borrow();
     let busy = inner.slot_count - inner.slots.available_permits();
@@ -193,9 +199,10 @@
     reply(StatusCode::OK, &body)
 }
 
-fn refuse(inner: &Inner, why: &str) -> Reply {
+/// Refuses a call that has not been run.
+fn refuse(inner: &Inner, reason: &str) -> Reply {
     lock(&inner.ledger).refused += 1;
-    let body = json!({ "not_run": true, "refused": why });
+    let body = json!({ "not_run": true, "refused": reason });
     reply(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
--- a/crates/fake/src/target/mod.rs
+++ b/crates/fake/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a leaf.
+//! Simulated leaf: a back-end server with configurable latency and faults.
 
 mod calls;
 
@@ -31,37 +31,37 @@
     time::sleep,
 };
 
-use crate::{LeafSpec, Silence, gate::Gated};
+use crate::{LeafSpec, Silence, gate::GatedStream};
 
-/// How a leaf behaves. All of it can be changed while it runs.
+/// Configures a simulated leaf; can be changed while it runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetConfig {
-    /// Median milliseconds of a call.
+    /// Median service time of a call, in milliseconds.
     pub median_ms: f64,
-    /// Share of calls that straggle.
+    /// Fraction of calls that are stragglers.
     pub straggle: f64,
-    /// Factor on the time of a straggler.
+    /// Factor on the service time of stragglers.
     pub factor: f64,
-    /// Factor on every call: a slow leaf.
+    /// Factor on the service time of every call.
     pub slow: f64,
-    /// Calls that wait for a slot before others are shed.
+    /// Maximum number of calls that wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Milliseconds to open a connection.
+    /// Time to open a connection, in milliseconds.
     pub open_ms: u64,
-    /// Connections accepted.
+    /// Maximum open connections.
     pub connections: usize,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is draining.
     pub draining: bool,
-    /// Whether it refuses new work, draining.
+    /// Whether it refuses new calls with the reason `draining`.
     pub closed: bool,
-    /// Whether submissions take effect and their answer is lost.
+    /// Whether submissions take effect but are never answered.
     pub lose_answers: bool,
-    /// Whether its health and load endpoint tells the opposite of the truth.
+    /// Whether its state endpoint reports inverted health and load.
     pub lies: bool,
-    /// Whether calls wait until this turns false.
+    /// Whether calls block until this is cleared.
     pub frozen: bool,
-    /// Shards it holds, by index version.
+    /// Shards that it holds, by index version.
     pub shards: BTreeMap<IndexVersion, Vec<ShardName>>,
 }
 
@@ -85,24 +85,25 @@
     }
 }
 
-/// What a leaf has done, by its own account.
+/// Counters of a simulated leaf.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLedger {
-    /// Query calls run.
+    /// Query calls completed.
     pub queries: u64,
-    /// Calls refused unrun.
+    /// Calls refused without running them.
     pub refused: u64,
-    /// Times that each submission took effect, by its `id` field.
+    /// Number of times each submission took effect, by its `id` field.
     pub applied: BTreeMap<String, u64>,
-    /// Connections open now.
+    /// Open connections.
     pub connections: usize,
-    /// Most connections open at once.
+    /// Peak number of open connections.
     pub connections_peak: usize,
-    /// Calls that came while the leaf was closed or draining, after a grace of
-    /// three seconds from the change.
+    /// Calls received while draining or closed, later than three seconds after
+    /// that began.
     pub late_calls: u64,
 }
 
+/// State shared by all connections.
 struct Inner {
     id: LeafId,
     config: watch::Sender<TargetConfig>,
@@ -110,19 +111,18 @@
     slot_count: usize,
     ledger: Mutex<TargetLedger>,
     silences: Mutex<Vec<Silence>>,
-    left: Mutex<Option<tokio::time::Instant>>,
-    draws: AtomicU64,
+    left_at: Mutex<Option<tokio::time::Instant>>,
+    rng_count: AtomicU64,
     waiting: AtomicUsize,
 }
 
-/// Grace after a leaf starts leaving, within which new calls are not counted
-/// against the tier.
+/// Time after a leaf begins to drain or closes, within which calls are not late:
+/// entries need it to learn of the change.
 const LEAVE_GRACE: Duration = Duration::from_secs(3);
-/// Spread of the time of a call around its median: one standard deviation of
-/// its logarithm.
-const SPREAD: f64 = 0.25;
+/// Standard deviation of the logarithm of the service time (log-normal).
+const LOG_STD_DEV: f64 = 0.25;
 
-/// The stand-in for a leaf. Dropping it ends it and closes its connections.
+/// Simulated leaf, stopped on drop along with its connections.
 pub struct TargetServer {
     inner: Arc<Inner>,
     address: SocketAddr,
@@ -140,7 +140,7 @@
 type Reply = Response<Full<Bytes>>;
 
 impl TargetServer {
-    /// Serves the leaf `id` with `slots` slots.
+    /// Starts the leaf `id` that runs up to `slots` calls concurrently.
     ///
     /// # Errors
     ///
@@ -160,8 +160,8 @@
             slot_count: slots as usize,
             ledger: Mutex::new(TargetLedger::default()),
             silences: Mutex::new(Vec::new()),
-            left: Mutex::new(None),
-            draws: AtomicU64::new(1),
+            left_at: Mutex::new(None),
+            rng_count: AtomicU64::new(1),
             waiting: AtomicUsize::new(0),
         });
         let connections = Arc::new(watch::Sender::new(()));
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Serves a leaf of a world.
+    /// Starts a leaf of a deployment.
     ///
     /// # Errors
     ///
@@ -190,31 +190,31 @@
         Self::bind(leaf.id.clone(), leaf.address, leaf.slots, config).await
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Changes the configuration.
     pub fn change(&self, change: impl FnOnce(&mut TargetConfig)) {
         self.inner.change(change);
     }
 
-    /// What it has done.
+    /// Returns the counters.
     #[must_use]
     pub fn ledger(&self) -> TargetLedger {
         lock(&self.inner.ledger).clone()
     }
 
-    /// Silences every connection that is open now; new ones work.
+    /// Makes every open connection unresponsive; new ones work.
     pub fn silence(&self) {
         for silence in lock(&self.inner.silences).drain(..) {
             silence.fall();
         }
     }
 
-    /// Waits until the server ends, which it does not by itself.
+    /// Runs the server; it does not end by itself.
     pub async fn run(mut self) {
         let _ = (&mut self.task).await;
     }
@@ -224,69 +224,72 @@
     fn change(&self, change: impl FnOnce(&mut TargetConfig)) {
         self.config.send_modify(change);
         let config = self.config.borrow();
-        let mut left = lock(&self.left);
+        let mut left_at = lock(&self.left_at);
         if config.draining || config.closed {
-            left.get_or_insert_with(tokio::time::Instant::now);
+            left_at.get_or_insert_with(tokio::time::Instant::now);
         } else {
-            *left = None;
+            *left_at = None;
         }
     }
 
+    /// Returns a new generator, seeded by the leaf and a counter.
     fn rng(&self) -> ChaCha8Rng {
-        let mut seed = seed_of(self.id.as_str());
-        seed ^= self.draws.fetch_add(1, Ordering::Relaxed);
+        let mut seed = fnv1a(self.id.as_str());
+        seed ^= self.rng_count.fetch_add(1, Ordering::Relaxed);
         ChaCha8Rng::seed_from_u64(seed)
     }
 
-    /// The time of one call.
+    /// Draws the service time of one call.
     fn service_time(&self) -> Duration {
         let config = self.config.borrow();
         let mut rng = self.rng();
-        let mut ms = config.median_ms * (SPREAD * normal(&mut rng)).exp() * config.slow;
-        if unit(&mut rng) < config.straggle {
+        let mut ms = config.median_ms * (LOG_STD_DEV * normal(&mut rng)).exp() * config.slow;
+        if uniform(&mut rng) < config.straggle {
             ms *= config.factor;
         }
         Duration::from_secs_f64(ms / 1e3)
     }
 }
 
-fn seed_of(text: &str) -> u64 {
+/// Computes the 64-bit FNV-1a hash.
+fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-fn unit(rng: &mut impl Rng) -> f64 {
+/// Draws uniformly from [0, 1).
+fn uniform(rng: &mut impl Rng) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A standard normal draw, by the Box-Muller transform.
+/// Draws from the standard normal distribution (Box-Muller transform).
 fn normal(rng: &mut impl Rng) -> f64 {
-    let radius = (-2.0 * (1.0 - unit(rng)).ln()).sqrt();
-    radius * (std::f64::consts::TAU * unit(rng)).cos()
+    let radius = (-2.0 * (1.0 - uniform(rng)).ln()).sqrt();
+    radius * (std::f64::consts::TAU * uniform(rng)).cos()
 }
 
-async fn accept(listener: TcpListener, inner: Arc<Inner>, end: Arc<watch::Sender<()>>) {
+async fn accept(listener: TcpListener, inner: Arc<Inner>, close: Arc<watch::Sender<()>>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let most = inner.config.borrow().connections;
+        let limit = inner.config.borrow().connections;
         {
             let mut ledger = lock(&inner.ledger);
-            if ledger.connections >= most {
-                // Refused by closing it: the other end sees that nothing ran.
+            if ledger.connections >= limit {
+                // Closing it at once shows the peer that no call has run.
                 continue;
             }
             ledger.connections += 1;
             ledger.connections_peak = ledger.connections_peak.max(ledger.connections);
         }
-        let (inner, mut end) = (inner.clone(), end.subscribe());
+        let (inner, mut close) = (inner.clone(), close.subscribe());
         tokio::spawn(async move {
             tokio::select! {
                 () = serve(stream, inner.clone()) => {}
-                _ = end.changed() => {}
+                _ = close.changed() => {}
             }
             lock(&inner.ledger).connections -= 1;
         });
@@ -302,7 +305,7 @@
         let mut silences = lock(&inner.silences);
         silences.push(silence.clone());
     }
-    let stream = Gated { stream, silence };
+    let stream = GatedStream { stream, silence };
     let service = service_fn(move |request| {
         let inner = inner.clone();
         async move { Ok::<_, std::convert::Infallible>(calls::handle(&inner, request).await) }
--- a/crates/fake/src/world.rs
+++ b/crates/fake/src/world.rs
@@ -1,4 +1,4 @@
-//! A deployment, as the stand-ins and tests need it.
+//! Description of a deployment, as the simulators, the demo and tests use it.
 
 use std::{
     collections::BTreeMap,
@@ -16,7 +16,7 @@
 use displaydoc::Display;
 use serde::Deserialize;
 
-/// Why a world can't be read.
+/// Errors from reading a deployment description.
 #[derive(Debug, Display)]
 pub enum WorldError {
     /// can't read {0}: {1}
@@ -27,63 +27,63 @@
 
 impl std::error::Error for WorldError {}
 
-/// A service of a world.
+/// Describes a service and its leafs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
     /// Shards of its first index version.
     pub shards: u32,
-    /// Leafs that hold each shard.
+    /// Leafs that hold a copy of each shard.
     pub replicas: u32,
-    /// Leafs in all. Leaf `n` is in domain `n` modulo their number, and shard
-    /// `s` is on leafs `s * replicas`, `s * replicas + 1`, ... modulo `leafs`.
+    /// Number of leafs. Leaf `n` is in domain `n % domains`, and shard
+    /// `s` is on leafs `(s * replicas + r) % leafs` for each replica `r`.
     pub leafs: u32,
-    /// Requests that a leaf runs at once.
+    /// Requests that a leaf runs concurrently.
     pub slots: u32,
-    /// Connections that a leaf accepts.
+    /// Maximum connections of a leaf.
     pub connections: u32,
-    /// Milliseconds to open a connection.
+    /// Time to open a connection, in milliseconds.
     pub open_ms: u64,
-    /// Median milliseconds of a call.
+    /// Median service time of a call, in milliseconds.
     pub median_ms: f64,
-    /// Leafs in one group; must be a multiple of `replicas`.
+    /// Leafs per group; must be a multiple of `replicas`.
     pub group: u32,
-    /// Port of the first leaf.
+    /// Port of the first leaf; the others follow in order.
     pub port: u16,
 }
 
-/// An entry of a world.
+/// Describes an entry: a process of the tier that callers connect to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySpec {
-    /// Its name.
+    /// Name of the entry in the membership.
     pub member: MemberId,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainName,
-    /// Where it listens for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where it listens for operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where it listens for peers.
+    /// Listen address for peers.
     pub peers: SocketAddr,
 }
 
-/// A deployment.
+/// Describes a deployment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct World {
-    /// Its failure domains.
+    /// Failure domains.
     pub domains: Vec<DomainName>,
-    /// Address at which the leafs listen.
+    /// Listen address of the leafs.
     #[serde(default = "loopback")]
     pub host: IpAddr,
-    /// Where the platform listens.
+    /// Listen address of the platform.
     pub platform: SocketAddr,
-    /// Its services.
+    /// Services.
     pub service: Vec<ServiceSpec>,
-    /// Its entries.
+    /// Entries.
     pub entry: Vec<EntrySpec>,
 }
 
@@ -91,51 +91,51 @@
     IpAddr::V4(Ipv4Addr::LOCALHOST)
 }
 
-/// A leaf of a world, with the shards that it holds.
+/// Describes a leaf: a back-end process that answers queries for its shards.
 #[derive(Clone, Debug)]
 pub struct LeafSpec {
-    /// Its name.
+    /// Name of the leaf.
     pub id: LeafId,
-    /// Its service.
+    /// Service it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum connections.
     pub connections: u32,
     /// Time to open a connection.
     pub open: Duration,
-    /// Median time of a call.
+    /// Median service time of a call.
     pub median: Duration,
-    /// Shards of index version 1 that it holds.
+    /// Shards that it holds of index version 1.
     pub shards: Vec<ShardName>,
 }
 
 impl World {
-    /// Reads a world from a TOML file.
+    /// Reads a deployment description from a TOML file.
     ///
     /// # Errors
     ///
-    /// The file can't be read or is not a world.
+    /// The file can't be read or is not a valid description.
     pub fn open(path: &Path) -> Result<Self, WorldError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| WorldError::Read(name.clone(), e))?;
         Self::parse(&text).map_err(|e| WorldError::Parse(name, e))
     }
 
-    /// Parses a world.
+    /// Parses a deployment description in TOML.
     ///
     /// # Errors
     ///
-    /// The text is not a world.
+    /// The text is not a valid description.
     pub fn parse(text: &str) -> Result<Self, String> {
         toml::from_str(text).map_err(|e| e.to_string())
     }
 
-    /// All leafs.
+    /// Returns the leafs of all services.
     #[must_use]
     pub fn leafs(&self) -> Vec<LeafSpec> {
         self.service.iter().flat_map(|s| self.leafs_of(s)).collect()
@@ -167,21 +167,21 @@
             .collect()
     }
 
-    /// The service and layout objects that the platform holds at first.
+    /// Returns the initial service and layout objects of the platform.
     #[must_use]
     pub fn objects(&self) -> Vec<(ObjectKey, serde_json::Value)> {
         let mut objects = Vec::new();
         for spec in &self.service {
             let versions = vec![IndexVersion(1)];
             let service = self.service_object(spec, versions);
-            objects.push(plain(Kind::Service, spec.name.as_str(), &service));
+            objects.push(keyed(Kind::Service, spec.name.as_str(), &service));
             let layout = layout_of(spec, IndexVersion(1), spec.shards);
-            objects.push(plain(Kind::Layout, &format!("{}.1", spec.name), &layout));
+            objects.push(keyed(Kind::Layout, &format!("{}.1", spec.name), &layout));
         }
         objects
     }
 
-    /// The service object with the given index versions.
+    /// Returns the service object with the given index versions.
     #[must_use]
     pub fn service_object(&self, spec: &ServiceSpec, versions: Vec<IndexVersion>) -> Service {
         let mut leafs = BTreeMap::new();
@@ -198,7 +198,7 @@
         Service { leafs, versions }
     }
 
-    /// The platform's list of VMs, everything alive.
+    /// Returns the platform's list of VMs, with all entries and leafs running.
     #[must_use]
     pub fn vms(&self) -> Vec<Vm> {
         let entries = self.entry.iter().map(|entry| Vm {
@@ -218,7 +218,7 @@
         entries.chain(leafs).collect()
     }
 
-    /// Settings of one entry, as TOML.
+    /// Returns the settings of an entry, as TOML.
     #[must_use]
     pub fn settings_of(&self, entry: &EntrySpec) -> String {
         format!(
@@ -230,7 +230,7 @@
     }
 }
 
-/// The layout of `shards` shards of a service for an index version.
+/// Returns the layout of an index version: which leafs hold each of `shards` shards.
 #[must_use]
 pub fn layout_of(spec: &ServiceSpec, version: IndexVersion, shards: u32) -> Layout {
     let shard = |s: u32| LayoutShard {
@@ -252,7 +252,8 @@
     LeafId::new(format!("{}-l{n:03}", spec.name)).expect("a legal name")
 }
 
-fn plain<T: serde::Serialize>(kind: Kind, name: &str, value: &T) -> (ObjectKey, serde_json::Value) {
+/// Returns the key and the JSON value of an object.
+fn keyed<T: serde::Serialize>(kind: Kind, name: &str, value: &T) -> (ObjectKey, serde_json::Value) {
     let key = ObjectKey {
         kind,
         name: name.to_owned(),
