--- a/crates/fake/tests/bound.rs
+++ b/crates/fake/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The most that any policy could serve.
+//! Upper bound on what any routing policy could serve.
 
 use chestnut_fake::bound::{ClassShape, Deployment, Shards, Span};
 use rstest::rstest;
@@ -19,7 +19,7 @@
     }
 }
 
-const SOUND: Shards = Shards {
+const HEALTHY: Shards = Shards {
     count: 10,
     slots: 2.0,
     sound: 3.0,
@@ -39,28 +39,26 @@
     }
 }
 
-fn one(count: u32, sound: f64, faulty: f64, fails: f64) -> Shards {
+fn group(count: u32, sound: f64, faulty: f64, fails: f64) -> Shards {
     Shards {
         count,
         sound,
         faulty,
         fails,
-        ..SOUND
+        ..HEALTHY
     }
 }
 
-/// What each span allows: sound leafs serve all; without power nothing is served; a
-/// shard that is gone can be left out, if the answer may lack it; a sound leaf of 200
-/// calls a second has room for all; where all leafs refuse three calls of five, a
-/// fifth of extra calls brings 0.48 of the parts, and as much of the answers.
+/// Guards against a bound that ignores leaf capacity, minimum coverage or the budget
+/// for extra calls: with 0.6 of calls refused, 1.2 calls per request answer 0.48.
 #[rstest]
-#[case::sound(0.9, vec![SOUND], 1.0)]
-#[case::one_gone(0.9, vec![one(9, 3.0, 0.0, 0.0), one(1, 0.0, 0.0, 0.0)], 0.81)]
-#[case::one_needed(1.0, vec![one(9, 3.0, 0.0, 0.0), one(1, 0.0, 0.0, 0.0)], 0.0)]
-#[case::one_sound_leaf_each(0.9, vec![one(10, 1.0, 2.0, 0.6)], 1.0)]
-#[case::all_refuse(1.0, vec![one(10, 0.0, 3.0, 0.6)], 0.48)]
-#[case::half_a_slot(1.0, vec![one(10, 0.25, 0.0, 0.0)], 0.5)]
-fn a_span_is_bounded_by_what_its_leafs_can_do(
+#[case::healthy(0.9, vec![HEALTHY], 1.0)]
+#[case::one_shard_lost(0.9, vec![group(9, 3.0, 0.0, 0.0), group(1, 0.0, 0.0, 0.0)], 0.81)]
+#[case::lost_shard_needed(1.0, vec![group(9, 3.0, 0.0, 0.0), group(1, 0.0, 0.0, 0.0)], 0.0)]
+#[case::one_healthy_leaf_each(0.9, vec![group(10, 1.0, 2.0, 0.6)], 1.0)]
+#[case::all_refuse(1.0, vec![group(10, 0.0, 3.0, 0.6)], 0.48)]
+#[case::half_the_capacity(1.0, vec![group(10, 0.25, 0.0, 0.0)], 0.5)]
+fn the_bound_follows_from_the_capacity_of_the_leafs(
     #[case] least: f64,
     #[case] shards: Vec<Shards>,
     #[case] expected: f64,
@@ -69,24 +67,25 @@
     assert!((rows[0].bound - expected).abs() < 0.01, "{rows:?}");
 }
 
+/// Guards against counting requests that arrive while no entry runs.
 #[test]
-fn what_arrives_without_power_is_lost() {
-    let dark = Span {
+fn requests_arriving_while_no_entry_runs_are_lost() {
+    let outage = Span {
         dark: 1.5,
-        ..span(vec![SOUND])
+        ..span(vec![HEALTHY])
     };
-    let rows = deployment(0.9, dark).bounds();
+    let rows = deployment(0.9, outage).bounds();
     assert!((rows[0].bound - 0.25).abs() < 1e-9, "{rows:?}");
 }
 
-/// Leafs whose calls take longer than the goal serve nobody in time.
+/// Guards against counting answers that come after the latency objective.
 #[test]
-fn leafs_that_are_too_slow_count_for_nothing() {
+fn leafs_slower_than_the_objective_add_nothing() {
     let slow = |times| Shards {
         sound: 0.0,
         slow: 3.0,
         times,
-        ..SOUND
+        ..HEALTHY
     };
     let bound = |times| deployment(1.0, span(vec![slow(times)])).bounds()[0].bound;
     assert!((bound(5.0) - 1.0).abs() < 1e-9);
--- a/crates/fake/tests/examples.rs
+++ b/crates/fake/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The shipped examples hold together.
+//! Checks that the shipped examples are valid.
 
 use std::path::{Path, PathBuf};
 
@@ -13,6 +13,7 @@
         .join(name)
 }
 
+/// Guards against an example that the entries would reject.
 #[rstest]
 #[case("flipperhouse")]
 #[case("pollen")]
@@ -41,10 +42,11 @@
     assert!(checked >= 4);
 }
 
+/// Guards against accidental changes to the size of an example.
 #[rstest]
 #[case("flipperhouse", 94)]
 #[case("pollen", 105)]
-fn worlds_have_the_sizes_of_the_brief(#[case] name: &str, #[case] leafs: usize) {
+fn examples_have_the_expected_sizes(#[case] name: &str, #[case] leafs: usize) {
     let world = World::open(&folder(name).join("world.toml")).unwrap();
     assert_eq!(world.domains.len(), 3);
     assert_eq!(world.entry.len(), 7);
--- a/crates/fake/tests/membership.rs
+++ b/crates/fake/tests/membership.rs
@@ -1,9 +1,9 @@
-//! Membership over a lossy network, in virtual time.
+//! Membership protocol over a lossy network, in virtual time.
 
 use chestnut_fake::membership::{MembershipConfig, measure};
 use rstest::rstest;
 
-const CALM: MembershipConfig = MembershipConfig {
+const NO_FAULTS: MembershipConfig = MembershipConfig {
     members: 50,
     loss: 0.0,
     death: false,
@@ -11,52 +11,54 @@
     seed: 1,
 };
 
-/// Control traffic of a member, in bytes a second, that must not be passed.
+/// Maximum control traffic per member, in bytes per second.
 const BYTES_MAX: f64 = 3000.0;
 
-/// Suspicions raised by lost datagrams filled all messages, and refutations
-/// came too late: hundreds of members were taken for gone.
+/// Guards against suspicions from lost datagrams crowding out refutations, which
+/// declared live members dead.
 #[rstest]
-fn loss_makes_no_false_deaths(#[values(7, 50, 150)] members: usize) {
+fn packet_loss_causes_no_false_deaths(#[values(7, 50, 150)] members: usize) {
     let report = measure(MembershipConfig {
         members,
         loss: 0.1,
-        ..CALM
+        ..NO_FAULTS
     });
     assert_eq!(report.false_deaths, 0);
     assert!(report.bytes < BYTES_MAX, "{report:?}");
 }
 
+/// Guards against slow or incomplete failure detection.
 #[rstest]
-fn a_death_is_known_everywhere(#[values(7, 50, 150)] members: usize) {
+fn a_death_is_detected_by_every_member(#[values(7, 50, 150)] members: usize) {
     let report = measure(MembershipConfig {
         members,
         death: true,
-        ..CALM
+        ..NO_FAULTS
     });
     let known = report.known.expect("every member knows");
     assert!(known <= 5.0, "{report:?}");
     assert_eq!(report.false_deaths, 0);
 }
 
-/// A member that stops for five seconds may be given up meanwhile, but is a
-/// member again everywhere when it is back.
+/// Guards against a member that freezes for five seconds staying excluded by
+/// others after it resumes.
 #[rstest]
-fn a_freeze_is_forgiven(#[values(7, 50, 150)] members: usize) {
+fn a_frozen_member_is_readmitted_everywhere(#[values(7, 50, 150)] members: usize) {
     let report = measure(MembershipConfig {
         members,
         freeze: true,
-        ..CALM
+        ..NO_FAULTS
     });
     assert_eq!(report.lasting, 0, "{report:?}");
 }
 
+/// Guards against control traffic per member that grows with the cluster.
 #[test]
-fn traffic_does_not_grow_with_the_fleet() {
-    let small = measure(CALM);
+fn traffic_per_member_does_not_grow_with_cluster_size() {
+    let small = measure(NO_FAULTS);
     let large = measure(MembershipConfig {
         members: 200,
-        ..CALM
+        ..NO_FAULTS
     });
     assert!(large.bytes < small.bytes * 1.1, "{small:?} {large:?}");
 }
--- a/crates/fake/tests/silence.rs
+++ b/crates/fake/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Silent connections over real sockets.
+//! Detection of unresponsive connections, over real sockets.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -39,37 +39,35 @@
     (server, targets)
 }
 
-/// The call is told that it was cut off, and the next one is answered.
-/// The open connection falls silent; no error ever comes on it. The call waits,
-/// a second connection is opened, and the first does not answer a small call:
-/// it is closed, though the leaf itself works.
+/// Guards against calls that wait out their deadline on a dead connection to a
+/// healthy leaf: a probe call on it goes unanswered, so it is closed.
 #[tokio::test]
-async fn a_silent_connection_is_found_and_replaced() {
+async fn an_unresponsive_connection_is_detected_and_replaced() {
     let (server, targets) = start().await;
     targets
         .query(call(&server))
         .await
         .expect("the leaf answers");
     server.silence();
-    let caught = targets.query(call(&server)).await;
-    assert_eq!(caught, Err(Failure::ConnectionSilent));
+    let cut_off = targets.query(call(&server)).await;
+    assert_eq!(cut_off, Err(Failure::ConnectionSilent));
     let next = targets.query(call(&server)).await;
     assert!(next.is_ok(), "{next:?}");
 }
 
-/// A leaf that is slow keeps its connection: it answers the small call.
+/// Guards against closing the connection of a slow leaf, which answers the probe.
 #[tokio::test]
-async fn a_slow_leaf_is_not_cut_off() {
+async fn a_slow_leaf_keeps_its_connection() {
     let (server, targets) = start().await;
     server.change(|config| config.median_ms = 400.0);
     let answer = targets.query(call(&server)).await;
     assert!(answer.is_ok(), "{answer:?}");
 }
 
-/// A leaf never sees more connections than it takes, however many calls come
-/// at once and however often connections fall silent.
+/// Guards against exceeding the leaf's connection limit under many concurrent
+/// calls and repeated replacement of unresponsive connections.
 #[tokio::test]
-async fn connections_stay_within_the_share() {
+async fn connections_stay_within_the_limit() {
     let (server, targets) = start().await;
     for _ in 0..4 {
         let calls: Vec<_> = (0..40).map(|_| targets.query(call(&server))).collect();
