--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -6,7 +6,7 @@
 
 use chestnut_book::BookVersion;
 use chestnut_conf::BookDigest;
-use chestnut_quarantine::Report;
+use chestnut_quarantine::SuspectReport;
 use chestnut_unit::{Incarnation, MemberId, Time};
 use probing::Round;
 use rand::Rng;
@@ -98,7 +98,7 @@
     /// Updates about other members.
     pub news: Vec<Member>,
     /// Quarantine reports on requests that crashed leafs.
-    pub cases: Vec<Report>,
+    pub cases: Vec<SuspectReport>,
 }
 
 /// Maximum number of quarantine reports in a message, and in one with more than
@@ -110,7 +110,7 @@
 
 impl Probe {
     /// Attaches as many of the quarantine reports as fit in the message.
-    pub fn carry(&mut self, reports: &[Report]) {
+    pub fn carry(&mut self, reports: &[SuspectReport]) {
         let max_reports = match self.news.len() > CROWDED_UPDATES {
             true => MAX_REPORTS_CROWDED,
             false => MAX_REPORTS,
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -8,7 +8,7 @@
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
 use chestnut_fleet::{Addresses, Heir, Liveness, Member, Probe, ProbeKind};
 use chestnut_once::{Handed, Outcome, Ticket};
-use chestnut_quarantine::{Fingerprint, LeafMark, Report};
+use chestnut_quarantine::{Fingerprint, LeafHash, SuspectReport};
 use chestnut_route::{Failure, Refusal};
 use chestnut_unit::{
     CallType, DomainName, Incarnation, IndexVersion, LeafId, OrgName, Reason, RequestId,
@@ -131,36 +131,36 @@
     from.iter().map(get_member).collect()
 }
 
-fn put_cases(cases: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
+fn put_cases(cases: &[SuspectReport], mut to: struct_list::Builder<'_, schema::case::Owned>) {
     for (at, case) in cases.iter().enumerate() {
         let mut to = to.reborrow().get(at as u32);
-        to.set_what(case.what.0);
-        to.set_cleared_ms(case.cleared.map_or(-1, |age| age.as_millis() as i64));
+        to.set_what(case.fingerprint.0);
+        to.set_cleared_ms(case.answered.map_or(-1, |age| age.as_millis() as i64));
         to.set_episodes(case.episodes);
-        let mut strikes = to.init_strikes(case.strikes.len() as u32);
-        for (at, (leaf, age)) in case.strikes.iter().enumerate() {
-            let mut strike = strikes.reborrow().get(at as u32);
-            strike.set_leaf(leaf.0);
-            strike.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
+        let mut crashes = to.init_strikes(case.crashes.len() as u32);
+        for (at, (leaf, age)) in case.crashes.iter().enumerate() {
+            let mut crash = crashes.reborrow().get(at as u32);
+            crash.set_leaf(leaf.0);
+            crash.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
         }
     }
 }
 
-fn get_cases(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
+fn get_cases(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<SuspectReport>> {
     from.iter().map(get_case).collect()
 }
 
-fn get_case(from: schema::case::Reader<'_>) -> Read<Report> {
-    let strikes = from.get_strikes()?;
-    let strikes = strikes.iter().map(|strike| {
-        let age = Duration::from_millis(u64::from(strike.get_ago_ms()));
-        (LeafMark(strike.get_leaf()), age)
+fn get_case(from: schema::case::Reader<'_>) -> Read<SuspectReport> {
+    let crashes = from.get_strikes()?;
+    let crashes = crashes.iter().map(|crash| {
+        let age = Duration::from_millis(u64::from(crash.get_ago_ms()));
+        (LeafHash(crash.get_leaf()), age)
     });
-    let cleared = u64::try_from(from.get_cleared_ms()).ok();
-    Ok(Report {
-        what: Fingerprint(from.get_what()),
-        cleared: cleared.map(Duration::from_millis),
-        strikes: strikes.collect(),
+    let answered = u64::try_from(from.get_cleared_ms()).ok();
+    Ok(SuspectReport {
+        fingerprint: Fingerprint(from.get_what()),
+        answered: answered.map(Duration::from_millis),
+        crashes: crashes.collect(),
         episodes: from.get_episodes(),
     })
 }
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/cases.rs
@@ -6,7 +6,7 @@
 use chestnut_conf::BookDigest;
 use chestnut_fleet::{Addresses, Member, Probe, ProbeKind};
 use chestnut_port::{ProbeSocket, Probes, probe_size};
-use chestnut_quarantine::{Fingerprint, LeafMark, Report};
+use chestnut_quarantine::{Fingerprint, LeafHash, SuspectReport};
 use chestnut_unit::{Incarnation, MemberId};
 
 /// Largest datagram payload that networks carry without fragmentation.
@@ -31,16 +31,16 @@
     member
 }
 
-fn report(n: u32) -> Report {
-    Report {
-        what: Fingerprint(0xfedc_ba98_7654_3210 ^ u64::from(n)),
-        cleared: n
+fn report(n: u32) -> SuspectReport {
+    SuspectReport {
+        fingerprint: Fingerprint(0xfedc_ba98_7654_3210 ^ u64::from(n)),
+        answered: n
             .is_multiple_of(2)
             .then_some(Duration::from_millis(7_654_321)),
-        strikes: (0..3)
+        crashes: (0..3)
             .map(|at| {
                 (
-                    LeafMark(0xdead_beef ^ (n * 7 + at)),
+                    LeafHash(0xdead_beef ^ (n * 7 + at)),
                     Duration::from_millis(86_399_999),
                 )
             })
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -5,8 +5,8 @@
 use chestnut_unit::Time;
 
 use crate::{
-    Fingerprint, LeafMark, Stand, Strike,
-    case::{EPISODE, MIN_CRASHES, SuspectRecord},
+    Crash, Fingerprint, Handling, LeafHash,
+    record::{EPISODE, MIN_CRASHES, SuspectRecord},
 };
 
 /// Records kept. Beyond it the one with the fewest episodes, then the oldest, is dropped.
@@ -32,23 +32,23 @@
 /// What one entry reports to another about a request. All spans are ages at the time of
 /// sending.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct SuspectReport {
     /// The fingerprint of the request.
-    pub what: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Age of the last answer of a leaf; crashes before it don't count.
-    pub cleared: Option<Duration>,
+    pub answered: Option<Duration>,
     /// The leafs that crashed under it, with the ages of the crashes.
-    pub strikes: Vec<(LeafMark, Duration)>,
+    pub crashes: Vec<(LeafHash, Duration)>,
     /// Episodes in which leafs crashed under it.
     pub episodes: u32,
 }
 
-impl Report {
+impl SuspectReport {
     /// Adds `span` to all ages of the report.
     #[must_use]
     pub fn aged(mut self, span: Duration) -> Self {
-        self.cleared = self.cleared.map(|age| age + span);
-        for (_, age) in &mut self.strikes {
+        self.answered = self.answered.map(|age| age + span);
+        for (_, age) in &mut self.crashes {
             *age += span;
         }
         self
@@ -75,7 +75,7 @@
 /// a single call; it is refused if that crashes its leaf too, in another episode. Entries
 /// gossip their records.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct SuspectLedger {
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// The refused request that was reported last; reporting goes on after it.
     cursor: Option<Fingerprint>,
@@ -91,19 +91,19 @@
     count: u32,
 }
 
-impl Ledger {
-    /// Decides how an arriving request is handled. [`Stand::Trial`] starts its trial call.
-    pub fn admit(&mut self, key: Fingerprint, now: Time) -> Stand {
+impl SuspectLedger {
+    /// Decides how an arriving request is handled. [`Handling::Trial`] starts its trial call.
+    pub fn admit(&mut self, key: Fingerprint, now: Time) -> Handling {
         let now = now + CLOCK_OFFSET;
         let Some(suspect) = self.suspects.get_mut(&key) else {
-            return Stand::Free;
+            return Handling::Free;
         };
         let handling = suspect.record.handling(now);
-        if handling != Stand::Trial {
+        if handling != Handling::Trial {
             return handling;
         }
         if let Some(end) = suspect.cooldown.filter(|end| now < *end) {
-            return Stand::Refused(end.since(now));
+            return Handling::Refused(end.since(now));
         }
         suspect.cooldown = Some(now + TRIAL_INTERVAL);
         handling
@@ -111,35 +111,35 @@
 
     /// Returns how the request would be handled now, without starting a trial call.
     #[must_use]
-    pub fn look(&self, key: Fingerprint, now: Time) -> Stand {
+    pub fn handling(&self, key: Fingerprint, now: Time) -> Handling {
         let suspect = self.suspects.get(&key);
-        suspect.map_or(Stand::Free, |s| s.record.handling(now + CLOCK_OFFSET))
+        suspect.map_or(Handling::Free, |s| s.record.handling(now + CLOCK_OFFSET))
     }
 
     /// Returns whether the request counts as the cause of the crashes under it: it is or
     /// was refused, and no leaf has answered it since.
     #[must_use]
-    pub fn blames(&self, key: Fingerprint) -> bool {
+    pub fn is_blamed(&self, key: Fingerprint) -> bool {
         let suspect = self.suspects.get(&key);
         suspect.is_some_and(|suspect| suspect.record.refused_until().is_some())
     }
 
     /// Returns the report of a request, if it counts as the cause of the crashes under it.
     #[must_use]
-    pub fn verdict(&self, key: Fingerprint, now: Time) -> Option<Report> {
-        let suspect = self.suspects.get(&key).filter(|_| self.blames(key))?;
+    pub fn blame_report(&self, key: Fingerprint, now: Time) -> Option<SuspectReport> {
+        let suspect = self.suspects.get(&key).filter(|_| self.is_blamed(key))?;
         Some(report(key, &suspect.record, now + CLOCK_OFFSET))
     }
 
     /// Records that leafs crashed under a call that no leaf answered. Returns whether the
     /// record changed.
-    pub fn ended(&mut self, key: Fingerprint, leafs: &[LeafMark], now: Time) -> bool {
+    pub fn record_crashes(&mut self, key: Fingerprint, leafs: &[LeafHash], now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
         let suspect = self.suspects.entry(key).or_default();
         let before = suspect.record.refused_until();
         let mut changed = false;
         for leaf in leafs {
-            let crash = Strike {
+            let crash = Crash {
                 leaf: *leaf,
                 at: now,
             };
@@ -156,7 +156,7 @@
     }
 
     /// Records that a leaf answered the request. Returns whether the record changed.
-    pub fn answered(&mut self, key: Fingerprint, now: Time) -> bool {
+    pub fn record_answer(&mut self, key: Fingerprint, now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
         let Some(suspect) = self.suspects.get_mut(&key) else {
             return false;
@@ -171,17 +171,17 @@
     }
 
     /// Merges a report of another entry. Returns whether the record changed.
-    pub fn hear(&mut self, report: &Report, now: Time) -> bool {
+    pub fn merge(&mut self, report: &SuspectReport, now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
-        let suspect = self.suspects.entry(report.what).or_default();
+        let suspect = self.suspects.entry(report.fingerprint).or_default();
         let before = suspect.record.refused_until();
         let mut changed = false;
-        if let Some(age) = report.cleared {
+        if let Some(age) = report.answered {
             changed |= suspect.record.record_answer(now - age);
         }
         let mut current = false;
-        for (leaf, age) in &report.strikes {
-            let crash = Strike {
+        for (leaf, age) in &report.crashes {
+            let crash = Crash {
                 leaf: *leaf,
                 at: now - *age,
             };
@@ -190,16 +190,16 @@
         }
         if current {
             changed |= suspect.record.raise_episodes(report.episodes as usize);
-        } else if !report.strikes.is_empty() {
+        } else if !report.crashes.is_empty() {
             // The sender doesn't know of the later answer: send the record again.
             suspect.sent = suspect.sent.min(SENDS_PER_DIGIT - 1);
         }
         // An expired record that is still gossiped elsewhere would circulate for ever.
         if now >= suspect.record.expires_at() {
-            self.suspects.remove(&report.what);
+            self.suspects.remove(&report.fingerprint);
             return false;
         }
-        self.mark_changed(report.what, changed, before);
+        self.mark_changed(report.fingerprint, changed, before);
         self.drop_excess();
         changed
     }
@@ -207,7 +207,7 @@
     /// Returns the reports for the next message, at most `most`: first changes that start
     /// or end a refusal, then other changes, the least sent first; then refused requests
     /// in turn, so that an entry that starts receives all of them.
-    pub fn tell(&mut self, most: usize, members: usize, now: Time) -> Vec<Report> {
+    pub fn next_reports(&mut self, most: usize, members: usize, now: Time) -> Vec<SuspectReport> {
         let now = now + CLOCK_OFFSET;
         let max_sends = SENDS_PER_DIGIT * (members.max(1).ilog10() + 1);
         let pending = self
@@ -238,7 +238,7 @@
     /// Returns when changes are due to be pushed without waiting for other messages, if
     /// there are any.
     #[must_use]
-    pub fn tell_at(&self) -> Option<Time> {
+    pub fn push_due(&self) -> Option<Time> {
         let mut unsent = self.suspects.values().filter(|suspect| suspect.sent == 0);
         let first = unsent.next()?;
         let urgent = first.urgent || unsent.any(|suspect| suspect.urgent);
@@ -250,7 +250,7 @@
     }
 
     /// Records that changes are pushed now, without waiting for other messages.
-    pub fn telling(&mut self, now: Time) {
+    pub fn record_push(&mut self, now: Time) {
         let pacing = &mut self.pacing;
         if now >= pacing.window_start + PUSH_WINDOW {
             (pacing.window_start, pacing.count) = (now, 0);
@@ -260,7 +260,7 @@
     }
 
     /// Drops expired records.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         let now = now + CLOCK_OFFSET;
         self.suspects
             .retain(|_, suspect| now < suspect.record.expires_at());
@@ -280,10 +280,10 @@
 
     /// Returns the number of requests that are refused now.
     #[must_use]
-    pub fn refused(&self, now: Time) -> usize {
+    pub fn refused_count(&self, now: Time) -> usize {
         let now = now + CLOCK_OFFSET;
         let refused =
-            |suspect: &&Suspect| matches!(suspect.record.handling(now), Stand::Refused(_));
+            |suspect: &&Suspect| matches!(suspect.record.handling(now), Handling::Refused(_));
         self.suspects.values().filter(refused).count()
     }
 
@@ -299,7 +299,7 @@
     /// Returns the next refused request after the one reported last.
     fn next_refused(&mut self, now: Time) -> Option<Fingerprint> {
         let refused = |(_, suspect): &(&Fingerprint, &Suspect)| {
-            matches!(suspect.record.handling(now), Stand::Refused(_))
+            matches!(suspect.record.handling(now), Handling::Refused(_))
         };
         let refused_keys = self.suspects.iter().filter(refused).map(|(key, _)| *key);
         let next = refused_keys
@@ -311,7 +311,7 @@
     }
 
     /// Makes the report of a request and counts it as sent.
-    fn report(&mut self, key: Fingerprint, now: Time) -> Option<Report> {
+    fn report(&mut self, key: Fingerprint, now: Time) -> Option<SuspectReport> {
         let suspect = self.suspects.get_mut(&key)?;
         suspect.sent = suspect.sent.saturating_add(1);
         Some(report(key, &suspect.record, now))
@@ -334,17 +334,17 @@
 }
 
 /// Makes the report of a record, with ages at `now`.
-fn report(key: Fingerprint, record: &SuspectRecord, now: Time) -> Report {
+fn report(key: Fingerprint, record: &SuspectRecord, now: Time) -> SuspectReport {
     let crashes = record.crashes();
     let latest = crashes.len().saturating_sub(REPORT_CRASHES - 1).max(1);
     let chosen = crashes
         .iter()
         .enumerate()
         .filter(|(at, _)| *at == 0 || *at >= latest);
-    Report {
-        what: key,
-        cleared: record.answered_at().map(|at| now.since(at)),
-        strikes: chosen
+    SuspectReport {
+        fingerprint: key,
+        answered: record.answered_at().map(|at| now.since(at)),
+        crashes: chosen
             .map(|(_, crash)| (crash.leaf, now.since(crash.at)))
             .collect(),
         episodes: u32::try_from(record.episodes()).unwrap_or(u32::MAX),
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/record.rs
@@ -8,9 +8,9 @@
 /// A short hash of a leaf id, which tells apart the few leafs that crashed under one
 /// request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LeafMark(pub u32);
+pub struct LeafHash(pub u32);
 
-impl LeafMark {
+impl LeafHash {
     /// Hashes the id of a leaf.
     #[must_use]
     pub fn of(leaf: &LeafId) -> Self {
@@ -23,9 +23,9 @@
 
 /// The crash of a leaf under a request that no leaf had answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct Crash {
     /// The leaf that crashed.
-    pub leaf: LeafMark,
+    pub leaf: LeafHash,
     /// When it crashed. A crash that another entry reported is dated by its age in the
     /// report.
     pub at: Time,
@@ -33,7 +33,7 @@
 
 /// How a request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum Handling {
     /// As any other request.
     Free,
     /// With a single trial call until a leaf has answered one.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SuspectRecord {
     /// In order of time.
-    crashes: Vec<Strike>,
+    crashes: Vec<Crash>,
     /// When a leaf last answered the request; earlier crashes don't count.
     answered_at: Option<Time>,
     /// Episodes counted so far, including those whose crashes were dropped.
@@ -74,7 +74,7 @@
 
 impl SuspectRecord {
     /// Returns the kept crashes in order of time.
-    pub(crate) fn crashes(&self) -> &[Strike] {
+    pub(crate) fn crashes(&self) -> &[Crash] {
         &self.crashes
     }
 
@@ -89,14 +89,14 @@
     }
 
     /// Returns whether a leaf has answered the request since this crash.
-    pub(crate) fn is_superseded(&self, crash: &Strike) -> bool {
+    pub(crate) fn is_superseded(&self, crash: &Crash) -> bool {
         self.answered_at.is_some_and(|answer| crash.at <= answer)
     }
 
     /// Adds a crash. Returns whether the record changed.
-    pub(crate) fn add_crash(&mut self, crash: Strike) -> bool {
+    pub(crate) fn add_crash(&mut self, crash: Crash) -> bool {
         let known =
-            |known: &Strike| known.leaf == crash.leaf && abs_diff(known.at, crash.at) < EPISODE;
+            |known: &Crash| known.leaf == crash.leaf && abs_diff(known.at, crash.at) < EPISODE;
         if self.is_superseded(&crash) || self.crashes.iter().any(known) {
             return false;
         }
@@ -162,13 +162,13 @@
     }
 
     /// Returns how the request is handled at `now`.
-    pub(crate) fn handling(&self, now: Time) -> Stand {
+    pub(crate) fn handling(&self, now: Time) -> Handling {
         if self.crashes.is_empty() {
-            return Stand::Free;
+            return Handling::Free;
         }
         match self.refused_until().filter(|end| now < *end) {
-            Some(end) => Stand::Refused(end.since(now)),
-            None => Stand::Trial,
+            Some(end) => Handling::Refused(end.since(now)),
+            None => Handling::Trial,
         }
     }
 
--- a/crates/quarantine/tests/spread.rs
+++ b/crates/quarantine/tests/spread.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_quarantine::{Fingerprint, LeafMark, Ledger, Report, Stand};
+use chestnut_quarantine::{Fingerprint, Handling, LeafHash, SuspectLedger, SuspectReport};
 use chestnut_unit::Time;
 
 const ENTRIES: usize = 2900;
@@ -30,7 +30,7 @@
 
 /// Gossip among entries, round by round.
 struct Fleet {
-    ledgers: Vec<Ledger>,
+    ledgers: Vec<SuspectLedger>,
     rng: XorShift,
     now: Time,
     /// Bytes of reports that each entry sent.
@@ -40,7 +40,7 @@
 impl Fleet {
     fn new(now: Time) -> Self {
         Self {
-            ledgers: vec![Ledger::default(); ENTRIES],
+            ledgers: vec![SuspectLedger::default(); ENTRIES],
             rng: XorShift(0x9e37_79b9_7f4a_7c15),
             now,
             sent: vec![0; ENTRIES],
@@ -49,13 +49,13 @@
 
     fn round(&mut self) {
         self.now = self.now + INTERVAL;
-        let mut messages: Vec<(usize, Vec<Report>)> = Vec::new();
+        let mut messages: Vec<(usize, Vec<SuspectReport>)> = Vec::new();
         for (at, ledger) in self.ledgers.iter_mut().enumerate() {
-            if ledger.tell_at().is_none_or(|due| due > self.now) {
+            if ledger.push_due().is_none_or(|due| due > self.now) {
                 continue;
             }
-            ledger.telling(self.now);
-            let reports = ledger.tell(MAX_REPORTS, ENTRIES, self.now);
+            ledger.record_push(self.now);
+            let reports = ledger.next_reports(MAX_REPORTS, ENTRIES, self.now);
             self.sent[at] += reports.len() * REPORT_BYTES * FANOUT;
             for _ in 0..FANOUT {
                 if self.rng.below(100) >= LOSS_PERCENT {
@@ -66,18 +66,18 @@
         }
         for (to, reports) in messages {
             for report in &reports {
-                self.ledgers[to].hear(report, self.now);
+                self.ledgers[to].merge(report, self.now);
             }
         }
     }
 
     /// Returns the time until 99.8% of the entries handle the request as `handled` says.
-    fn time_until(&mut self, request: Fingerprint, handled: impl Fn(Stand) -> bool) -> Duration {
+    fn time_until(&mut self, request: Fingerprint, handled: impl Fn(Handling) -> bool) -> Duration {
         let start = self.now;
         for _ in 0..100 {
             self.round();
             let now = self.now;
-            let done = |ledger: &&Ledger| handled(ledger.look(request, now));
+            let done = |ledger: &&SuspectLedger| handled(ledger.handling(request, now));
             if self.ledgers.iter().filter(done).count() * 1000 >= ENTRIES * 998 {
                 return now.since(start);
             }
@@ -89,8 +89,8 @@
     fn crash_harmless(&mut self, count: u64) {
         for number in 0..count {
             let at = self.rng.below(ENTRIES as u64) as usize;
-            let what = Fingerprint(1_000 + number);
-            self.ledgers[at].ended(what, &[LeafMark(1), LeafMark(2)], self.now);
+            let fingerprint = Fingerprint(1_000 + number);
+            self.ledgers[at].record_crashes(fingerprint, &[LeafHash(1), LeafHash(2)], self.now);
         }
     }
 }
@@ -102,12 +102,12 @@
 #[test]
 fn refusals_reach_nearly_all_entries_in_time() {
     let mut fleet = Fleet::new(Time::from_millis(60_000));
-    let marks: Vec<LeafMark> = (0..4).map(LeafMark).collect();
+    let hashes: Vec<LeafHash> = (0..4).map(LeafHash).collect();
     let before = fleet.now - Duration::from_secs(2);
-    fleet.ledgers[17].ended(REQUEST, &marks, before);
-    fleet.ledgers[17].ended(REQUEST, &[LeafMark(9)], fleet.now);
+    fleet.ledgers[17].record_crashes(REQUEST, &hashes, before);
+    fleet.ledgers[17].record_crashes(REQUEST, &[LeafHash(9)], fleet.now);
     fleet.crash_harmless(200);
-    let span = fleet.time_until(REQUEST, |stand| matches!(stand, Stand::Refused(_)));
+    let span = fleet.time_until(REQUEST, |handling| matches!(handling, Handling::Refused(_)));
     assert!(span <= Duration::from_secs(2), "{span:?}");
 }
 
@@ -116,10 +116,10 @@
 #[test]
 fn nearly_all_entries_suspect_a_request_that_crashed_many_leafs() {
     let mut fleet = Fleet::new(Time::from_millis(60_000));
-    let marks: Vec<LeafMark> = (0..6).map(LeafMark).collect();
-    fleet.ledgers[17].ended(REQUEST, &marks, fleet.now);
+    let hashes: Vec<LeafHash> = (0..6).map(LeafHash).collect();
+    fleet.ledgers[17].record_crashes(REQUEST, &hashes, fleet.now);
     fleet.crash_harmless(20);
-    let span = fleet.time_until(REQUEST, |stand| stand == Stand::Trial);
+    let span = fleet.time_until(REQUEST, |handling| handling == Handling::Trial);
     assert!(span <= Duration::from_secs(1), "{span:?}");
 }
 
@@ -136,6 +136,6 @@
     let span = (INTERVAL * rounds).as_secs_f64();
     let rate = *most as f64 / span;
     assert!(rate <= 3072.0, "{rate} bytes a second");
-    let known = fleet.ledgers.iter().map(Ledger::len).max();
+    let known = fleet.ledgers.iter().map(SuspectLedger::len).max();
     assert!(known <= Some(1024), "{known:?} records");
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -13,7 +13,7 @@
 
 use chestnut_flow::lock;
 use chestnut_port::Listening;
-use chestnut_quarantine::{Fingerprint, LeafMark, Report, Stand};
+use chestnut_quarantine::{Fingerprint, Handling, LeafHash, SuspectReport};
 use chestnut_route::Trust;
 use chestnut_unit::{LeafId, Reason, Run, Time};
 use futures::{StreamExt, stream};
@@ -91,8 +91,8 @@
         let shared = self.shared;
         if outcomes.answered {
             let mut ledger = lock(&shared.ledger);
-            let blamed = ledger.blames(self.fingerprint);
-            let changed = ledger.answered(self.fingerprint, shared.now());
+            let blamed = ledger.is_blamed(self.fingerprint);
+            let changed = ledger.record_answer(self.fingerprint, shared.now());
             drop(ledger);
             if blamed {
                 queue_update(shared, self.fingerprint);
@@ -102,7 +102,7 @@
                     shared.host.log,
                     "quarantine: a leaf answered {}", self.fingerprint
                 );
-                shared.struck.notify_one();
+                shared.ledger_changed.notify_one();
             }
             return;
         }
@@ -129,9 +129,9 @@
 /// The request is quarantined and must not run.
 pub(crate) fn admit(shared: &Shared, fingerprint: Fingerprint) -> Result<Trust, Declined> {
     match lock(&shared.ledger).admit(fingerprint, shared.now()) {
-        Stand::Free => Ok(Trust::Trusted),
-        Stand::Trial => Ok(Trust::Suspected),
-        Stand::Refused(after) => Err(Declined {
+        Handling::Free => Ok(Trust::Trusted),
+        Handling::Trial => Ok(Trust::Suspected),
+        Handling::Refused(after) => Err(Declined {
             why: Why::Declined(Reason::Quarantined),
             run: Run::NotRun,
             after: Some(after),
@@ -140,7 +140,7 @@
 }
 
 /// Merges reports of other entries, or of the store, into the ledger.
-pub(crate) fn merge_reports(shared: &Shared, reports: &[Report]) {
+pub(crate) fn merge_reports(shared: &Shared, reports: &[SuspectReport]) {
     if reports.is_empty() {
         return;
     }
@@ -148,20 +148,20 @@
     let mut ledger = lock(&shared.ledger);
     let mut changed = false;
     for report in reports {
-        changed |= ledger.hear(report, now);
+        changed |= ledger.merge(report, now);
     }
     shared
         .metrics
-        .set_quarantine_records(ledger.len(), ledger.refused(now));
+        .set_quarantine_records(ledger.len(), ledger.refused_count(now));
     drop(ledger);
     if changed {
-        shared.struck.notify_one();
+        shared.ledger_changed.notify_one();
     }
 }
 
 /// The reports to attach to the next message, among this number of members.
-pub(crate) fn next_reports(shared: &Shared, members: usize) -> Vec<Report> {
-    lock(&shared.ledger).tell(RECORDS_PER_MESSAGE, members, shared.now())
+pub(crate) fn next_reports(shared: &Shared, members: usize) -> Vec<SuspectReport> {
+    lock(&shared.ledger).next_reports(RECORDS_PER_MESSAGE, members, shared.now())
 }
 
 /// Checks suspect attempts for as long as the entry runs.
@@ -193,27 +193,27 @@
     });
     let checks = futures::future::join_all(checks).await;
     let crashed = checks.iter().filter(|(_, found)| *found == Listening::No);
-    let marks: Vec<LeafMark> = crashed
+    let hashes: Vec<LeafHash> = crashed
         .clone()
-        .map(|(leaf, _)| LeafMark::of(leaf))
+        .map(|(leaf, _)| LeafHash::of(leaf))
         .collect();
-    if marks.is_empty() {
+    if hashes.is_empty() {
         return;
     }
     let names: Vec<&str> = crashed.map(|(leaf, _)| leaf.as_str()).collect();
     let now = shared.now();
     let mut ledger = lock(&shared.ledger);
-    let changed = ledger.ended(fingerprint, &marks, now);
-    let decision = ledger.look(fingerprint, now);
-    let blamed = ledger.blames(fingerprint);
+    let changed = ledger.record_crashes(fingerprint, &hashes, now);
+    let decision = ledger.handling(fingerprint, now);
+    let blamed = ledger.is_blamed(fingerprint);
     shared
         .metrics
-        .set_quarantine_records(ledger.len(), ledger.refused(now));
+        .set_quarantine_records(ledger.len(), ledger.refused_count(now));
     drop(ledger);
     info!(shared.host.log, "quarantine: leafs ended under {fingerprint}, which none answered";
         "leafs" => names.join(" "), "stand" => format!("{decision:?}"));
     if changed {
-        shared.struck.notify_one();
+        shared.ledger_changed.notify_one();
     }
     if changed && blamed {
         queue_update(shared, fingerprint);
@@ -223,7 +223,7 @@
 /// Queues an update of the store's record of a request.
 fn queue_update(shared: &Shared, fingerprint: Fingerprint) {
     // A dropped update is no loss while other entries still have the record.
-    if shared.verdicts.try_send(fingerprint).is_err() {
+    if shared.record_updates.try_send(fingerprint).is_err() {
         warn!(shared.host.log, "quarantine: too many records to write, one is dropped"; "asks" => %fingerprint);
     }
 }
@@ -253,16 +253,16 @@
 /// entry runs.
 pub(crate) async fn gossip(shared: Arc<Shared>, members: Arc<Members>) {
     loop {
-        let due = lock(&shared.ledger).tell_at();
+        let due = lock(&shared.ledger).push_due();
         let wake = due.unwrap_or(shared.now() + EXPIRY_INTERVAL);
         tokio::select! {
-            () = shared.struck.notified() => continue,
+            () = shared.ledger_changed.notified() => continue,
             () = sleep_until(shared.host.clock.instant(wake)) => {}
         }
         if due.is_some() {
-            lock(&shared.ledger).telling(shared.now());
+            lock(&shared.ledger).record_push(shared.now());
             members::send_reports(&shared, &members).await;
         }
-        lock(&shared.ledger).forget(shared.now());
+        lock(&shared.ledger).expire(shared.now());
     }
 }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -4,7 +4,7 @@
 
 use chestnut_flow::lock;
 use chestnut_port::FeedError;
-use chestnut_quarantine::{Fingerprint, Report};
+use chestnut_quarantine::{Fingerprint, SuspectReport};
 use chestnut_unit::{Time, Wall};
 use futures::future::BoxFuture;
 use slog::{info, warn};
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The crashes under the request, at the time of writing.
-    pub report: Report,
+    pub report: SuspectReport,
     /// The time of writing.
     pub at: Wall,
 }
@@ -115,7 +115,7 @@
     pending: &mut BTreeSet<Fingerprint>,
 ) -> bool {
     while let Some(fingerprint) = pending.first().copied() {
-        let report = lock(&shared.ledger).verdict(fingerprint, shared.now());
+        let report = lock(&shared.ledger).blame_report(fingerprint, shared.now());
         shared.metrics.count_store("records");
         let written = match report {
             Some(report) => {
@@ -148,7 +148,7 @@
         }
     };
     let wall = shared.host.clock.wall();
-    let reports: Vec<Report> = list
+    let reports: Vec<SuspectReport> = list
         .into_iter()
         .map(|record| record.report.aged(wall.since(record.at)))
         .collect();
@@ -158,9 +158,9 @@
     }
     let obsolete: Vec<Fingerprint> = {
         let ledger = lock(&shared.ledger);
-        let fingerprints = reports.iter().map(|report| report.what);
+        let fingerprints = reports.iter().map(|report| report.fingerprint);
         fingerprints
-            .filter(|fingerprint| !ledger.blames(*fingerprint))
+            .filter(|fingerprint| !ledger.is_blamed(*fingerprint))
             .collect()
     };
     for fingerprint in obsolete {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -13,7 +13,7 @@
 use chestnut_book::{BookVersion, RouteBook};
 use chestnut_flow::{Cell, Host, lock};
 use chestnut_port::{Distance, Forward, Traffic};
-use chestnut_quarantine::{Fingerprint, Ledger};
+use chestnut_quarantine::{Fingerprint, SuspectLedger};
 use chestnut_route::{Choice, Class, Table, TableConfig};
 use chestnut_unit::{RequestId, ServiceName, Time};
 use slog::info;
@@ -82,13 +82,13 @@
     /// Notified when the upstream has to be chosen again.
     pub(crate) choose: Notify,
     /// The crash records of suspect requests.
-    pub(crate) ledger: Mutex<Ledger>,
+    pub(crate) ledger: Mutex<SuspectLedger>,
     /// Notified when the ledger has updates to send.
-    pub(crate) struck: Notify,
+    pub(crate) ledger_changed: Notify,
     /// Queue of failed calls to examine for a suspect request.
     pub(crate) doubts: mpsc::Sender<Doubt>,
     /// Queue of requests whose record in the store has to be updated.
-    pub(crate) verdicts: mpsc::Sender<Fingerprint>,
+    pub(crate) record_updates: mpsc::Sender<Fingerprint>,
     /// Requests that run now.
     pub(crate) in_flight: AtomicU32,
     /// Total number of calls to leafs.
@@ -105,7 +105,7 @@
         forward: Arc<dyn Forward>,
         traffic: Arc<Traffic>,
         doubts: mpsc::Sender<Doubt>,
-        verdicts: mpsc::Sender<Fingerprint>,
+        record_updates: mpsc::Sender<Fingerprint>,
     ) -> Self {
         let config = TableConfig {
             choice: Choice::Predicted,
@@ -133,9 +133,9 @@
             cooled: Notify::new(),
             choose: Notify::new(),
             ledger: Mutex::default(),
-            struck: Notify::new(),
+            ledger_changed: Notify::new(),
             doubts,
-            verdicts,
+            record_updates,
             in_flight: AtomicU32::new(0),
             calls: AtomicU64::new(0),
             requests: AtomicU64::new(1),
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -522,7 +522,7 @@
     fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>> {
         async move {
             self.check().await?;
-            let fingerprint = record.report.what;
+            let fingerprint = record.report.fingerprint;
             lock(&self.stored).records.insert(fingerprint, record);
             Ok(())
         }
