--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,25 +1,25 @@
 //! At-most-once submissions without shared storage.
 //!
-//! A submission is dispatched by one process only: the keeper that its
+//! A submission is dispatched by one process only: the issuer that its
 //! [`Ticket`] (a one-time permit) names. Repeats at any entry are routed to
-//! the same keeper, which answers them with the first outcome. See
-//! `docs/design/submissions.md`.
+//! the same issuer, whose [`TicketRegistry`] answers them with the first
+//! outcome. See `docs/design/submissions.md`.
 //!
 //! ```
-//! use chestnut_once::{Claim, Keeper, KeeperConfig};
+//! use chestnut_once::{Claim, RegistryConfig, TicketRegistry};
 //! use chestnut_unit::{Incarnation, MemberId, Wall};
 //!
 //! let member = MemberId::new("dub-a-1").unwrap();
-//! let mut keeper = Keeper::new(member, Incarnation(7), KeeperConfig::default());
-//! let ticket = keeper.mint([1; 16], Wall(0)).unwrap();
-//! assert_eq!(keeper.claim(&ticket, 99, Wall(1)), Claim::Run);
-//! assert_eq!(keeper.claim(&ticket, 99, Wall(2)), Claim::Join);
+//! let mut registry = TicketRegistry::new(member, Incarnation(7), RegistryConfig::default());
+//! let ticket = registry.mint([1; 16], Wall(0)).unwrap();
+//! assert_eq!(registry.claim(&ticket, 99, Wall(1)), Claim::Run);
+//! assert_eq!(registry.claim(&ticket, 99, Wall(2)), Claim::Join);
 //! ```
 
 #![warn(clippy::unwrap_used)]
 
-mod keeper;
+mod registry;
 mod ticket;
 
-pub use keeper::{Claim, Handed, Keeper, KeeperConfig, Outcome};
+pub use registry::{Claim, HandedTicket, Outcome, RegistryConfig, TicketRegistry};
 pub use ticket::{Ticket, TicketError};
--- a/crates/once/src/keeper.rs
+++ b/crates/once/src/registry.rs
@@ -1,4 +1,4 @@
-//! Keepers, which record the outcome of each submission under a ticket.
+//! The registry of tickets, which records the outcome of the submission under each.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,24 +20,24 @@
     Unknown,
 }
 
-/// A keeper's decision on a submission with a ticket.
+/// A registry's decision on a submission with a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// Dispatch it and record the outcome with [`Keeper::settle`].
+    /// Dispatch it and record the outcome with [`TicketRegistry::settle`].
     Run,
     /// It is being dispatched; wait for that outcome.
     Join,
     /// Its outcome is already recorded.
     Settled(Outcome),
     /// The ticket was used for another body. This body was not run.
-    OtherBody,
+    BodyMismatch,
     /// The ticket expired unused or is forged. The submission was not run.
     Refused,
-    /// The keeper has no record of the ticket: it belongs to another
+    /// The registry has no record of the ticket: it belongs to another
     /// incarnation of this member or expired long ago. The submission may
     /// have run.
-    Forgotten,
-    /// The keeper is handing its tickets over; ask the successor.
+    NotFound,
+    /// The registry is handing its tickets over; ask the successor.
     Moved,
 }
 
@@ -49,7 +49,7 @@
     Settled { body: u64, outcome: Outcome },
 }
 
-/// A ticket's entry in the keeper, without its key.
+/// A ticket's entry in the registry, without its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct TicketEntry {
     nonce: [u8; 16],
@@ -59,27 +59,27 @@
 
 /// A ticket and its state, as handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct HandedTicket {
     /// The ticket.
     pub ticket: Ticket,
     /// Hash of the body that it was used for, and the outcome.
     pub settled: Option<(u64, Outcome)>,
 }
 
-/// Parameters of a keeper.
+/// Parameters of a registry.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperConfig {
+pub struct RegistryConfig {
     /// Time from minting to expiry of a ticket.
-    pub life: Duration,
+    pub ttl: Duration,
     /// Maximum number of tickets kept; beyond it none is minted.
-    pub most: usize,
+    pub capacity: usize,
 }
 
-impl Default for KeeperConfig {
+impl Default for RegistryConfig {
     fn default() -> Self {
         Self {
-            life: Duration::from_secs(600),
-            most: 200_000,
+            ttl: Duration::from_secs(600),
+            capacity: 200_000,
         }
     }
 }
@@ -103,27 +103,27 @@
 /// dispatch the same one. A crash loses the state: repeats then end as
 /// unknown, never as a second dispatch.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct TicketRegistry {
     own: MemberId,
     incarnation: Incarnation,
-    config: KeeperConfig,
+    config: RegistryConfig,
     tickets: BTreeMap<TicketKey, TicketEntry>,
     expiries: BTreeSet<(Wall, TicketKey)>,
     next: u64,
     phase: Phase,
 }
 
-/// Whether the keeper still mints and dispatches.
+/// Whether the registry still mints and dispatches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Open,
     Closed,
 }
 
-impl Keeper {
-    /// Creates a keeper without tickets.
+impl TicketRegistry {
+    /// Creates a registry without tickets.
     #[must_use]
-    pub fn new(own: MemberId, incarnation: Incarnation, config: KeeperConfig) -> Self {
+    pub fn new(own: MemberId, incarnation: Incarnation, config: RegistryConfig) -> Self {
         Self {
             own,
             incarnation,
@@ -147,18 +147,18 @@
         self.tickets.is_empty()
     }
 
-    /// Mints a ticket from a random `nonce`. Returns `None` when the keeper
+    /// Mints a ticket from a random `nonce`. Returns `None` when the registry
     /// is closed or full.
     pub fn mint(&mut self, nonce: [u8; 16], wall: Wall) -> Option<Ticket> {
         self.expire(wall);
-        if self.phase == Phase::Closed || self.tickets.len() >= self.config.most {
+        if self.phase == Phase::Closed || self.tickets.len() >= self.config.capacity {
             return None;
         }
         let ticket = Ticket {
-            keeper: self.own.clone(),
+            issuer: self.own.clone(),
             incarnation: self.incarnation,
             seq: self.next,
-            expiry: wall + self.config.life,
+            expiry: wall + self.config.ttl,
             nonce,
         };
         self.next += 1;
@@ -170,7 +170,7 @@
     pub fn claim(&mut self, ticket: &Ticket, body: u64, wall: Wall) -> Claim {
         let key = key_of(ticket);
         let Some(entry) = self.tickets.get_mut(&key) else {
-            return Claim::Forgotten;
+            return Claim::NotFound;
         };
         if entry.nonce != ticket.nonce || entry.expiry != ticket.expiry {
             return Claim::Refused;
@@ -185,7 +185,7 @@
             State::Running { body: first } | State::Settled { body: first, .. }
                 if *first != body =>
             {
-                Claim::OtherBody
+                Claim::BodyMismatch
             }
             State::Running { .. } => Claim::Join,
             State::Settled { outcome, .. } => Claim::Settled(outcome.clone()),
@@ -233,11 +233,11 @@
         self.tickets.values().filter(running).count()
     }
 
-    /// Returns the tickets that a successor takes over, once the keeper is
+    /// Returns the tickets that a successor takes over, once the registry is
     /// closed. Those still being dispatched are handed over as unknown, since
     /// this process stops before their outcome can be recorded.
     #[must_use]
-    pub fn hand_over(&self) -> Vec<Handed> {
+    pub fn hand_over(&self) -> Vec<HandedTicket> {
         if self.phase == Phase::Open {
             return Vec::new();
         }
@@ -247,10 +247,10 @@
             .collect()
     }
 
-    /// Takes over tickets from a keeper that leaves. Known tickets keep their
+    /// Takes over tickets from a registry that closes. Known tickets keep their
     /// state, so a repeated hand-over changes nothing.
-    pub fn adopt(&mut self, tickets: Vec<Handed>) {
-        for Handed { ticket, settled } in tickets {
+    pub fn adopt(&mut self, tickets: Vec<HandedTicket>) {
+        for HandedTicket { ticket, settled } in tickets {
             if self.tickets.contains_key(&key_of(&ticket)) {
                 continue;
             }
@@ -277,14 +277,14 @@
 
 /// Returns the key of a ticket.
 fn key_of(ticket: &Ticket) -> TicketKey {
-    (ticket.keeper.clone(), ticket.incarnation, ticket.seq)
+    (ticket.issuer.clone(), ticket.incarnation, ticket.seq)
 }
 
 /// Converts an entry to its hand-over form; a running one becomes unknown.
-fn to_handed(key: &TicketKey, entry: &TicketEntry) -> Handed {
-    let (keeper, incarnation, seq) = key.clone();
+fn to_handed(key: &TicketKey, entry: &TicketEntry) -> HandedTicket {
+    let (issuer, incarnation, seq) = key.clone();
     let ticket = Ticket {
-        keeper,
+        issuer,
         incarnation,
         seq,
         expiry: entry.expiry,
@@ -295,5 +295,5 @@
         State::Running { body } => Some((*body, Outcome::Unknown)),
         State::Settled { body, outcome } => Some((*body, outcome.clone())),
     };
-    Handed { ticket, settled }
+    HandedTicket { ticket, settled }
 }
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The member that minted it.
-    pub keeper: MemberId,
+    pub issuer: MemberId,
     /// The incarnation of that member which minted it.
     pub incarnation: Incarnation,
     /// Its sequence number in that incarnation.
@@ -38,12 +38,12 @@
 
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut bytes = Vec::with_capacity(FIXED_LEN + self.keeper.as_str().len());
+        let mut bytes = Vec::with_capacity(FIXED_LEN + self.issuer.as_str().len());
         bytes.extend_from_slice(&self.nonce);
         bytes.extend_from_slice(&self.incarnation.0.to_be_bytes());
         bytes.extend_from_slice(&self.seq.to_be_bytes());
         bytes.extend_from_slice(&self.expiry.0.to_be_bytes());
-        bytes.extend_from_slice(self.keeper.as_str().as_bytes());
+        bytes.extend_from_slice(self.issuer.as_str().as_bytes());
         f.write_str(&URL_SAFE_NO_PAD.encode(bytes))
     }
 }
@@ -64,7 +64,7 @@
         let (expiry, rest) = split_array::<8>(rest)?;
         let name = std::str::from_utf8(rest).map_err(|_| TicketError::Malformed)?;
         Ok(Self {
-            keeper: MemberId::new(name).map_err(|_| TicketError::Malformed)?,
+            issuer: MemberId::new(name).map_err(|_| TicketError::Malformed)?,
             incarnation: Incarnation(u64::from_be_bytes(incarnation)),
             seq: u64::from_be_bytes(seq),
             expiry: Wall(u64::from_be_bytes(expiry)),
--- a/crates/once/tests/ledger.rs
+++ b/crates/once/tests/registry.rs
@@ -1,8 +1,8 @@
-//! Compares keepers with a model that counts what a target applied.
+//! Compares registries with a model that counts what a target applied.
 
 use std::collections::BTreeMap;
 
-use chestnut_once::{Claim, Handed, Keeper, KeeperConfig, Outcome, Ticket};
+use chestnut_once::{Claim, HandedTicket, Outcome, RegistryConfig, Ticket, TicketRegistry};
 use chestnut_unit::{Incarnation, MemberId, Reason, Wall};
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Mint(usize),
-    /// A submission reaches a keeper, which may not own its ticket.
+    /// A submission reaches a registry, which may not own its ticket.
     Submit {
         ticket: usize,
         at: usize,
@@ -22,9 +22,9 @@
         which: usize,
         how: u8,
     },
-    /// A keeper restarts without its state.
+    /// A registry restarts without its state.
     Restart(usize),
-    /// A keeper closes, hands over to another and restarts.
+    /// A registry closes, hands over to another and restarts.
     HandOver(usize),
     /// Time advances by this many milliseconds.
     Advance(u64),
@@ -42,16 +42,16 @@
     ]
 }
 
-/// A dispatch in flight: the keeper, its incarnation and the ticket.
+/// A dispatch in flight: the registry, its incarnation and the ticket.
 struct Dispatch {
-    keeper: usize,
+    registry: usize,
     incarnation: u64,
     ticket: usize,
 }
 
-/// Three keepers, with the submissions applied and the outcomes reported.
+/// Three registries, with the submissions applied and the outcomes reported.
 struct Model {
-    keepers: Vec<Keeper>,
+    registries: Vec<TicketRegistry>,
     incarnations: Vec<u64>,
     next_incarnation: u64,
     tickets: Vec<Ticket>,
@@ -60,15 +60,15 @@
     outcomes: BTreeMap<usize, Vec<Outcome>>,
 }
 
-fn keeper(at: usize, incarnation: u64) -> Keeper {
+fn registry(at: usize, incarnation: u64) -> TicketRegistry {
     let member = MemberId::new(format!("m{at}")).unwrap();
-    Keeper::new(member, Incarnation(incarnation), KeeperConfig::default())
+    TicketRegistry::new(member, Incarnation(incarnation), RegistryConfig::default())
 }
 
 impl Model {
     fn new() -> Self {
         Self {
-            keepers: (0..3).map(|at| keeper(at, at as u64)).collect(),
+            registries: (0..3).map(|at| registry(at, at as u64)).collect(),
             incarnations: vec![0, 1, 2],
             next_incarnation: 3,
             tickets: Vec::new(),
@@ -86,14 +86,15 @@
         let Some(ticket) = self.tickets.get(index) else {
             return;
         };
-        match self.keepers[at].claim(ticket, body, wall) {
+        match self.registries[at].claim(ticket, body, wall) {
             Claim::Run => self.dispatches.push(Dispatch {
-                keeper: at,
+                registry: at,
                 incarnation: self.incarnations[at],
                 ticket: index,
             }),
             Claim::Settled(outcome) => self.record(index, outcome),
-            Claim::Join | Claim::OtherBody | Claim::Refused | Claim::Forgotten | Claim::Moved => {}
+            Claim::Join | Claim::BodyMismatch | Claim::Refused | Claim::NotFound | Claim::Moved => {
+            }
         }
     }
 
@@ -111,15 +112,15 @@
         if how == 0 || how == 2 {
             *self.applied.entry(dispatch.ticket).or_default() += 1;
         }
-        if self.incarnations[dispatch.keeper] == dispatch.incarnation {
+        if self.incarnations[dispatch.registry] == dispatch.incarnation {
             let ticket = self.tickets[dispatch.ticket].clone();
-            self.keepers[dispatch.keeper].settle(&ticket, outcome.clone());
+            self.registries[dispatch.registry].settle(&ticket, outcome.clone());
             self.record(dispatch.ticket, outcome);
         }
     }
 
     fn restart(&mut self, at: usize) {
-        self.keepers[at] = keeper(at, self.next_incarnation);
+        self.registries[at] = registry(at, self.next_incarnation);
         self.incarnations[at] = self.next_incarnation;
         self.next_incarnation += 1;
     }
@@ -143,15 +144,15 @@
             match step {
                 Step::Mint(at) => {
                     let nonce = [model.tickets.len() as u8; 16];
-                    model.tickets.extend(model.keepers[at].mint(nonce, wall));
+                    model.tickets.extend(model.registries[at].mint(nonce, wall));
                 }
                 Step::Submit { ticket, at, body } => model.submit(ticket, at, body, wall),
                 Step::End { which, how } => model.end(which, how),
                 Step::Restart(at) => model.restart(at),
                 Step::HandOver(at) => {
-                    model.keepers[at].close();
-                    let handed: Vec<Handed> = model.keepers[at].hand_over();
-                    model.keepers[(at + 1) % 3].adopt(handed);
+                    model.registries[at].close();
+                    let handed: Vec<HandedTicket> = model.registries[at].hand_over();
+                    model.registries[(at + 1) % 3].adopt(handed);
                     model.restart(at);
                 }
                 Step::Advance(ms) => wall = wall + std::time::Duration::from_millis(ms),
--- a/crates/port/src/peer.rs
+++ b/crates/port/src/peer.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
 use chestnut_fleet::Member;
-use chestnut_once::{Handed, Ticket};
+use chestnut_once::{HandedTicket, Ticket};
 use chestnut_route::Failure;
 use chestnut_unit::{
     CallType, Incarnation, IndexVersion, LeafId, OrgName, Reason, RequestId, ServiceName,
@@ -147,7 +147,7 @@
     fn adopt(
         &self,
         to: SocketAddr,
-        tickets: Vec<Handed>,
+        tickets: Vec<HandedTicket>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>>;
 }
 
@@ -179,5 +179,5 @@
 
     /// Takes over the tickets of a peer that is leaving and returns this entry's
     /// incarnation.
-    fn adopt(&self, tickets: Vec<Handed>) -> Incarnation;
+    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation;
 }
--- a/crates/port/src/peer_rpc.rs
+++ b/crates/port/src/peer_rpc.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
 use chestnut_fleet::Member;
-use chestnut_once::Handed;
+use chestnut_once::HandedTicket;
 use chestnut_route::Failure;
 use chestnut_unit::{Incarnation, LeafId};
 use futures::{FutureExt, future::BoxFuture};
@@ -180,7 +180,7 @@
     fn adopt(
         &self,
         to: SocketAddr,
-        tickets: Vec<Handed>,
+        tickets: Vec<HandedTicket>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>> {
         self.net
             .run(to, TIMEOUT, move |client: peer::Client| async move {
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -7,7 +7,7 @@
 use chestnut_book::BookVersion;
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
 use chestnut_fleet::{Addresses, Heir, Liveness, Member, Probe, ProbeKind};
-use chestnut_once::{Handed, Outcome, Ticket};
+use chestnut_once::{HandedTicket, Outcome, Ticket};
 use chestnut_quarantine::{Fingerprint, LeafHash, SuspectReport};
 use chestnut_route::{Failure, Refusal};
 use chestnut_unit::{
@@ -405,7 +405,7 @@
 }
 
 pub(crate) fn put_handed(
-    tickets: &[Handed],
+    tickets: &[HandedTicket],
     mut to: struct_list::Builder<'_, schema::handed::Owned>,
 ) {
     for (at, handed) in (0u32..).zip(tickets) {
@@ -421,7 +421,7 @@
 
 pub(crate) fn get_handed(
     from: struct_list::Reader<'_, schema::handed::Owned>,
-) -> Read<Vec<Handed>> {
+) -> Read<Vec<HandedTicket>> {
     let one = |item: schema::handed::Reader<'_>| {
         let settled = if item.get_settled() {
             let outcome = outcome_of(get_reply(item.get_outcome()?)?);
@@ -429,7 +429,7 @@
         } else {
             None
         };
-        Ok(Handed {
+        Ok(HandedTicket {
             ticket: parse(item.get_ticket()?)?,
             settled,
         })
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
 use chestnut_fleet::{Member, Probe};
-use chestnut_once::Handed;
+use chestnut_once::HandedTicket;
 use chestnut_port::{
     Dispatch, PeerError, PeerService, Peers, Probes, SubAnswer, SubQuery, Submission, SubmitReply,
 };
@@ -202,7 +202,7 @@
     fn adopt(
         &self,
         to: SocketAddr,
-        tickets: Vec<Handed>,
+        tickets: Vec<HandedTicket>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>> {
         self.call(to, CONTROL_WAIT, async move |p: Process| {
             p.service.adopt(tickets)
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
 use chestnut_fleet::Member;
-use chestnut_once::Handed;
+use chestnut_once::HandedTicket;
 use chestnut_port::{Dispatch, PeerService, SubAnswer, SubQuery, Submission, SubmitReply};
 use chestnut_route::Failure;
 use chestnut_unit::{Incarnation, LeafId};
@@ -60,9 +60,9 @@
         }
     }
 
-    fn adopt(&self, tickets: Vec<Handed>) -> Incarnation {
+    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation {
         info!(self.0.host.log, "keep: took over {} tickets", tickets.len());
-        lock(&self.0.keeper).adopt(tickets);
+        lock(&self.0.tickets).adopt(tickets);
         self.0.own.incarnation
     }
 }
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -13,7 +13,7 @@
 use chestnut_fleet::{Confirm, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
 use chestnut_flow::{Host, Trace};
-use chestnut_once::{Keeper, KeeperConfig};
+use chestnut_once::{RegistryConfig, TicketRegistry};
 use chestnut_port::{Clock, Peers, Platform, Probes, SubmitReply, Targets};
 use chestnut_route::OrgLimiters;
 use chestnut_unit::{DomainName, LeafId, MemberId, OrgName, RequestId, ServiceName, Time};
@@ -124,7 +124,7 @@
     /// Limits of the organisations.
     pub(crate) org_limiters: Mutex<OrgLimiters>,
     /// Tickets that this entry minted or took over, with their outcomes.
-    pub(crate) keeper: Mutex<Keeper>,
+    pub(crate) tickets: Mutex<TicketRegistry>,
     pub(crate) dispatches: Mutex<Dispatches>,
     /// Refusal records that the platform doesn't have yet.
     pub(crate) journal: Mutex<Journal>,
@@ -170,9 +170,9 @@
             interval: control.probe,
             ..SwimConfig::default()
         };
-        let keeper = KeeperConfig {
-            life: control.ticket,
-            ..KeeperConfig::default()
+        let tickets = RegistryConfig {
+            ttl: control.ticket,
+            ..RegistryConfig::default()
         };
         let journal = JournalConfig {
             interval: control.records,
@@ -191,7 +191,11 @@
                 seed,
             ),
             swim: Mutex::new(Swim::new(swim, own.clone(), now)),
-            keeper: Mutex::new(Keeper::new(own.id.clone(), own.incarnation, keeper)),
+            tickets: Mutex::new(TicketRegistry::new(
+                own.id.clone(),
+                own.incarnation,
+                tickets,
+            )),
             journal: Mutex::new(Journal::new(journal, own.id.clone(), own.incarnation)),
             copies: Mutex::new(Copies::new(MAX_COPIES)),
             metrics: Metrics::new(),
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -102,7 +102,7 @@
         in_flight: shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
         records_waiting,
         records_dropped,
-        tickets: lock(&shared.keeper).len(),
+        tickets: lock(&shared.tickets).len(),
         probe_bytes: shared.probes.bytes(),
     }
 }
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -1,8 +1,8 @@
 //! Submissions, which run at most once for each ticket.
 //!
-//! A ticket names its keeper, the entry that minted it. Every use of a ticket
-//! goes to its keeper, or to the successor of a keeper that has left, which
-//! dispatches the first use and answers the others with its outcome.
+//! A ticket names its issuer, the entry that minted it. Every use of a ticket
+//! goes to its keeper: the issuer, or its successor if the issuer has left. The
+//! keeper dispatches the first use and answers the others with its outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -33,7 +33,7 @@
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
     let wall = shared.host.clock.wall();
-    let minted = lock(&shared.keeper).mint(nonce, wall);
+    let minted = lock(&shared.tickets).mint(nonce, wall);
     let Some(ticket) = minted else {
         let subject = Subject {
             request: shared.next_request(),
@@ -100,7 +100,7 @@
         let swim = lock(&shared.swim);
         let ticket = &submission.ticket;
         swim.view
-            .keeper_of(&ticket.keeper, ticket.incarnation)
+            .keeper_of(&ticket.issuer, ticket.incarnation)
             .cloned()
     };
     let Some(keeper) = keeper else {
@@ -136,13 +136,13 @@
 pub(crate) async fn keep(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let wall = shared.host.clock.wall();
     let body = body_hash(&submission);
-    let claim = lock(&shared.keeper).claim(&submission.ticket, body, wall);
+    let claim = lock(&shared.tickets).claim(&submission.ticket, body, wall);
     match claim {
         Claim::Run => dispatch_once(shared, submission).await,
         Claim::Join => await_dispatch(shared, &submission).await,
         Claim::Settled(outcome) => reply_of(outcome),
-        Claim::OtherBody | Claim::Refused => SubmitReply::NotRun(Reason::BadTicket),
-        Claim::Forgotten => SubmitReply::Unknown(Reason::KeeperGone),
+        Claim::BodyMismatch | Claim::Refused => SubmitReply::NotRun(Reason::BadTicket),
+        Claim::NotFound => SubmitReply::Unknown(Reason::KeeperGone),
         Claim::Moved => forward_moved(shared, submission).await,
     }
 }
@@ -215,7 +215,7 @@
         async move {
             let ticket = submission.ticket.clone();
             let outcome = run_claimed(&shared, submission).await;
-            lock(&shared.keeper).settle(&ticket, outcome.clone());
+            lock(&shared.tickets).settle(&ticket, outcome.clone());
             // New repeats find the outcome; those that wait get the reply.
             let _ = reply_tx.send(Some(reply_of(outcome)));
             lock(&shared.dispatches).remove(&key);
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -288,10 +288,10 @@
 /// Stops dispatching, waits for the dispatches in flight, and hands all
 /// tickets over to a successor.
 async fn hand_over_tickets(shared: &Shared) {
-    lock(&shared.keeper).close();
+    lock(&shared.tickets).close();
     let grace = shared.settings.control.grace;
     let settled = async {
-        while lock(&shared.keeper).running() > 0 {
+        while lock(&shared.tickets).running() > 0 {
             sleep(DRAIN_POLL).await;
         }
     };
@@ -320,7 +320,7 @@
     let Some((member, address)) = pick_successor(shared) else {
         return false;
     };
-    let tickets = lock(&shared.keeper).hand_over();
+    let tickets = lock(&shared.tickets).hand_over();
     let count = tickets.len();
     let Ok(life) = shared.peers().adopt(address, tickets).await else {
         return false;
