--- a/crates/audit/src/receipt.rs
+++ b/crates/audit/src/receipt.rs
@@ -28,9 +28,9 @@
 
 /// The key of the check value, the same at every entry.
 #[derive(Clone)]
-pub struct CheckKey([u8; 32]);
+pub struct MacKey([u8; 32]);
 
-impl CheckKey {
+impl MacKey {
     /// Derives the key from the secret in the settings.
     #[must_use]
     pub fn from_secret(secret: &str) -> Self {
@@ -74,7 +74,7 @@
 impl Receipt {
     /// Encodes the receipt as text with its check value.
     #[must_use]
-    pub fn encode(&self, key: &CheckKey) -> String {
+    pub fn encode(&self, key: &MacKey) -> String {
         let mut bytes = vec![FORMAT_VERSION, self.reason.number(), encode_run(self.run)];
         for number in [
             self.request.0,
@@ -105,7 +105,7 @@
     ///
     /// Returns an error if the text is not a receipt or its check value does
     /// not match.
-    pub fn decode(text: &str, key: &CheckKey) -> Result<Self, ReceiptError> {
+    pub fn decode(text: &str, key: &MacKey) -> Result<Self, ReceiptError> {
         if text.len() > MAX_TEXT_LEN {
             return Err(ReceiptError::Malformed);
         }
--- a/crates/audit/src/journal.rs
+++ b/crates/audit/src/refusal_log.rs
@@ -8,24 +8,24 @@
 use chestnut_unit::{Incarnation, MemberId, Reason, Time, Wall};
 use serde::{Deserialize, Serialize};
 
-/// Parameters of a journal.
+/// Parameters of a refusal log.
 #[derive(Clone, Copy, Debug)]
-pub struct JournalConfig {
+pub struct RefusalLogConfig {
     /// Minimum time between two batches.
     pub interval: Duration,
     /// Maximum number of records kept while the platform is unavailable.
-    pub most: usize,
+    pub capacity: usize,
     /// Maximum number of records in a batch, which keeps its object below a
     /// megabyte.
-    pub batch: usize,
+    pub batch_size: usize,
 }
 
-impl Default for JournalConfig {
+impl Default for RefusalLogConfig {
     fn default() -> Self {
         Self {
             interval: Duration::from_secs(5),
-            most: 50_000,
-            batch: 2_000,
+            capacity: 50_000,
+            batch_size: 2_000,
         }
     }
 }
@@ -65,8 +65,8 @@
 /// confirmed it; a repeated write changes nothing, since its name and content
 /// stay the same.
 #[derive(Clone, Debug)]
-pub struct Journal {
-    config: JournalConfig,
+pub struct RefusalLog {
+    config: RefusalLogConfig,
     owner: (MemberId, Incarnation),
     waiting: VecDeque<(Reason, Record)>,
     in_flight: Option<Batch>,
@@ -78,10 +78,10 @@
     due: Time,
 }
 
-impl Journal {
-    /// Creates an empty journal.
+impl RefusalLog {
+    /// Creates an empty log.
     #[must_use]
-    pub fn new(config: JournalConfig, member: MemberId, incarnation: Incarnation) -> Self {
+    pub fn new(config: RefusalLogConfig, member: MemberId, incarnation: Incarnation) -> Self {
         Self {
             config,
             owner: (member, incarnation),
@@ -98,7 +98,7 @@
 
     /// Returns the number of records that the platform has not confirmed.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn unconfirmed(&self) -> usize {
         let batches = self.in_flight.iter().chain(&self.replicated);
         self.waiting.len() + batches.map(|batch| batch.records.len()).sum::<usize>()
     }
@@ -129,7 +129,7 @@
 
     /// Adds a record, dropping the oldest queued one if there are too many.
     pub fn add(&mut self, reason: Reason, record: Record, wall: Wall) {
-        if self.waiting() >= self.config.most
+        if self.unconfirmed() >= self.config.capacity
             && let Some((reason, _)) = self.waiting.pop_front()
         {
             self.count_drop(reason, wall);
@@ -144,14 +144,14 @@
         if now < self.due {
             return None;
         }
-        let batch = self.last_batch()?;
+        let batch = self.flush_batch()?;
         let interval = WRITE_INTERVAL * u32::try_from(members).unwrap_or(u32::MAX);
         self.due = now + self.config.interval.max(interval);
         Some(batch)
     }
 
     /// Returns the batch to write at a planned stop, due or not.
-    pub fn last_batch(&mut self) -> Option<Batch> {
+    pub fn flush_batch(&mut self) -> Option<Batch> {
         if self.in_flight.is_none() {
             self.in_flight = self.cut_batch().or_else(|| self.replicated.pop_front());
         }
@@ -161,7 +161,7 @@
     /// Records that a peer has a copy of the batch in flight, which the
     /// platform did not accept. It is written again after newer records, by
     /// this entry or, if this one crashes, by the peer.
-    pub fn entrust(&mut self, name: &str) {
+    pub fn mark_replicated(&mut self, name: &str) {
         let batch = self.in_flight.take_if(|batch| batch.name == name);
         self.replicated.extend(batch);
     }
@@ -178,7 +178,7 @@
         if self.waiting.is_empty() && self.gap.is_none() {
             return None;
         }
-        let count = self.waiting.len().min(self.config.batch);
+        let count = self.waiting.len().min(self.config.batch_size);
         let records = self.waiting.drain(..count).map(|(_, r)| r).collect();
         let (member, incarnation) = &self.owner;
         let name = format!("{member}.{incarnation}.{}", self.next);
@@ -207,20 +207,20 @@
 
 /// Copies of other entries' batches, to be written if those crash.
 #[derive(Clone, Debug)]
-pub struct Copies {
+pub struct ReplicaBatches {
     batches: VecDeque<Batch>,
-    most: usize,
+    capacity: usize,
     dropped: u64,
 }
 
-impl Copies {
-    /// Keeps at most `most` batches; beyond it the oldest is dropped, which
+impl ReplicaBatches {
+    /// Keeps at most `capacity` batches; beyond it the oldest is dropped, which
     /// its own entry still has while it runs.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
             batches: VecDeque::new(),
-            most,
+            capacity,
             dropped: 0,
         }
     }
@@ -230,7 +230,7 @@
         if self.batches.iter().any(|kept| kept.name == batch.name) {
             return;
         }
-        if self.batches.len() >= self.most {
+        if self.batches.len() >= self.capacity {
             self.batches.pop_front();
             self.dropped += 1;
         }
--- a/crates/audit/tests/records.rs
+++ b/crates/audit/tests/records.rs
@@ -1,9 +1,9 @@
-//! Tests that receipts can't be altered and that journals count the records
+//! Tests that receipts can't be altered and that refusal logs count the records
 //! that they drop.
 
 use std::time::Duration;
 
-use chestnut_audit::{CheckKey, Journal, JournalConfig, Receipt, Record};
+use chestnut_audit::{MacKey, Receipt, Record, RefusalLog, RefusalLogConfig};
 use chestnut_unit::{
     CallType, Incarnation, MemberId, OrgName, Reason, RequestId, Run, ServiceName, Time, Wall,
 };
@@ -38,10 +38,10 @@
     /// A receipt must decode to what was encoded, and only with the same key.
     #[test]
     fn receipts_round_trip(receipt in receipt()) {
-        let key = CheckKey::from_secret("a");
+        let key = MacKey::from_secret("a");
         let text = receipt.encode(&key);
         prop_assert_eq!(Receipt::decode(&text, &key), Ok(receipt.clone()));
-        prop_assert!(Receipt::decode(&text, &CheckKey::from_secret("b")).is_err());
+        prop_assert!(Receipt::decode(&text, &MacKey::from_secret("b")).is_err());
     }
 
     /// A receipt with an altered character must not decode to another
@@ -52,7 +52,7 @@
         at in any::<prop::sample::Index>(),
         letter in prop::char::range('a', 'z'),
     ) {
-        let key = CheckKey::from_secret("a");
+        let key = MacKey::from_secret("a");
         let text = receipt.encode(&key);
         let mut chars: Vec<char> = text.chars().collect();
         let index = at.index(chars.len());
@@ -63,13 +63,13 @@
     }
 }
 
-fn journal(most: usize) -> Journal {
-    let config = JournalConfig {
-        most,
-        batch: 10,
-        ..JournalConfig::default()
+fn refusal_log(capacity: usize) -> RefusalLog {
+    let config = RefusalLogConfig {
+        capacity,
+        batch_size: 10,
+        ..RefusalLogConfig::default()
     };
-    Journal::new(config, MemberId::new("m").unwrap(), Incarnation(1))
+    RefusalLog::new(config, MemberId::new("m").unwrap(), Incarnation(1))
 }
 
 fn record(n: u64) -> Record {
@@ -83,41 +83,39 @@
 /// next batch.
 #[test]
 fn dropped_records_are_counted_in_the_next_batch() {
-    let mut journal = journal(20);
+    let mut log = refusal_log(20);
     for n in 0..50 {
-        journal.add(Reason::Overload, record(n), Wall(n));
+        log.add(Reason::Overload, record(n), Wall(n));
     }
-    assert_eq!(journal.dropped(), 30);
-    let batch = journal.next_batch(7, Time::from_millis(1)).unwrap();
+    assert_eq!(log.dropped(), 30);
+    let batch = log.next_batch(7, Time::from_millis(1)).unwrap();
     let gap = batch.gap.clone().unwrap();
     assert_eq!(gap.dropped[&Reason::Overload], 30);
     assert_eq!(batch.records[0], record(30));
     // After a lost answer the same batch is written again.
-    let again = journal.next_batch(7, Time::from_millis(60_000)).unwrap();
+    let again = log.next_batch(7, Time::from_millis(60_000)).unwrap();
     assert_eq!(again, batch);
-    journal.confirm(&batch.name);
-    assert_eq!(journal.written(), 10);
-    assert_eq!(journal.waiting(), 10);
+    log.confirm(&batch.name);
+    assert_eq!(log.written(), 10);
+    assert_eq!(log.unconfirmed(), 10);
 }
 
 /// Many entries must not exceed the common write rate to the platform.
 #[test]
 fn the_interval_grows_with_the_number_of_entries() {
-    let mut journal = journal(1000);
-    journal.add(Reason::Overload, record(0), Wall(0));
-    let batch = journal
+    let mut log = refusal_log(1000);
+    log.add(Reason::Overload, record(0), Wall(0));
+    let batch = log
         .next_batch(2900, Time::ZERO + Duration::from_secs(1))
         .unwrap();
-    journal.confirm(&batch.name);
-    journal.add(Reason::Overload, record(1), Wall(0));
+    log.confirm(&batch.name);
+    log.add(Reason::Overload, record(1), Wall(0));
     assert!(
-        journal
-            .next_batch(2900, Time::ZERO + Duration::from_secs(50))
+        log.next_batch(2900, Time::ZERO + Duration::from_secs(50))
             .is_none()
     );
     assert!(
-        journal
-            .next_batch(2900, Time::ZERO + Duration::from_secs(60))
+        log.next_batch(2900, Time::ZERO + Duration::from_secs(60))
             .is_some()
     );
 }
--- a/crates/tier/src/admin.rs
+++ b/crates/tier/src/admin.rs
@@ -217,11 +217,11 @@
 /// is still in memory or on the platform.
 async fn explain_refusal(tier: &Tier, text: &str) -> Reply {
     let shared = &tier.shared;
-    let receipt = match Receipt::decode(text, &shared.check) {
+    let receipt = match Receipt::decode(text, &shared.mac_key) {
         Ok(receipt) => receipt,
         Err(error) => return web::error(StatusCode::NOT_FOUND, &error.to_string()),
     };
-    let buffered = lock(&shared.journal).find(text);
+    let buffered = lock(&shared.refusal_log).find(text);
     let (source, detail) = match buffered {
         Some(detail) => ("waiting", Some(detail)),
         None => match find_record(tier, &receipt, text).await {
--- a/crates/tier/src/edge.rs
+++ b/crates/tier/src/edge.rs
@@ -164,7 +164,7 @@
 
 /// Decodes a receipt, which contains the whole refusal, so no store is read.
 fn explain(tier: &Tier, text: &str) -> Reply {
-    match Receipt::decode(text, &tier.shared.check) {
+    match Receipt::decode(text, &tier.shared.mac_key) {
         Ok(receipt) => {
             let sentence = receipt.reason.sentence();
             let mut body = json!(receipt);
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -18,7 +18,7 @@
 //!
 //! Shared tables are locked one at a time. Code that needs two takes them in
 //! this order: configuration, members, services, one service, organisation limiters,
-//! tickets, journal. No lock is held across an await.
+//! tickets, refusal log. No lock is held across an await.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -55,7 +55,7 @@
 
     fn records(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
-            Ok(batch) => lock(&self.0.copies).add(batch),
+            Ok(batch) => lock(&self.0.replica_batches).add(batch),
             Err(_) => slog::warn!(self.0.host.log, "refuse: invalid records from a peer"),
         }
     }
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -19,15 +19,15 @@
     loop {
         sleep(WRITE_INTERVAL).await;
         let members = lock(&shared.swim).view.present().count();
-        let batch = lock(&shared.journal).next_batch(members, shared.now());
+        let batch = lock(&shared.refusal_log).next_batch(members, shared.now());
         if let Some(batch) = batch {
             write_or_copy(&shared, batch).await;
         }
-        let copy = lock(&shared.copies).next();
+        let copy = lock(&shared.replica_batches).next();
         if let Some(copy) = copy
             && write(&shared, &copy).await
         {
-            lock(&shared.copies).confirm(&copy.name);
+            lock(&shared.replica_batches).confirm(&copy.name);
         }
     }
 }
@@ -35,7 +35,7 @@
 /// Writes all pending records of this entry before it stops.
 pub(crate) async fn write_last(shared: &Shared) {
     loop {
-        let batch = lock(&shared.journal).last_batch();
+        let batch = lock(&shared.refusal_log).flush_batch();
         let Some(batch) = batch else {
             return;
         };
@@ -47,7 +47,7 @@
 /// so that the records survive a crash of this entry.
 async fn write_or_copy(shared: &Shared, batch: Batch) {
     if write(shared, &batch).await {
-        lock(&shared.journal).confirm(&batch.name);
+        lock(&shared.refusal_log).confirm(&batch.name);
         return;
     }
     let Some((peer, address)) = shared.some_peers(1).pop() else {
@@ -61,7 +61,7 @@
             "refuse: copied {} records to {peer}",
             batch.records.len()
         );
-        lock(&shared.journal).entrust(&batch.name);
+        lock(&shared.refusal_log).mark_replicated(&batch.name);
     }
 }
 
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -104,7 +104,7 @@
         service: subject.service.clone(),
         call: subject.call.clone(),
     };
-    let text = receipt.encode(&shared.check);
+    let text = receipt.encode(&shared.mac_key);
     info!(shared.host.log, "refuse: {}", why.reason;
         "request" => subject.request.0, "run" => why.run.as_str(), "why" => &why.detail,
         "organisation" => subject.organisation.as_ref().map_or("-", OrgName::as_str));
@@ -113,7 +113,7 @@
         receipt: text.clone(),
         detail: why.detail.clone(),
     };
-    lock(&shared.journal).add(why.reason, record, wall);
+    lock(&shared.refusal_log).add(why.reason, record, wall);
     Refused {
         receipt: text,
         reason: why.reason,
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use chestnut_audit::{CheckKey, Copies, Journal, JournalConfig};
+use chestnut_audit::{MacKey, RefusalLog, RefusalLogConfig, ReplicaBatches};
 use chestnut_conf::{Book, BookDigest, Kind, OrgPolicy, Settings};
 use chestnut_fleet::{Confirm, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
@@ -29,7 +29,7 @@
 
 /// Maximum number of batches of refusal records stored for peers, to bound
 /// memory.
-const MAX_COPIES: usize = 32;
+const MAX_REPLICA_BATCHES: usize = 32;
 
 /// The latest read of one kind of object: its revision and the request time.
 #[derive(Clone, Copy)]
@@ -127,13 +127,13 @@
     pub(crate) tickets: Mutex<TicketRegistry>,
     pub(crate) dispatches: Mutex<Dispatches>,
     /// Refusal records that the platform doesn't have yet.
-    pub(crate) journal: Mutex<Journal>,
+    pub(crate) refusal_log: Mutex<RefusalLog>,
     /// Refusal records stored for peers.
-    pub(crate) copies: Mutex<Copies>,
+    pub(crate) replica_batches: Mutex<ReplicaBatches>,
     /// Leafs that are listed as leaving.
     pub(crate) leaving: Mutex<BTreeSet<LeafId>>,
     /// Key that authenticates receipts.
-    pub(crate) check: CheckKey,
+    pub(crate) mac_key: MacKey,
     pub(crate) metrics: Metrics,
     pub(crate) phase: watch::Sender<Phase>,
     /// Notified when members or services change.
@@ -174,13 +174,13 @@
             ttl: control.ticket,
             ..RegistryConfig::default()
         };
-        let journal = JournalConfig {
+        let refusal_log = RefusalLogConfig {
             interval: control.records,
-            ..JournalConfig::default()
+            ..RefusalLogConfig::default()
         };
         let now = ports.clock.now();
         Self {
-            check: CheckKey::from_secret(&control.secret),
+            mac_key: MacKey::from_secret(&control.secret),
             host: Host::new(
                 log,
                 match settings.log.level {
@@ -196,8 +196,12 @@
                 own.incarnation,
                 tickets,
             )),
-            journal: Mutex::new(Journal::new(journal, own.id.clone(), own.incarnation)),
-            copies: Mutex::new(Copies::new(MAX_COPIES)),
+            refusal_log: Mutex::new(RefusalLog::new(
+                refusal_log,
+                own.id.clone(),
+                own.incarnation,
+            )),
+            replica_batches: Mutex::new(ReplicaBatches::new(MAX_REPLICA_BATCHES)),
             metrics: Metrics::new(),
             settings,
             targets: ports.targets,
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -89,8 +89,8 @@
     };
     let members = members(shared);
     let (records_waiting, records_dropped) = {
-        let journal = lock(&shared.journal);
-        (journal.waiting(), journal.dropped())
+        let log = lock(&shared.refusal_log);
+        (log.unconfirmed(), log.dropped())
     };
     Status {
         member: shared.own.id.to_string(),
