--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/admission.rs
@@ -7,42 +7,44 @@
 use rand::Rng;
 use tokio::{sync::oneshot, time::sleep_until};
 
-use crate::{Cell, GateId, Host, lock};
+use crate::{Cell, QueueId, Runtime, lock};
 
 /// An admitted request. Dropping it releases its capacity to the next one.
 #[derive(Debug)]
-pub struct Running<'a, X> {
-    host: &'a Host,
+pub struct AdmittedRequest<'a, X> {
+    runtime: &'a Runtime,
     cell: Arc<Cell<X>>,
-    gate: GateId,
+    queue: QueueId,
     start: Time,
     /// Calls that the request made.
     pub calls: u32,
     /// Calls of the request that targets shed.
-    pub sheds: u32,
+    pub shed_calls: u32,
 }
 
-impl<X> Drop for Running<'_, X> {
+impl<X> Drop for AdmittedRequest<'_, X> {
     fn drop(&mut self) {
-        let now = self.host.now();
-        let mut rng = self.host.rng();
+        let now = self.runtime.now();
+        let mut rng = self.runtime.rng();
         let mut out = Vec::new();
-        let gate = self.gate;
+        let queue = self.queue;
         let mut state = lock(&self.cell.state);
         let stats = RequestStats {
             span: now.since(self.start),
             calls: self.calls,
-            shed_calls: self.sheds,
+            shed_calls: self.shed_calls,
         };
-        state.gate(gate).record_end(stats, now, &mut rng, &mut out);
-        state.deliver(gate, out, now, &mut rng);
+        state
+            .queue(queue)
+            .record_end(stats, now, &mut rng, &mut out);
+        state.deliver(queue, out, now, &mut rng);
     }
 }
 
 /// A queued request. Dropping it takes it out of the queue.
 struct QueueGuard<'a, X> {
     cell: &'a Cell<X>,
-    gate: GateId,
+    queue: QueueId,
     id: RequestId,
 }
 
@@ -50,7 +52,7 @@
     fn drop(&mut self) {
         let mut state = lock(&self.cell.state);
         if state.waiting.remove(&self.id).is_some() {
-            state.gate(self.gate).remove_queued(self.id);
+            state.queue(self.queue).remove_queued(self.id);
         }
     }
 }
@@ -62,24 +64,24 @@
 /// Returns the reason and the time to wait before a retry if the request is
 /// refused.
 pub async fn admit<'a, X>(
-    host: &'a Host,
+    runtime: &'a Runtime,
     cell: &Arc<Cell<X>>,
-    gate: GateId,
+    queue: QueueId,
     request: AdmitRequest,
-) -> Result<Running<'a, X>, (Reason, Duration)> {
-    let mut rng = host.rng();
-    let decision = match offer(host, cell, gate, request, &mut rng) {
+) -> Result<AdmittedRequest<'a, X>, (Reason, Duration)> {
+    let mut rng = runtime.rng();
+    let decision = match offer(runtime, cell, queue, request, &mut rng) {
         Ok(decision) => decision,
-        Err(receiver) => wait(host, cell, gate, request, receiver).await,
+        Err(receiver) => wait(runtime, cell, queue, request, receiver).await,
     };
     match decision {
-        Decision::Run => Ok(Running {
-            host,
+        Decision::Run => Ok(AdmittedRequest {
+            runtime,
             cell: cell.clone(),
-            gate,
-            start: host.now(),
+            queue,
+            start: runtime.now(),
             calls: 0,
-            sheds: 0,
+            shed_calls: 0,
         }),
         Decision::Refuse { reason, after } => Err((reason, after)),
         Decision::Wait => unreachable!("a queued request runs or is refused"),
@@ -89,17 +91,17 @@
 /// Returns the decision, or the channel that delivers it if the request is
 /// queued.
 fn offer<X>(
-    host: &Host,
+    runtime: &Runtime,
     cell: &Cell<X>,
-    gate: GateId,
+    queue: QueueId,
     request: AdmitRequest,
     rng: &mut dyn Rng,
 ) -> Result<Decision, oneshot::Receiver<Decision>> {
-    let now = host.now();
+    let now = runtime.now();
     let mut out = Vec::new();
     let mut state = lock(&cell.state);
-    let decision = state.gate(gate).offer(request, now, rng, &mut out);
-    state.deliver(gate, out, now, rng);
+    let decision = state.queue(queue).offer(request, now, rng, &mut out);
+    state.deliver(queue, out, now, rng);
     if decision != Decision::Wait {
         return Ok(decision);
     }
@@ -110,9 +112,9 @@
 
 /// Waits in the queue for the decision.
 async fn wait<X>(
-    host: &Host,
+    runtime: &Runtime,
     cell: &Cell<X>,
-    gate: GateId,
+    queue: QueueId,
     request: AdmitRequest,
     mut receiver: oneshot::Receiver<Decision>,
 ) -> Decision {
@@ -120,14 +122,14 @@
     const MIN_RECHECK: Duration = Duration::from_millis(1);
     let _guard = QueueGuard {
         cell,
-        gate,
+        queue,
         id: request.id,
     };
     loop {
-        let next_expiry = lock(&cell.state).gate(gate).next_expiry();
+        let next_expiry = lock(&cell.state).queue(queue).next_expiry();
         let next_expiry = next_expiry
             .unwrap_or(request.deadline)
-            .max(host.now() + MIN_RECHECK);
+            .max(runtime.now() + MIN_RECHECK);
         tokio::select! {
             biased;
             decision = &mut receiver => {
@@ -136,17 +138,17 @@
                     after: Duration::from_secs(1),
                 });
             }
-            () = sleep_until(host.clock.instant(next_expiry)) => expire(host, cell, gate),
+            () = sleep_until(runtime.clock.instant(next_expiry)) => expire(runtime, cell, queue),
         }
     }
 }
 
 /// Expires overdue queued requests and delivers the decisions.
-fn expire<X>(host: &Host, cell: &Cell<X>, gate: GateId) {
-    let now = host.now();
-    let mut rng = host.rng();
+fn expire<X>(runtime: &Runtime, cell: &Cell<X>, queue: QueueId) {
+    let now = runtime.now();
+    let mut rng = runtime.rng();
     let mut out = Vec::new();
     let mut state = lock(&cell.state);
-    state.gate(gate).expire(now, &mut rng, &mut out);
-    state.deliver(gate, out, now, &mut rng);
+    state.queue(queue).expire(now, &mut rng, &mut out);
+    state.deliver(queue, out, now, &mut rng);
 }
--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -7,18 +7,18 @@
 use rand::Rng;
 use tokio::sync::oneshot;
 
-/// Index of a gate in its cell. A gate is an admission queue: requests of one
-/// gate wait for each other. A new cell has one gate.
+/// Index of an admission queue in its cell. Requests of one queue wait for each
+/// other. A new cell has one queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GateId(u32);
+pub struct QueueId(u32);
 
 /// The state of a cell. `X` is what a protocol front end keeps beside it.
 #[derive(Debug)]
-pub struct State<X> {
+pub struct CellState<X> {
     /// The routing table of the back ends.
     pub table: Table,
-    /// Admission state by gate.
-    gates: Vec<Admission>,
+    /// Admission state by queue.
+    queues: Vec<Admission>,
     /// State of the protocol front end.
     pub extra: X,
     /// Channels on which queued requests receive their decision.
@@ -31,16 +31,16 @@
     /// Its name in logs and metrics.
     pub name: ServiceName,
     /// Its state. The lock is never held across an await.
-    pub state: Mutex<State<X>>,
+    pub state: Mutex<CellState<X>>,
 }
 
 impl<X> Cell<X> {
-    /// Creates a cell with no running requests and one gate.
+    /// Creates a cell with no running requests and one queue.
     #[must_use]
     pub fn new(name: ServiceName, table: Table, admission: Admission, extra: X) -> Self {
-        let state = State {
+        let state = CellState {
             table,
-            gates: vec![admission],
+            queues: vec![admission],
             extra,
             waiting: BTreeMap::new(),
         };
@@ -51,28 +51,28 @@
     }
 }
 
-impl<X> State<X> {
-    /// Adds a gate.
+impl<X> CellState<X> {
+    /// Adds a queue.
     ///
     /// # Panics
     ///
-    /// Panics if there are 2^32 gates already.
-    pub fn add_gate(&mut self, admission: Admission) -> GateId {
-        let id = GateId(u32::try_from(self.gates.len()).expect("fewer than 2^32 gates"));
-        self.gates.push(admission);
+    /// Panics if there are 2^32 queues already.
+    pub fn add_queue(&mut self, admission: Admission) -> QueueId {
+        let id = QueueId(u32::try_from(self.queues.len()).expect("fewer than 2^32 queues"));
+        self.queues.push(admission);
         id
     }
 
-    /// Returns the admission state of a gate.
-    pub fn gate(&mut self, id: GateId) -> &mut Admission {
-        &mut self.gates[id.0 as usize]
+    /// Returns the admission state of a queue.
+    pub fn queue(&mut self, id: QueueId) -> &mut Admission {
+        &mut self.queues[id.0 as usize]
     }
 
     /// Sends queued requests their decisions. If the caller of a released
     /// request has gone, its capacity goes to the next one.
     pub(crate) fn deliver(
         &mut self,
-        gate: GateId,
+        queue: QueueId,
         mut releases: Vec<Release>,
         now: Time,
         rng: &mut dyn Rng,
@@ -83,7 +83,7 @@
                 .remove(&release.id)
                 .is_some_and(|waiter| waiter.send(release.decision).is_ok());
             if !delivered && release.decision == Decision::Run {
-                self.gate(gate).release_slot(now, rng, &mut releases);
+                self.queue(queue).release_slot(now, rng, &mut releases);
             }
         }
     }
--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -15,11 +15,11 @@
 use slog::debug;
 use tokio::time::sleep_until;
 
-use crate::{Cell, Host, Trace, lock};
+use crate::{Cell, Runtime, TraceLevel, lock};
 
 /// The answer to one call.
 #[derive(Debug)]
-pub struct Parts<P> {
+pub struct CallReply<P> {
     /// The index version that the back end read.
     pub version: IndexVersion,
     /// Positions in the pinned routes, with the shards' parts of the answer.
@@ -30,7 +30,7 @@
 
 /// The parameters of a call to start.
 #[derive(Debug)]
-pub struct Start<'a> {
+pub struct CallRequest<'a> {
     /// The back end to call.
     pub to: Ix,
     /// The routes that the query pinned when it started.
@@ -38,17 +38,17 @@
     /// Positions in `routes` of the shards to ask.
     pub shards: Vec<usize>,
     /// Time left for the answer.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Why the call is made.
     pub kind: CallKind,
 }
 
 /// The future of a call in flight.
-pub type Flying<P> = BoxFuture<'static, Result<Parts<P>, Failure>>;
+pub type CallFuture<P> = BoxFuture<'static, Result<CallReply<P>, Failure>>;
 
-/// Calls to back ends on behalf of one request, as a protocol front end makes
-/// them.
-pub trait Calls {
+/// Makes calls to back ends on behalf of one request. Each protocol front end
+/// implements it.
+pub trait CallTransport {
     /// State that the front end keeps in its cells.
     type Extra;
     /// A shard's part of the answer.
@@ -58,14 +58,14 @@
     fn request(&self) -> &dyn Display;
 
     /// Starts a call. Dropping the future cancels it.
-    fn call(&self, start: Start<'_>) -> Flying<Self::Part>;
+    fn call(&self, request: CallRequest<'_>) -> CallFuture<Self::Part>;
 
     /// Called when a back end was ejected as an outlier.
-    fn evicted(&self, eviction: &Eviction);
+    fn on_eviction(&self, eviction: &Eviction);
 }
 
 /// A call in flight that can be cancelled.
-type Cancellable<P> = Abortable<BoxFuture<'static, (CallId, Result<Parts<P>, Failure>)>>;
+type Cancellable<P> = Abortable<BoxFuture<'static, (CallId, Result<CallReply<P>, Failure>)>>;
 
 /// A call in flight: its back end, its shards and the handle that cancels it.
 struct PendingCall {
@@ -76,10 +76,10 @@
 
 /// A query in progress. Dropping it cancels its calls and releases their
 /// capacity, so a caller that hangs up costs the targets nothing more.
-struct Fanout<'a, C: Calls> {
-    host: &'a Host,
+struct Fanout<'a, C: CallTransport> {
+    runtime: &'a Runtime,
     cell: &'a Cell<C::Extra>,
-    calls: &'a C,
+    transport: &'a C,
     query: Option<Query<C::Part>>,
     in_flight: FuturesUnordered<Cancellable<C::Part>>,
     pending: BTreeMap<CallId, PendingCall>,
@@ -88,10 +88,10 @@
 }
 
 /// Runs a query over all shards of `routes`, or over `subset`, to its end.
-pub async fn run<C: Calls>(
-    host: &Host,
+pub async fn run<C: CallTransport>(
+    runtime: &Runtime,
     cell: &Cell<C::Extra>,
-    calls: &C,
+    transport: &C,
     routes: Arc<Routes>,
     subset: Option<&[usize]>,
     config: QueryConfig,
@@ -100,26 +100,26 @@
     C::Part: 'static,
 {
     let mut fanout = Fanout {
-        host,
+        runtime,
         cell,
-        calls,
+        transport,
         query: None,
         in_flight: FuturesUnordered::new(),
         pending: BTreeMap::new(),
         actions: Vec::new(),
-        rng: host.rng(),
+        rng: runtime.rng(),
     };
     fanout.start(routes, subset, config);
     fanout.drive().await
 }
 
-impl<C: Calls> Fanout<'_, C>
+impl<C: CallTransport> Fanout<'_, C>
 where
     C::Part: 'static,
 {
     /// Starts the query, which queues its first calls.
     fn start(&mut self, routes: Arc<Routes>, subset: Option<&[usize]>, config: QueryConfig) {
-        let now = self.host.now();
+        let now = self.runtime.now();
         let mut state = lock(&self.cell.state);
         let mut cx = Context {
             table: &mut state.table,
@@ -138,7 +138,7 @@
             if query.end().is_some() {
                 return self.query.take().expect("the query has ended");
             }
-            let next_tick = self.host.clock.instant(query.next_tick());
+            let next_tick = self.runtime.clock.instant(query.next_tick());
             tokio::select! {
                 biased;
                 Some(reply) = self.in_flight.next(), if !self.in_flight.is_empty() => {
@@ -175,14 +175,14 @@
     fn call(&mut self, id: CallId, to: Ix, shards: Vec<usize>, kind: CallKind, deadline: Time) {
         self.log_choice(to, shards.len(), kind);
         let query = self.query.as_ref().expect("calls belong to a query");
-        let start = Start {
+        let request = CallRequest {
             to,
             routes: query.routes(),
             shards: shards.iter().map(|at| query.route_of(*at)).collect(),
-            left: deadline.since(self.host.now()),
+            time_left: deadline.since(self.runtime.now()),
             kind,
         };
-        let reply = self.calls.call(start);
+        let reply = self.transport.call(request);
         let future = async move { (id, reply.await) }.boxed();
         let (abort, registration) = AbortHandle::new_pair();
         self.in_flight.push(Abortable::new(future, registration));
@@ -190,7 +190,7 @@
     }
 
     /// Passes the reply of a call to the query.
-    fn handle_reply(&mut self, call: CallId, reply: Result<Parts<C::Part>, Failure>) {
+    fn handle_reply(&mut self, call: CallId, reply: Result<CallReply<C::Part>, Failure>) {
         let Some(sent) = self.pending.remove(&call) else {
             return;
         };
@@ -226,7 +226,7 @@
 
     /// Records that a back end reported that it is leaving.
     fn mark_draining(&self, ix: Ix) {
-        let now = self.host.now();
+        let now = self.runtime.now();
         let mut state = lock(&self.cell.state);
         if state.table.is_leaving(ix) {
             return;
@@ -234,17 +234,17 @@
         state.table.set_leaving(ix, true, now);
         let backend = state.table.backend(ix).clone();
         drop(state);
-        slog::info!(self.host.log, "hold: {backend} is leaving";
+        slog::info!(self.runtime.log, "hold: {backend} is leaving";
             "service" => %self.cell.name, "why" => "its own mark");
     }
 
     /// Logs the back end chosen for a call, as the trace level asks.
     fn log_choice(&self, to: Ix, shards: usize, kind: CallKind) {
         let level = match kind {
-            CallKind::First => Trace::All,
-            _ => Trace::Extra,
+            CallKind::First => TraceLevel::All,
+            _ => TraceLevel::Extra,
         };
-        if self.host.trace < level {
+        if self.runtime.trace < level {
             return;
         }
         let part = match kind {
@@ -253,22 +253,22 @@
             CallKind::Retry | CallKind::RetryAfterShed | CallKind::Reroute => "retry",
         };
         let backend = lock(&self.cell.state).table.backend(to).clone();
-        debug!(self.host.log, "{part}: {backend} for {shards} shards";
-            "request" => %self.calls.request(), "why" => kind.as_str());
+        debug!(self.runtime.log, "{part}: {backend} for {shards} shards";
+            "request" => %self.transport.request(), "why" => kind.as_str());
     }
 
     /// Logs a failed call, as the trace level asks.
     fn log_failure(&self, to: Ix, failure: Failure) {
-        if self.host.trace < Trace::Extra {
+        if self.runtime.trace < TraceLevel::Extra {
             return;
         }
         let backend = lock(&self.cell.state).table.backend(to).clone();
-        debug!(self.host.log, "retry: {backend} failed";
-            "request" => %self.calls.request(), "why" => %failure);
+        debug!(self.runtime.log, "retry: {backend} failed";
+            "request" => %self.transport.request(), "why" => %failure);
     }
 }
 
-impl<C: Calls> Fanout<'_, C> {
+impl<C: CallTransport> Fanout<'_, C> {
     /// Passes an event to the query under the cell's lock and logs the
     /// resulting evictions.
     fn with_query(&mut self, event: impl FnOnce(&mut Query<C::Part>, &mut Context<'_>)) {
@@ -278,7 +278,7 @@
         let mut state = lock(&self.cell.state);
         let mut cx = Context {
             table: &mut state.table,
-            now: self.host.now(),
+            now: self.runtime.now(),
             rng: &mut self.rng,
             actions: &mut self.actions,
         };
@@ -286,14 +286,14 @@
         let evictions = state.table.take_evictions();
         drop(state);
         for eviction in evictions {
-            self.calls.evicted(&eviction);
-            slog::info!(self.host.log, "evict: {} for {:?}", eviction.backend, eviction.span;
+            self.transport.on_eviction(&eviction);
+            slog::info!(self.runtime.log, "evict: {} for {:?}", eviction.backend, eviction.span;
                 "service" => %self.cell.name, "why" => %eviction.failure);
         }
     }
 }
 
-impl<C: Calls> Drop for Fanout<'_, C> {
+impl<C: CallTransport> Drop for Fanout<'_, C> {
     fn drop(&mut self) {
         self.with_query(|query, cx| query.cancel_all(cx));
     }
--- a/crates/flow/src/host.rs
+++ b/crates/flow/src/runtime.rs
@@ -9,7 +9,7 @@
 
 /// Which calls of requests are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Trace {
+pub enum TraceLevel {
     /// No calls.
     None,
     /// Extra calls and failed calls. An extra call is any call after the
@@ -21,21 +21,21 @@
 
 /// Log, clock and random numbers of one entry.
 #[derive(Debug)]
-pub struct Host {
+pub struct Runtime {
     /// The log.
     pub log: Logger,
     /// Which calls are logged.
-    pub trace: Trace,
+    pub trace: TraceLevel,
     /// The clock.
     pub clock: Clock,
     draws: AtomicU64,
     seed: u64,
 }
 
-impl Host {
-    /// Creates a host whose random numbers are derived from `seed`.
+impl Runtime {
+    /// Creates a runtime whose random numbers are derived from `seed`.
     #[must_use]
-    pub fn new(log: Logger, trace: Trace, clock: Clock, seed: u64) -> Self {
+    pub fn new(log: Logger, trace: TraceLevel, clock: Clock, seed: u64) -> Self {
         Self {
             log,
             trace,
@@ -62,9 +62,9 @@
 
 /// Guard that counts a request while it is served.
 #[derive(Debug)]
-pub struct InFlight<'a>(&'a AtomicU32);
+pub struct InFlightGuard<'a>(&'a AtomicU32);
 
-impl<'a> InFlight<'a> {
+impl<'a> InFlightGuard<'a> {
     /// Increments `count` until the guard is dropped.
     pub fn enter(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
@@ -72,7 +72,7 @@
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/relay/src/adverts.rs
+++ b/crates/relay/src/adverts.rs
@@ -78,7 +78,7 @@
                     }
                 }
                 Err(error) => {
-                    warn!(shared.host.log, "fleet: can't read the adverts"; "why" => %error);
+                    warn!(shared.runtime.log, "fleet: can't read the adverts"; "why" => %error);
                 }
             }
         }
@@ -101,7 +101,7 @@
     match adverts.publish(own.clone()).await {
         Ok(()) => true,
         Err(error) => {
-            warn!(shared.host.log, "fleet: can't publish the advert"; "why" => %error);
+            warn!(shared.runtime.log, "fleet: can't publish the advert"; "why" => %error);
             false
         }
     }
@@ -112,11 +112,11 @@
     let gone = members.gone_of(shared, list);
     for member in gone {
         info!(
-            shared.host.log,
+            shared.runtime.log,
             "fleet: removing the advert of {member}, which is gone"
         );
         if let Err(error) = adverts.remove(member).await {
-            warn!(shared.host.log, "fleet: can't remove an advert"; "why" => %error);
+            warn!(shared.runtime.log, "fleet: can't remove an advert"; "why" => %error);
             return;
         }
     }
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -11,7 +11,7 @@
 };
 
 use chestnut_book::Kind;
-use chestnut_flow::{Calls, Flying, Parts, Start, lock};
+use chestnut_flow::{CallFuture, CallReply, CallRequest, CallTransport, lock};
 use chestnut_port::{LeafCall, LeafFailure, LeafReply, Message};
 use chestnut_route::{Eviction, Failure};
 use chestnut_unit::LeafId;
@@ -50,7 +50,7 @@
 /// once: such a request can't be retried if the leaf has closed the connection.
 const ONCE_IDLE_MAX: Duration = Duration::from_millis(500);
 
-impl Calls for LeafCalls<'_> {
+impl CallTransport for LeafCalls<'_> {
     type Extra = Ground;
     type Part = LeafReply;
 
@@ -58,17 +58,17 @@
         &self.message.id
     }
 
-    fn call(&self, start: Start<'_>) -> Flying<LeafReply> {
+    fn call(&self, request: CallRequest<'_>) -> CallFuture<LeafReply> {
         let place = {
             let state = lock(&self.shared.cell.state);
-            let place = state.extra.places.get(&start.to).cloned();
-            let until = send_until(self.shared, &state, start.to);
+            let place = state.extra.places.get(&request.to).cloned();
+            let until = send_until(self.shared, &state, request.to);
             place
                 .zip(until)
                 .map(|(place, until)| (state.extra.connections(&place.service), place, until))
         };
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
-        self.shared.metrics.count_call(start.kind);
+        self.shared.metrics.count_call(request.kind);
         let Some((connections, place, until)) = place else {
             return async { Err(Failure::NotSent) }.boxed();
         };
@@ -78,7 +78,7 @@
             address: place.address,
             distance: place.distance,
             message: self.message.clone(),
-            left: start.left,
+            left: request.time_left,
             connections,
             idle: match self.kind {
                 Kind::Idempotent => Duration::MAX,
@@ -87,8 +87,9 @@
             until,
         };
         let reply = self.shared.forward.call(call);
-        let (last_failure, shards, merges) = (self.last_failure.clone(), start.shards, self.merges);
-        let version = start.routes.snapshot.version;
+        let (last_failure, shards, merges) =
+            (self.last_failure.clone(), request.shards, self.merges);
+        let version = request.routes.snapshot.version;
         let outcomes = self.outcomes.clone();
         async move {
             let reply = reply.await;
@@ -104,7 +105,7 @@
                     *lock(&last_failure) = Some(reply);
                     Err(Failure::Failed)
                 }
-                Ok(reply) => Ok(Parts {
+                Ok(reply) => Ok(CallReply {
                     version,
                     // A call asks for a single shard.
                     parts: shards.into_iter().map(|at| (at, reply.clone())).collect(),
@@ -122,7 +123,7 @@
         .boxed()
     }
 
-    fn evicted(&self, _: &Eviction) {
+    fn on_eviction(&self, _: &Eviction) {
         self.shared.metrics.evictions.inc();
     }
 }
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -166,7 +166,7 @@
     let Some(until) = state.table.permitted_until(ix, shared.now()) else {
         return Some(Time::MAX);
     };
-    let suspended = shared.host.clock.slept();
+    let suspended = shared.runtime.clock.slept();
     let lease = state.extra.cold.lease;
     let valid = lease.is_some_and(|lease| suspended <= lease.suspended + SUSPEND_TOLERANCE);
     valid.then_some(until)
@@ -178,7 +178,7 @@
         return;
     }
     let (incarnation, start) = {
-        let mut rng = shared.host.rng();
+        let mut rng = shared.runtime.rng();
         (rng.next_u64(), rng.next_u64())
     };
     let own = Owner(format!("{}/{incarnation:x}", shared.settings.entry.member));
@@ -206,7 +206,7 @@
             .max(now + MIN_WAKE_INTERVAL);
         tokio::select! {
             () = shared.cooled.notified() => {}
-            () = sleep_until(shared.host.clock.instant(wake)) => {}
+            () = sleep_until(shared.runtime.clock.instant(wake)) => {}
         }
     }
 }
@@ -214,12 +214,12 @@
 /// Makes a call to the store and passes its result to `leases`.
 async fn call_store(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
     shared.metrics.count_store("leases");
-    let (sent, suspended) = (shared.now(), shared.host.clock.slept());
+    let (sent, suspended) = (shared.now(), shared.runtime.clock.slept());
     match call {
         LeaseCall::List => match store.list().await {
             Ok(list) => leases.listed(list, shared.now()),
             Err(error) => {
-                warn!(shared.host.log, "hold: can't read the leases of cold leafs"; "why" => %error);
+                warn!(shared.runtime.log, "hold: can't read the leases of cold leafs"; "why" => %error);
                 leases.failed(shared.now());
             }
         },
@@ -230,7 +230,7 @@
         } => {
             let reply = store.grant(id, expected, owner.clone()).await;
             let reply = reply.unwrap_or_else(|error| {
-                warn!(shared.host.log, "hold: writing a lease of cold leafs failed, its outcome is unknown"; "lease" => %id, "why" => %error);
+                warn!(shared.runtime.log, "hold: writing a lease of cold leafs failed, its outcome is unknown"; "lease" => %id, "why" => %error);
                 LeaseReply::Unknown
             });
             let (before, owner_wanted) = (leases.is_holding(), owner.is_some());
@@ -243,7 +243,7 @@
                 (true, false, false) => "gave back",
                 _ => return,
             };
-            info!(shared.host.log, "hold: {event} lease {id} of cold leafs");
+            info!(shared.runtime.log, "hold: {event} lease {id} of cold leafs");
         }
     }
 }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use chestnut_book::{Kind, Rule, Target, greatest};
-use chestnut_flow::{InFlight, Running, admit, lock, run};
+use chestnut_flow::{AdmittedRequest, InFlightGuard, admit, lock, run};
 use chestnut_port::{LeafReply, Message};
 use chestnut_quarantine::Fingerprint;
 use chestnut_route::{
@@ -137,7 +137,7 @@
 
 /// Handles a request and logs its outcome.
 pub(crate) async fn forward(shared: &Shared, ask: Ask) -> Reply {
-    let _in_flight = InFlight::enter(&shared.in_flight);
+    let _in_flight = InFlightGuard::enter(&shared.in_flight);
     let start = shared.now();
     let mut log = RequestLog {
         rule: None,
@@ -183,10 +183,10 @@
     log.rule = Some(rule.clone());
     let fingerprint = ask.fingerprint();
     let trust = quarantine::admit(shared, fingerprint)?;
-    let draw = shared.host.rng().next_u64();
+    let draw = shared.runtime.rng().next_u64();
     let Plan {
         routes,
-        gate,
+        queue,
         class,
         ahead,
         timeliness,
@@ -200,7 +200,7 @@
         deadline,
         sheddable: Sheddable::Yes,
     };
-    let running = admit(&shared.host, &shared.cell, gate, request)
+    let admitted = admit(&shared.runtime, &shared.cell, queue, request)
         .await
         .map_err(|(reason, after)| not_run(Why::Declined(reason), Some(after)))?;
     let config = QueryConfig {
@@ -219,7 +219,7 @@
     let leaf_calls = leaf_calls(shared, &rule, ask);
     let _attempt = Attempt::new(shared, fingerprint, leaf_calls.outcomes.clone());
     let query = run(
-        &shared.host,
+        &shared.runtime,
         &shared.cell,
         &leaf_calls,
         routes,
@@ -241,9 +241,9 @@
         let outcomes = lock(&leaf_calls.outcomes);
         (log.lost_leafs, log.answered) = (outcomes.lost.len(), outcomes.answered);
     }
-    release(running, &query);
+    release(admitted, &query);
     let last_failure = lock(&leaf_calls.last_failure).take();
-    let retry_after = retry_after(timeout, shared.host.rng().next_u64());
+    let retry_after = retry_after(timeout, shared.runtime.rng().next_u64());
     reply(&rule, query, last_failure, retry_after)
 }
 
@@ -267,9 +267,9 @@
 }
 
 /// Releases the admission slot of a request and records its calls.
-fn release(mut running: Running<'_, Ground>, query: &Query<LeafReply>) {
-    running.calls = query.calls() as u32;
-    running.sheds = query.shed_calls();
+fn release(mut admitted: AdmittedRequest<'_, Ground>, query: &Query<LeafReply>) {
+    admitted.calls = query.calls() as u32;
+    admitted.shed_calls = query.shed_calls();
 }
 
 fn urgency(rank: u32) -> Urgency {
@@ -375,7 +375,7 @@
         Reply::Declined(declined) => format!("{:?}", declined.run),
         Reply::Whole(_) | Reply::Merged { .. } => "Ran".to_owned(),
     };
-    info!(shared.host.log, "forward: {outcome}";
+    info!(shared.runtime.log, "forward: {outcome}";
         "request" => &ask.message.id, "asks" => %ask.fingerprint(), "rule" => rule, "book" => log.version,
         "left_ms" => ask.left.map(|left| left.as_millis() as u64),
         "ahead_ms" => log.send_by.map(|send_by| send_by.as_millis() as u64),
--- a/crates/relay/src/ground.rs
+++ b/crates/relay/src/ground.rs
@@ -9,7 +9,7 @@
 };
 
 use chestnut_book::{RECORD, RouteBook, Rule, Target, Turns};
-use chestnut_flow::GateId;
+use chestnut_flow::QueueId;
 use chestnut_port::Distance;
 use chestnut_route::{
     Admission, AdmitConfig, Bounds, BudgetId, Class, ExtraBudget, Ix, LimitMode, Routes,
@@ -90,8 +90,8 @@
     pub(crate) free_classes: Vec<Class>,
     /// The extra-call budget of each service.
     pub(crate) budgets: BTreeMap<ServiceName, BudgetId>,
-    /// The admission gate of each list of services that a rule calls.
-    pub(crate) gates: BTreeMap<Vec<ServiceName>, GateId>,
+    /// The admission queue of each list of services that a rule calls.
+    pub(crate) queues: BTreeMap<Vec<ServiceName>, QueueId>,
     /// Cached routes of each list of services; cleared when leafs change.
     pub(crate) routes: BTreeMap<Vec<ServiceName>, Arc<Routes>>,
     /// Cached failure domains of the leafs; none until they are computed.
@@ -121,7 +121,7 @@
             rules: BTreeMap::new(),
             free_classes: Vec::new(),
             budgets: BTreeMap::new(),
-            gates: BTreeMap::new(),
+            queues: BTreeMap::new(),
             routes: BTreeMap::new(),
             leaf_domains: None,
             allotment: Allotment::unknown(),
@@ -193,7 +193,7 @@
 }
 
 /// The routing table and the relay state, which tasks share under one lock.
-pub(crate) type State = chestnut_flow::State<Ground>;
+pub(crate) type State = chestnut_flow::CellState<Ground>;
 
 /// Concurrent requests of one list of services. It bounds memory; the leafs' own queues
 /// limit concurrency first.
@@ -220,8 +220,8 @@
     }
 }
 
-/// Creates the admission gate of one list of services.
-pub(crate) fn gate() -> Admission {
+/// Creates the admission queue of one list of services.
+pub(crate) fn admission_queue() -> Admission {
     Admission::new(AdmitConfig {
         initial_limit: MAX_CONCURRENT_REQUESTS,
         queue_capacity: MAX_QUEUED_REQUESTS,
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -71,7 +71,7 @@
             settings.entry.member.clone(),
             settings.entry.domain.clone(),
             addresses(settings),
-            Incarnation(shared.host.clock.wall().0),
+            Incarnation(shared.runtime.clock.wall().0),
         );
         own.weight = settings.entry.weight();
         let config = SwimConfig {
@@ -112,7 +112,7 @@
             .collect::<Vec<_>>();
         let serving_count = lock(&self.serving_count).count();
         let mut list = carriers(&listed, homes.leafs, serving_count);
-        let mut rng = shared.host.rng();
+        let mut rng = shared.runtime.rng();
         while list.len() > most {
             let at = (rng.next_u64() % list.len() as u64) as usize;
             list.swap_remove(at);
@@ -237,7 +237,7 @@
     /// sample of members.
     fn status_updates(&self, shared: &Shared) -> Vec<Send> {
         let status = status(shared, self);
-        let mut rng = shared.host.rng();
+        let mut rng = shared.runtime.rng();
         let swim = lock(&self.swim);
         let alive = swim.view.others().filter(is_started);
         let alive = alive.filter(|member| member.liveness == Liveness::Alive);
@@ -334,7 +334,7 @@
     announce(&shared, &members).await;
     let mut versions = shared.version.subscribe();
     loop {
-        let wake = shared.host.clock.instant(lock(&members.swim).wake());
+        let wake = shared.runtime.clock.instant(lock(&members.swim).wake());
         let mut out = Vec::new();
         tokio::select! {
             biased;
@@ -345,7 +345,7 @@
             _ = versions.changed() => out = members.status_updates(&shared),
             () = sleep_until(wake) => {
                 let now = shared.now();
-                let mut rng = shared.host.rng();
+                let mut rng = shared.runtime.rng();
                 let status = status(&shared, &members);
                 let mut swim = lock(&members.swim);
                 swim.tell_load(members.load.load(Ordering::Relaxed));
@@ -441,7 +441,7 @@
             Change::Gone => "is gone",
             Change::None => continue,
         };
-        info!(shared.host.log, "fleet: {id} {state}");
+        info!(shared.runtime.log, "fleet: {id} {state}");
     }
     shared.choose.notify_one();
     share(shared, members);
--- a/crates/relay/src/pass.rs
+++ b/crates/relay/src/pass.rs
@@ -108,7 +108,7 @@
         let book = lock(&self.0.passed.books).since(have);
         let book = book.map_err(|error| FeedError::Refused(error.to_string()))?;
         self.0.metrics.passed_bytes.inc_by(book.delta.len() as u64);
-        debug!(self.0.host.log, "watch: sends book {} to a peer", book.version;
+        debug!(self.0.runtime.log, "watch: sends book {} to a peer", book.version;
             "since" => %have, "bytes" => book.delta.len());
         Ok(book)
     }
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use chestnut_book::{Rule, Target, Turns};
-use chestnut_flow::GateId;
+use chestnut_flow::QueueId;
 use chestnut_route::{
     Backend, Budget, BudgetId, Class, ExtraBudget, Ix, Route, Routes, Timeliness,
 };
@@ -11,7 +11,7 @@
 
 use crate::{
     callers::MaxRemaining,
-    ground::{RuleState, State, gate},
+    ground::{RuleState, State, admission_queue},
 };
 
 /// Classes of calls, one per rule; further rules share the first one. The limit bounds
@@ -22,8 +22,8 @@
 pub(crate) struct Plan {
     /// The replicas of each shard.
     pub(crate) routes: Arc<Routes>,
-    /// The admission gate that the request has to pass.
-    pub(crate) gate: GateId,
+    /// The admission queue that the request has to pass.
+    pub(crate) queue: QueueId,
     /// The class of calls whose statistics the request uses.
     pub(crate) class: Class,
     /// Time from the request's arrival to when its answer must be sent to meet the latency
@@ -58,17 +58,17 @@
             routes
         }
     };
-    let gate = match state.extra.gates.get(&services) {
-        Some(gate) => *gate,
+    let queue = match state.extra.queues.get(&services) {
+        Some(queue) => *queue,
         None => {
-            let id = state.add_gate(gate());
-            state.extra.gates.insert(services, id);
+            let id = state.add_queue(admission_queue());
+            state.extra.queues.insert(services, id);
             id
         }
     };
     Plan {
         routes,
-        gate,
+        queue,
         class,
         ahead,
         timeliness,
--- a/crates/relay/src/pull.rs
+++ b/crates/relay/src/pull.rs
@@ -18,7 +18,7 @@
 pub(crate) async fn run(shared: Arc<Shared>, sources: Arc<Sources>) {
     let mut fetches = FuturesUnordered::new();
     loop {
-        let (now, draw) = (shared.now(), shared.host.rng().next_u64());
+        let (now, draw) = (shared.now(), shared.runtime.rng().next_u64());
         let pull = lock(&shared.spread).next(draw, now);
         let wake = match pull {
             Pull::From(peer) => {
@@ -31,7 +31,7 @@
         };
         tokio::select! {
             Some(peer) = fetches.next() => lock(&shared.spread).ended(peer),
-            () = sleep_until(shared.host.clock.instant(wake)) => {}
+            () = sleep_until(shared.runtime.clock.instant(wake)) => {}
             () = shared.newer.notified() => {}
         }
     }
@@ -63,7 +63,7 @@
     match apply_delta(&raw, current.as_deref()) {
         Ok((rules, book)) => {
             shared.metrics.count_reading("taken");
-            debug!(shared.host.log, "watch: read book {}", book.version; "peer" => %peer,
+            debug!(shared.runtime.log, "watch: read book {}", book.version; "peer" => %peer,
                 "since" => %have, "rules" => rules, "bytes" => raw.delta.len(), "ms" => ms);
             shared.take_book(book, Upstream::Peer(peer));
             serve_if_ready(shared);
@@ -83,7 +83,7 @@
 
 fn record_failure(shared: &Shared, peer: SocketAddr, why: &str, ms: u64) {
     shared.metrics.count_reading("failed");
-    info!(shared.host.log, "watch: a peer did not pass on its book"; "peer" => %peer,
+    info!(shared.runtime.log, "watch: a peer did not pass on its book"; "peer" => %peer,
         "why" => why, "ms" => ms);
     lock(&shared.spread).failed(peer, shared.now());
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -99,7 +99,7 @@
             }
             if changed {
                 info!(
-                    shared.host.log,
+                    shared.runtime.log,
                     "quarantine: a leaf answered {}", self.fingerprint
                 );
                 shared.ledger_changed.notify_one();
@@ -116,7 +116,7 @@
         match shared.doubts.try_send(suspect) {
             Ok(()) | Err(TrySendError::Closed(_)) => {}
             Err(TrySendError::Full(_)) => {
-                warn!(shared.host.log, "quarantine: too many suspect attempts to check, one is dropped"; "asks" => %self.fingerprint);
+                warn!(shared.runtime.log, "quarantine: too many suspect attempts to check, one is dropped"; "asks" => %self.fingerprint);
             }
         }
     }
@@ -210,7 +210,7 @@
         .metrics
         .set_quarantine_records(ledger.len(), ledger.refused_count(now));
     drop(ledger);
-    info!(shared.host.log, "quarantine: leafs ended under {fingerprint}, which none answered";
+    info!(shared.runtime.log, "quarantine: leafs ended under {fingerprint}, which none answered";
         "leafs" => names.join(" "), "stand" => format!("{decision:?}"));
     if changed {
         shared.ledger_changed.notify_one();
@@ -224,7 +224,7 @@
 fn queue_update(shared: &Shared, fingerprint: Fingerprint) {
     // A dropped update is no loss while other entries still have the record.
     if shared.record_updates.try_send(fingerprint).is_err() {
-        warn!(shared.host.log, "quarantine: too many records to write, one is dropped"; "asks" => %fingerprint);
+        warn!(shared.runtime.log, "quarantine: too many records to write, one is dropped"; "asks" => %fingerprint);
     }
 }
 
@@ -257,7 +257,7 @@
         let wake = due.unwrap_or(shared.now() + EXPIRY_INTERVAL);
         tokio::select! {
             () = shared.ledger_changed.notified() => continue,
-            () = sleep_until(shared.host.clock.instant(wake)) => {}
+            () = sleep_until(shared.runtime.clock.instant(wake)) => {}
         }
         if due.is_some() {
             lock(&shared.ledger).record_push(shared.now());
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -76,7 +76,7 @@
     let mut next_write = Time::MAX;
     let mut last_read = None;
     loop {
-        let wake = shared.host.clock.instant(next_check.min(next_write));
+        let wake = shared.runtime.clock.instant(next_check.min(next_write));
         tokio::select! {
             update = updates.recv() => match update {
                 Some(fingerprint) => {
@@ -119,13 +119,13 @@
         shared.metrics.count_store("records");
         let written = match report {
             Some(report) => {
-                let at = shared.host.clock.wall();
+                let at = shared.runtime.clock.wall();
                 records.write(Record { report, at }).await
             }
             None => records.remove(fingerprint).await,
         };
         if let Err(error) = written {
-            warn!(shared.host.log, "quarantine: the store did not take the record of {fingerprint}"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: the store did not take the record of {fingerprint}"; "why" => %error);
             if !matches!(error, FeedError::Refused(_)) {
                 return false;
             }
@@ -143,11 +143,11 @@
     let list = match records.list().await {
         Ok(list) => list,
         Err(error) => {
-            warn!(shared.host.log, "quarantine: can't read the records"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: can't read the records"; "why" => %error);
             return;
         }
     };
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let reports: Vec<SuspectReport> = list
         .into_iter()
         .map(|record| record.report.aged(wall.since(record.at)))
@@ -165,11 +165,11 @@
     };
     for fingerprint in obsolete {
         info!(
-            shared.host.log,
+            shared.runtime.log,
             "quarantine: removing the record of {fingerprint}, which no longer applies"
         );
         if let Err(error) = records.remove(fingerprint).await {
-            warn!(shared.host.log, "quarantine: can't remove a record"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: can't remove a record"; "why" => %error);
             return;
         }
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -8,7 +8,7 @@
 };
 
 use chestnut_book::{CallerLimits, RouteBook};
-use chestnut_flow::{Host, lock};
+use chestnut_flow::{Runtime, lock};
 use chestnut_port::{Feed, FeedService, Forward, Probes, Traffic};
 use chestnut_unit::{DomainName, LeafId};
 use futures::future::BoxFuture;
@@ -75,12 +75,16 @@
     /// # Errors
     ///
     /// The address for peers can't be bound.
-    pub async fn spawn(settings: RelaySettings, host: Host, ports: RelayPorts) -> io::Result<Self> {
+    pub async fn spawn(
+        settings: RelaySettings,
+        runtime: Runtime,
+        ports: RelayPorts,
+    ) -> io::Result<Self> {
         let (suspect_sender, suspects) = quarantine::suspect_channel();
         let (update_sender, updates) = records::update_channel();
         let shared = Shared::new(
             settings,
-            host,
+            runtime,
             ports.forward,
             ports.traffic,
             suspect_sender,
@@ -205,7 +209,7 @@
     pub async fn leave(&self) {
         let shared = &self.shared;
         shared.phase.send_replace(Phase::Leaving);
-        info!(shared.host.log, "fleet: {} is leaving", shared.settings.entry.member;
+        info!(shared.runtime.log, "fleet: {} is leaving", shared.settings.entry.member;
             "in_flight" => self.in_flight());
         members::leave(shared, &self.members).await;
     }
@@ -220,7 +224,7 @@
             sleep(POLL_INTERVAL).await;
         }
         members::announce_stop(&self.shared, &self.members).await;
-        info!(self.shared.host.log, "fleet: {} has stopped", self.shared.settings.entry.member;
+        info!(self.shared.runtime.log, "fleet: {} has stopped", self.shared.settings.entry.member;
             "in_flight" => self.in_flight());
     }
 }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -80,7 +80,7 @@
             .iter()
             .map(|(kind, n)| format!("{kind}={n}"))
             .collect();
-        info!(shared.host.log, "spend: bytes"; "bytes" => now.since(&bytes), "store" => store_calls.join(", "));
+        info!(shared.runtime.log, "spend: bytes"; "bytes" => now.since(&bytes), "store" => store_calls.join(", "));
         bytes = now;
         let (next, delay, samples, overrun) = {
             let state = lock(&shared.cell.state);
@@ -94,7 +94,7 @@
             )
         };
         if next.counts.first > extra.counts.first {
-            info!(shared.host.log, "spend: extra calls";
+            info!(shared.runtime.log, "spend: extra calls";
                 "earned" => next.totals.earned - extra.totals.earned,
                 "lost" => next.totals.discarded - extra.totals.discarded,
                 "spent" => next.totals.spent - extra.totals.spent,
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -11,7 +11,7 @@
 };
 
 use chestnut_book::{BookVersion, RouteBook};
-use chestnut_flow::{Cell, Host, lock};
+use chestnut_flow::{Cell, Runtime, lock};
 use chestnut_port::{Distance, Forward, Traffic};
 use chestnut_quarantine::{Fingerprint, SuspectLedger};
 use chestnut_route::{Choice, Class, Table, TableConfig};
@@ -22,7 +22,7 @@
 use crate::{
     allot::Allotment,
     cold::refresh_cold,
-    ground::{Ground, Homes, gate, set_bounds, set_budgets},
+    ground::{Ground, Homes, admission_queue, set_bounds, set_budgets},
     metrics::Metrics,
     pass::Passed,
     pulse::Pulse,
@@ -52,7 +52,7 @@
     /// The settings that the entry started with.
     pub(crate) settings: RelaySettings,
     /// Clock, log and random numbers.
-    pub(crate) host: Host,
+    pub(crate) runtime: Runtime,
     /// The routing table and the relay state, under one lock.
     pub(crate) cell: Arc<Cell<Ground>>,
     /// The port for calls to leafs.
@@ -101,7 +101,7 @@
     /// Creates the state of an entry that starts.
     pub(crate) fn new(
         settings: RelaySettings,
-        host: Host,
+        runtime: Runtime,
         forward: Arc<dyn Forward>,
         traffic: Arc<Traffic>,
         doubts: mpsc::Sender<Doubt>,
@@ -114,10 +114,10 @@
         };
         let ground = Ground::new(&settings);
         let name = ServiceName::new("relay").expect("a legal name");
-        let cell = Cell::new(name, Table::new(config), gate(), ground);
+        let cell = Cell::new(name, Table::new(config), admission_queue(), ground);
         Self {
             settings,
-            host,
+            runtime,
             cell: Arc::new(cell),
             forward,
             metrics: Metrics::new(),
@@ -144,7 +144,7 @@
 
     /// Returns the current time.
     pub(crate) fn now(&self) -> Time {
-        self.host.now()
+        self.runtime.now()
     }
 
     /// Returns the lifecycle phase.
@@ -178,7 +178,7 @@
         self.metrics.set_behind(behind);
         drop(spread);
         if is_newer {
-            info!(self.host.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
+            info!(self.runtime.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
         }
         // Also if the version was known: a remote peer may have reported it first, and a
         // local peer can be asked at once.
@@ -215,7 +215,7 @@
         let behind = spread.taken(version, now).unwrap_or_default();
         self.metrics.set_behind(spread.behind(now));
         drop(spread);
-        info!(self.host.log, "watch: book {version} is in force"; "rules" => rules, "from" => %from,
+        info!(self.runtime.log, "watch: book {version} is in force"; "rules" => rules, "from" => %from,
             "behind_ms" => behind.as_millis() as u64);
         self.version.send_replace(version);
         self.cooled.notify_one();
@@ -247,7 +247,7 @@
         state.extra.allotment = allotment;
         set_budgets(state);
         set_bounds(state);
-        info!(self.host.log, "fleet: {} carriers, {} others", allotment.carriers, allotment.others;
+        info!(self.runtime.log, "fleet: {} carriers, {} others", allotment.carriers, allotment.others;
             "this" => format!("{:?}", allotment.part));
     }
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -178,7 +178,7 @@
         Err(error) => {
             lock(&shared.upstreams).store_failed(now + check_delay(shared));
             if choose_upstream(shared, members) != Upstream::Store {
-                info!(shared.host.log, "watch: the store does not answer"; "why" => %error);
+                info!(shared.runtime.log, "watch: the store does not answer"; "why" => %error);
                 return PollOutcome::TryNext;
             }
             mark_lost(shared, &error, now);
@@ -222,7 +222,7 @@
             PollOutcome::StoreLost
         }
         Err(error) => {
-            info!(shared.host.log, "watch: a peer does not relay the store";
+            info!(shared.runtime.log, "watch: a peer does not relay the store";
                 "peer" => %peer, "why" => %error);
             shared.failed(peer);
             PollOutcome::TryNext
@@ -235,7 +235,7 @@
     let mut new = false;
     shared.pulse.send_modify(|pulse| new = pulse.failed(now));
     if new {
-        warn!(shared.host.log, "watch: lost the store"; "why" => %error);
+        warn!(shared.runtime.log, "watch: lost the store"; "why" => %error);
     }
 }
 
@@ -248,7 +248,7 @@
 async fn check_store(shared: &Shared, sources: &Sources) -> Time {
     shared.metrics.count_store("pulse");
     let answer = sources.book.pulse().await;
-    info!(shared.host.log, "watch: asked the store, which the peers have lost";
+    info!(shared.runtime.log, "watch: asked the store, which the peers have lost";
         "answers" => answer.is_ok());
     let now = shared.now();
     match answer {
@@ -280,7 +280,7 @@
     });
     if new && followed.is_some() {
         shared.metrics.count_move(cause);
-        info!(shared.host.log, "watch: hears from {upstream}"; "why" => %cause);
+        info!(shared.runtime.log, "watch: hears from {upstream}"; "why" => %cause);
     }
     upstream
 }
@@ -292,7 +292,7 @@
         .pulse
         .send_modify(|pulse| lost = pulse.answered(revision, now));
     if let Some(span) = lost {
-        info!(shared.host.log, "watch: the store is back"; "lost_ms" => span.as_millis() as u64);
+        info!(shared.runtime.log, "watch: the store is back"; "lost_ms" => span.as_millis() as u64);
         lock(&shared.cell.state).extra.leafs.returned(now);
     }
 }
@@ -321,5 +321,5 @@
 
 /// Returns a random number from 0 to 1.
 fn random_fraction(shared: &Shared) -> f64 {
-    shared.host.rng().next_u64() as f64 / u64::MAX as f64
+    shared.runtime.rng().next_u64() as f64 / u64::MAX as f64
 }
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/take.rs
@@ -124,7 +124,7 @@
             } else {
                 wake.min(now + CHECK_INTERVAL)
             };
-            sleep_until(shared.host.clock.instant(wake)).await;
+            sleep_until(shared.runtime.clock.instant(wake)).await;
             continue;
         }
         let mut moves = Vec::new();
@@ -144,7 +144,7 @@
             // Logged with each heartbeat of a leaf that warms up.
             Moved::Cooled(id, until) => {
                 let left = until.since(shared.now()).as_millis() as u64;
-                debug!(shared.host.log, "hold: leaf {id} is cold"; "revision" => revision, "left_ms" => left);
+                debug!(shared.runtime.log, "hold: leaf {id} is cold"; "revision" => revision, "left_ms" => left);
                 continue;
             }
             Moved::Came(id, _) => ("takes work", id),
@@ -158,7 +158,7 @@
         if let Moved::Gone(id) | Moved::Reborn(id, _) = moved {
             shared.forward.forget(id);
         }
-        info!(shared.host.log, "hold: leaf {id} {event}"; "revision" => revision);
+        info!(shared.runtime.log, "hold: leaf {id} {event}"; "revision" => revision);
     }
 }
 
@@ -208,9 +208,9 @@
             let state = lock(&shared.cell.state);
             state.extra.leafs.within(domain).count()
         };
-        info!(shared.host.log, "hold: domain {domain} {event}"; "revision" => revision, "leafs" => leafs);
+        info!(shared.runtime.log, "hold: domain {domain} {event}"; "revision" => revision, "leafs" => leafs);
         if leafs == 0 {
-            warn!(shared.host.log, "hold: no leaf is known in domain {domain}"; "revision" => revision);
+            warn!(shared.runtime.log, "hold: no leaf is known in domain {domain}"; "revision" => revision);
         }
     }
 }
@@ -222,7 +222,7 @@
             Content::Is(book) => book,
             Content::Deleted | Content::Malformed => {
                 warn!(
-                    shared.host.log,
+                    shared.runtime.log,
                     "watch: the book was deleted or can't be read, the last one stays in force"
                 );
                 continue;
@@ -268,7 +268,7 @@
         });
     if serves {
         let after = shared.now().since(Time::ZERO);
-        info!(shared.host.log, "fleet: {} serves", shared.settings.entry.member;
+        info!(shared.runtime.log, "fleet: {} serves", shared.settings.entry.member;
             "after_ms" => after.as_millis() as u64);
     }
 }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -78,7 +78,7 @@
     // The store may have answered meanwhile. An older list beside its watch would lack
     // leafs for good that the watch does not report again.
     if lock(&shared.passed.leafs).is_behind(&leafs) {
-        info!(shared.host.log, "watch: loads the state of {from}"; "revision" => leafs.revision);
+        info!(shared.runtime.log, "watch: loads the state of {from}"; "revision" => leafs.revision);
         update_leafs(shared, leafs, true);
     }
 }
@@ -118,7 +118,7 @@
             }
             Ok(_) => {}
             Err(error) => {
-                warn!(shared.host.log, "watch: can't read which domains are evacuated"; "why" => %error);
+                warn!(shared.runtime.log, "watch: can't read which domains are evacuated"; "why" => %error);
             }
         }
     }
@@ -173,7 +173,7 @@
                 }
             }
             (Err(error @ FeedError::HistoryGone), _) => {
-                follower.failed(&error, &mut shared.host.rng());
+                follower.failed(&error, &mut shared.runtime.rng());
             }
             (Err(FeedError::Lost | FeedError::Elsewhere(_)), Upstream::Peer(_)) => {
                 // The next heartbeat shows the outcome, and the upstream to use.
@@ -181,14 +181,14 @@
                 sleep(LOST_BACKOFF).await;
             }
             (Err(error), Upstream::Peer(peer)) => {
-                info!(shared.host.log, "watch: a peer failed"; "what" => what,
+                info!(shared.runtime.log, "watch: a peer failed"; "what" => what,
                     "peer" => %peer, "why" => %error);
                 shared.failed(peer);
                 sleep(PEER_BACKOFF).await;
             }
             (Err(error), Upstream::Store) => {
-                let backoff = follower.failed(&error, &mut shared.host.rng());
-                warn!(shared.host.log, "watch: a call failed"; "what" => what,
+                let backoff = follower.failed(&error, &mut shared.runtime.rng());
+                warn!(shared.runtime.log, "watch: a call failed"; "what" => what,
                     "why" => %error, "rest_ms" => backoff.as_millis() as u64);
                 sleep(backoff).await;
             }
@@ -226,7 +226,7 @@
     };
     shared.metrics.count_reading(kind);
     if answer.is_none() {
-        debug!(shared.host.log, "watch: cancelled a call for the {what}"; "from" => %from,
+        debug!(shared.runtime.log, "watch: cancelled a call for the {what}"; "from" => %from,
             "after_ms" => shared.now().since(started).as_millis() as u64);
     }
 }
@@ -272,7 +272,7 @@
                 started = shared.now();
             }
             answer => {
-                info!(shared.host.log, "watch: a watch missed a change"; "revision" => revision);
+                info!(shared.runtime.log, "watch: a watch missed a change"; "revision" => revision);
                 return Some(answer);
             }
         }
@@ -328,7 +328,7 @@
         if until.is_some_and(|until| until <= shared.now()) {
             return;
         }
-        let wake = shared.host.clock.instant(until.unwrap_or(Time::MAX));
+        let wake = shared.runtime.clock.instant(until.unwrap_or(Time::MAX));
         tokio::select! {
             // An error means that the entry ends.
             _ = pulses.changed() => {}
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -18,7 +18,7 @@
 use chestnut_book::{
     BookVersion, CallerLimits, ColdRule, Kind, RouteBook, Rule, ServiceRule, Target,
 };
-use chestnut_flow::{Host, Trace, lock};
+use chestnut_flow::{Runtime, TraceLevel, lock};
 use chestnut_port::{Clock, Message};
 use chestnut_relay::{
     Ask, FeedPeers, LeafEntry, LeafState, Phase, Relay, RelayPorts, RelaySettings, Reply,
@@ -76,7 +76,7 @@
         let settings = RelaySettings::parse(&text, Path::new("entry.toml")).unwrap();
         let probes = self.net.join(settings.listen.peers);
         let log = Logger::root(Discard, o!());
-        let host = Host::new(log, Trace::None, Clock::start(), u64::from(n));
+        let runtime = Runtime::new(log, TraceLevel::None, Clock::start(), u64::from(n));
         let own = settings.listen.peers;
         let feeds = self.feeds.handle_for(own);
         let ports = RelayPorts {
@@ -94,7 +94,7 @@
             probes: Arc::new(probes),
             traffic: Arc::default(),
         };
-        Relay::spawn(settings, host, ports).await.unwrap()
+        Relay::spawn(settings, runtime, ports).await.unwrap()
     }
 
     /// Starts entry number `n` and waits until it serves.
--- a/crates/tier/src/boot.rs
+++ b/crates/tier/src/boot.rs
@@ -40,7 +40,7 @@
         starting
     });
     shared.place.notify_one();
-    info!(shared.host.log, "fleet: {} serves", shared.own.id);
+    info!(shared.runtime.log, "fleet: {} serves", shared.own.id);
 }
 
 /// Reads all configuration from the platform, then the VMs; returns whether the
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Display, net::SocketAddr};
 
 use bytes::Bytes;
-use chestnut_flow::{Calls, Parts, Start, lock};
+use chestnut_flow::{CallReply, CallRequest, CallTransport, lock};
 use chestnut_port::{LeafAnswer, LeafQuery, PeerError, SubAnswer, SubQuery};
 use chestnut_route::{Eviction, Failure, Routes};
 use chestnut_unit::{LeafId, RequestId, ShardName};
@@ -27,9 +27,9 @@
 }
 
 /// The pending result of one call.
-type CallFuture = BoxFuture<'static, Result<Parts<Bytes>, Failure>>;
+type CallFuture = BoxFuture<'static, Result<CallReply<Bytes>, Failure>>;
 
-impl Calls for Ask<'_> {
+impl CallTransport for Ask<'_> {
     type Extra = Placed;
     type Part = Bytes;
 
@@ -37,55 +37,60 @@
         &self.request
     }
 
-    fn call(&self, start: Start<'_>) -> CallFuture {
-        self.shared.metrics.count_call(start.kind);
+    fn call(&self, request: CallRequest<'_>) -> CallFuture {
+        self.shared.metrics.count_call(request.kind);
         let place = lock(&self.service.state)
             .extra
             .places
-            .get(&start.to)
+            .get(&request.to)
             .cloned();
         match place {
-            Some(Place::Leaf(leaf, address)) => self.call_leaf(leaf, address, &start),
-            Some(Place::Peer(_, address)) => self.call_peer(address, &start),
+            Some(Place::Leaf(leaf, address)) => self.call_leaf(leaf, address, &request),
+            Some(Place::Peer(_, address)) => self.call_peer(address, &request),
             None => async { Err(Failure::NotSent) }.boxed(),
         }
     }
 
-    fn evicted(&self, _: &Eviction) {
+    fn on_eviction(&self, _: &Eviction) {
         self.shared.metrics.evictions.inc();
     }
 }
 
 impl Ask<'_> {
     /// Sends the shards of a call to a leaf.
-    fn call_leaf(&self, leaf: LeafId, address: SocketAddr, start: &Start<'_>) -> CallFuture {
-        let names = shard_names(start.routes, &start.shards);
+    fn call_leaf(
+        &self,
+        leaf: LeafId,
+        address: SocketAddr,
+        request: &CallRequest<'_>,
+    ) -> CallFuture {
+        let names = shard_names(request.routes, &request.shards);
         let call = LeafQuery {
             leaf,
             address,
             request: self.request,
             service: self.service.name.clone(),
-            version: start.routes.snapshot.version,
+            version: request.routes.snapshot.version,
             shards: names.iter().map(|(name, _)| name.clone()).collect(),
             body: self.body.clone(),
-            deadline: start.left,
+            deadline: request.time_left,
         };
         let targets = self.shared.targets.clone();
-        async move { Ok(parts_of_leaf(&names, targets.query(call).await?)) }.boxed()
+        async move { Ok(reply_of_leaf(&names, targets.query(call).await?)) }.boxed()
     }
 
     /// Sends the shards of a call to a peer that connects to their leafs.
-    fn call_peer(&self, address: SocketAddr, start: &Start<'_>) -> CallFuture {
+    fn call_peer(&self, address: SocketAddr, request: &CallRequest<'_>) -> CallFuture {
         let query = SubQuery {
             request: self.request,
             service: self.service.name.clone(),
-            index: start.routes.snapshot.version,
-            shards: start.shards.iter().map(|ix| *ix as u32).collect(),
+            index: request.routes.snapshot.version,
+            shards: request.shards.iter().map(|ix| *ix as u32).collect(),
             body: self.body.clone(),
-            deadline: start.left,
+            deadline: request.time_left,
         };
         let peers = self.shared.peers().clone();
-        async move { parts_of_peer(peers.query(address, query).await) }.boxed()
+        async move { reply_of_peer(peers.query(address, query).await) }.boxed()
     }
 }
 
@@ -96,12 +101,12 @@
 }
 
 /// Maps a leaf's answer to shard indices; drops shards that were not asked for.
-fn parts_of_leaf(names: &[(ShardName, usize)], answer: LeafAnswer) -> Parts<Bytes> {
+fn reply_of_leaf(names: &[(ShardName, usize)], answer: LeafAnswer) -> CallReply<Bytes> {
     let position = |name: &ShardName| {
         let is_named = |(shard, _): &&(ShardName, usize)| shard == name;
         names.iter().find(is_named).map(|(_, ix)| *ix)
     };
-    Parts {
+    CallReply {
         version: answer.version,
         draining: answer.draining,
         parts: answer
@@ -113,9 +118,9 @@
 }
 
 /// Converts a peer's answer, and maps a transport error to a failure.
-fn parts_of_peer(answer: Result<SubAnswer, PeerError>) -> Result<Parts<Bytes>, Failure> {
+fn reply_of_peer(answer: Result<SubAnswer, PeerError>) -> Result<CallReply<Bytes>, Failure> {
     match answer {
-        Ok(SubAnswer::Parts { index, parts }) => Ok(Parts {
+        Ok(SubAnswer::Parts { index, parts }) => Ok(CallReply {
             version: index,
             draining: false,
             parts: parts
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -57,7 +57,7 @@
         }
         sleep(RETRY_BACKOFF).await;
     }
-    warn!(shared.host.log, "conf: gave up on the edit of {}: no answer from the platform",
+    warn!(shared.runtime.log, "conf: gave up on the edit of {}: no answer from the platform",
         request.key; "edit" => &request.id);
     if sent {
         Err(EditError::Unsettled { id: request.id })
@@ -98,7 +98,7 @@
         id: request.id.clone(),
         version: version + 1,
         by: request.by.clone(),
-        at: shared.host.clock.wall(),
+        at: shared.runtime.clock.wall(),
     };
     let next = Stored::next(stored.as_ref(), request.spec.clone(), edit);
     let value = serde_json::to_value(next).expect("stored objects serialize to JSON");
@@ -128,7 +128,7 @@
 
 /// Logs an accepted edit, applies it here and sends it to the peers.
 fn apply_edit(shared: &Arc<Shared>, request: &EditRequest, object: Object) {
-    info!(shared.host.log, "conf: accepted {} version {}", request.key, object.version;
+    info!(shared.runtime.log, "conf: accepted {} version {}", request.key, object.version;
         "edit" => &request.id, "by" => &request.by);
     spread::take(shared, vec![object], "an edit here");
 }
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -11,7 +11,7 @@
 /// Sends and answers probes until the entry stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let wake = shared.host.clock.instant(lock(&shared.swim).wake());
+        let wake = shared.runtime.clock.instant(lock(&shared.swim).wake());
         let mut out = Vec::new();
         tokio::select! {
             biased;
@@ -76,7 +76,7 @@
             Change::Gone => "is gone",
             Change::None => continue,
         };
-        info!(shared.host.log, "fleet: {id} {event}");
+        info!(shared.runtime.log, "fleet: {id} {event}");
         changed |= change != Change::Suspected;
         if change == Change::Gone {
             lock(&shared.conf).confirm.forget(&id);
--- a/crates/tier/src/leafs.rs
+++ b/crates/tier/src/leafs.rs
@@ -49,7 +49,7 @@
         } else {
             "back"
         };
-        info!(shared.host.log, "hold: leaf {id} is {event}";
+        info!(shared.runtime.log, "hold: leaf {id} is {event}";
             "service" => %service.name, "why" => "its own mark");
     }
     let mut state = lock(&service.state);
@@ -94,7 +94,7 @@
         added.push(id.clone());
         for service in shared.services() {
             if mark_leaving(&service, id, true, now) {
-                info!(shared.host.log, "hold: leaf {id} is leaving";
+                info!(shared.runtime.log, "hold: leaf {id} is leaving";
                     "service" => %service.name, "why" => why);
             }
         }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -56,12 +56,16 @@
     fn records(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
             Ok(batch) => lock(&self.0.replica_batches).add(batch),
-            Err(_) => slog::warn!(self.0.host.log, "refuse: invalid records from a peer"),
+            Err(_) => slog::warn!(self.0.runtime.log, "refuse: invalid records from a peer"),
         }
     }
 
     fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation {
-        info!(self.0.host.log, "keep: took over {} tickets", tickets.len());
+        info!(
+            self.0.runtime.log,
+            "keep: took over {} tickets",
+            tickets.len()
+        );
         lock(&self.0.tickets).adopt(tickets);
         self.0.own.incarnation
     }
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -52,7 +52,7 @@
         let more = now_held.difference(&held).count();
         let fewer = held.difference(&now_held).count();
         info!(
-            shared.host.log,
+            shared.runtime.log,
             "hold: {} leafs, {more} added, {fewer} released",
             now_held.len()
         );
@@ -113,7 +113,7 @@
                 services.insert(name, object);
             }
             _ => slog::warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "hold: skipped invalid service object {name}"
             ),
         }
@@ -126,7 +126,7 @@
                 layouts.entry(service).or_default().push(layout);
             }
             Err(_) => slog::warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "hold: skipped invalid layout object {name}"
             ),
         }
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -10,7 +10,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use chestnut_conf::{CallKind, CallPolicy, OrgPolicy};
-use chestnut_flow::{GateId, InFlight, Running, Trace, admit, run};
+use chestnut_flow::{AdmittedRequest, InFlightGuard, QueueId, TraceLevel, admit, run};
 use chestnut_port::{SubAnswer, SubQuery};
 use chestnut_route::{
     AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal, Routes, Sheddable,
@@ -159,7 +159,7 @@
 
 /// Answers a caller's query.
 pub(crate) async fn answer(shared: &Shared, request: QueryRequest) -> Result<Answer, Refused> {
-    let _flight = InFlight::enter(&shared.in_flight);
+    let _flight = InFlightGuard::enter(&shared.in_flight);
     let start = shared.now();
     let mut subject = Subject {
         request: shared.next_request(),
@@ -194,17 +194,17 @@
     let _permit = org_permit(shared, &request.organisation, &effective, policy)?;
     let deadline = deadline(shared, request.deadline, policy);
     let admission = admit_request(subject, policy, deadline);
-    let mut running = admit(&shared.host, &service, GateId::default(), admission)
+    let mut admitted = admit(&shared.runtime, &service, QueueId::default(), admission)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
-    if shared.host.trace > Trace::None {
-        debug!(shared.host.log, "admit: query of {} admitted", request.service;
+    if shared.runtime.trace > TraceLevel::None {
+        debug!(shared.runtime.log, "admit: query of {} admitted", request.service;
             "request" => subject.request.0, "why" => policy.urgency.as_str());
     }
     let config = QueryConfig::new(deadline, policy.least);
     let FanOut { query, run } =
-        fan_out(shared, &service, request, subject, config, &mut running).await?;
-    drop(running);
+        fan_out(shared, &service, request, subject, config, &mut admitted).await?;
+    drop(admitted);
     let coverage = query.coverage();
     if !coverage.reaches(policy.least) {
         return Err(coverage_refusal(&query, run));
@@ -234,7 +234,7 @@
     request: &QueryRequest,
     subject: &Subject,
     config: QueryConfig,
-    running: &mut Running<'_, Placed>,
+    admitted: &mut AdmittedRequest<'_, Placed>,
 ) -> Result<FanOut, Why> {
     let asked = Ask {
         shared,
@@ -248,9 +248,9 @@
         let Some(routes) = pin_snapshot(shared, service) else {
             break;
         };
-        let query = run(&shared.host, service, &asked, routes, None, config).await;
-        running.calls += query.calls() as u32;
-        running.sheds += query.shed_calls();
+        let query = run(&shared.runtime, service, &asked, routes, None, config).await;
+        admitted.calls += query.calls() as u32;
+        admitted.shed_calls += query.shed_calls();
         none_ran &= query.not_run().is_some();
         let lost = query.end() == Some(End::Partial(PartialReason::SnapshotLost));
         let better = best
@@ -262,7 +262,7 @@
         if !lost {
             break;
         }
-        debug!(shared.host.log, "retry: the snapshot is gone, restarting the query";
+        debug!(shared.runtime.log, "retry: the snapshot is gone, restarting the query";
             "request" => subject.request.0);
     }
     let query =
@@ -330,7 +330,7 @@
     if running >= MAX_IN_FLIGHT {
         return SubAnswer::Failed(Failure::Refused(Refusal::Shed));
     }
-    let _flight = InFlight::enter(&shared.in_flight);
+    let _flight = InFlightGuard::enter(&shared.in_flight);
     let Some(service) = shared.service(&part.service) else {
         return SubAnswer::Failed(Failure::Refused(Refusal::NoSnapshot));
     };
@@ -361,7 +361,7 @@
         body: part.body,
     };
     let query = run(
-        &shared.host,
+        &shared.runtime,
         &service,
         &asked,
         routes,
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -57,7 +57,7 @@
     let copied = shared.peers().records(address, Bytes::from(copy)).await;
     if copied.is_ok() {
         info!(
-            shared.host.log,
+            shared.runtime.log,
             "refuse: copied {} records to {peer}",
             batch.records.len()
         );
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -91,7 +91,7 @@
 
 /// Makes the receipt of a refusal, then logs, counts and records it.
 pub(crate) fn refuse(shared: &Shared, subject: &Subject, why: Why) -> Refused {
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let receipt = Receipt {
         entry: shared.own.id.clone(),
         request: subject.request,
@@ -105,7 +105,7 @@
         call: subject.call.clone(),
     };
     let text = receipt.encode(&shared.mac_key);
-    info!(shared.host.log, "refuse: {}", why.reason;
+    info!(shared.runtime.log, "refuse: {}", why.reason;
         "request" => subject.request.0, "run" => why.run.as_str(), "why" => &why.detail,
         "organisation" => subject.organisation.as_ref().map_or("-", OrgName::as_str));
     shared.metrics.count_refusal(why.reason);
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use chestnut_conf::{ReplicaChoice, RouteSettings};
-use chestnut_flow::{Cell, State as FlowState, lock};
+use chestnut_flow::{Cell, CellState, lock};
 use chestnut_route::{Admission, AdmitConfig, Backend, Choice, Ix, Table, TableConfig, Versions};
 use chestnut_unit::{LeafId, MemberId, ServiceName, Time};
 
@@ -30,7 +30,7 @@
 /// A service with its table of back ends, admission queue and routes.
 pub(crate) type Service = Cell<Placed>;
 /// The part of a [`Service`] behind its lock.
-pub(crate) type State = FlowState<Placed>;
+pub(crate) type State = CellState<Placed>;
 
 /// Creates a service without back ends or routes.
 pub(crate) fn new(name: ServiceName, route: &RouteSettings) -> Service {
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -12,7 +12,7 @@
 use chestnut_conf::{Book, BookDigest, Kind, OrgPolicy, Settings};
 use chestnut_fleet::{Confirm, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
-use chestnut_flow::{Host, Trace};
+use chestnut_flow::{Runtime, TraceLevel};
 use chestnut_once::{RegistryConfig, TicketRegistry};
 use chestnut_port::{Clock, Peers, Platform, Probes, SubmitReply, Targets};
 use chestnut_route::OrgLimiters;
@@ -111,7 +111,7 @@
 /// The shared state of one entry.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) host: Host,
+    pub(crate) runtime: Runtime,
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) probes: Arc<dyn Probes>,
@@ -181,11 +181,11 @@
         let now = ports.clock.now();
         Self {
             mac_key: MacKey::from_secret(&control.secret),
-            host: Host::new(
+            runtime: Runtime::new(
                 log,
                 match settings.log.level {
-                    chestnut_conf::LogLevel::Debug => Trace::All,
-                    _ => Trace::None,
+                    chestnut_conf::LogLevel::Debug => TraceLevel::All,
+                    _ => TraceLevel::None,
                 },
                 ports.clock,
                 seed,
@@ -234,7 +234,7 @@
 
     /// The current time of the entry's clock.
     pub(crate) fn now(&self) -> Time {
-        self.host.now()
+        self.runtime.now()
     }
 
     /// The current lifecycle phase.
@@ -249,7 +249,7 @@
 
     /// A random generator for one decision or request, derived from the seed.
     pub(crate) fn rng(&self) -> ChaCha8Rng {
-        self.host.rng()
+        self.runtime.rng()
     }
 
     /// Fills a ticket's nonce from the system's random source. Nonces from the
--- a/crates/tier/src/spread.rs
+++ b/crates/tier/src/spread.rs
@@ -42,7 +42,7 @@
             Applied::Old => {
                 shared.metrics.stale.inc();
                 debug!(
-                    shared.host.log,
+                    shared.runtime.log,
                     "conf: ignored stale {} version {}", object.key, object.version
                 );
             }
@@ -55,7 +55,7 @@
     conf.clear_policies();
     drop(conf);
     for object in &new {
-        info!(shared.host.log, "conf: {} version {} in force", object.key, object.version;
+        info!(shared.runtime.log, "conf: {} version {} in force", object.key, object.version;
             "from" => from);
     }
     if new
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use chestnut_conf::CallKind;
-use chestnut_flow::{GateId, InFlight, Trace, admit};
+use chestnut_flow::{InFlightGuard, QueueId, TraceLevel, admit};
 use chestnut_once::{Claim, Outcome};
 use chestnut_port::{Dispatch, LeafSubmit, PeerError, Submission, SubmitReply};
 use chestnut_route::{Attempt, Ended, Failure, Ix, NotRun, Refusal, Routes, choose_replica};
@@ -32,7 +32,7 @@
 pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refused> {
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let minted = lock(&shared.tickets).mint(nonce, wall);
     let Some(ticket) = minted else {
         let subject = Subject {
@@ -53,7 +53,7 @@
     shared: &Arc<Shared>,
     request: SubmitRequest,
 ) -> Result<SubmitOutcome, Refused> {
-    let _flight = InFlight::enter(&shared.in_flight);
+    let _flight = InFlightGuard::enter(&shared.in_flight);
     let mut subject = Subject {
         request: shared.next_request(),
         organisation: Some(request.organisation.clone()),
@@ -110,7 +110,7 @@
         return keep(shared, submission).await;
     }
     debug!(
-        shared.host.log,
+        shared.runtime.log,
         "keep: forwarding submission to {}", keeper.id
     );
     forward(shared, keeper.addresses.peers, submission).await
@@ -134,7 +134,7 @@
 /// Runs a submission whose ticket this entry keeps, or replies with the outcome
 /// of an earlier use.
 pub(crate) async fn keep(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let body = body_hash(&submission);
     let claim = lock(&shared.tickets).claim(&submission.ticket, body, wall);
     match claim {
@@ -263,7 +263,7 @@
     let _permit = query::org_permit(shared, &submission.organisation, &effective, policy)?;
     let deadline = query::deadline(shared, Some(submission.deadline), policy);
     let admission = query::admit_request(subject, policy, deadline);
-    let _running = admit(&shared.host, &service, GateId::default(), admission)
+    let _admitted = admit(&shared.runtime, &service, QueueId::default(), admission)
         .await
         .map_err(|(reason, after)| Why::not_run(reason, "at admission").after(after))?;
     let now = shared.now();
@@ -366,12 +366,12 @@
 
 /// Logs the replica that was chosen and the number of the attempt.
 fn log_choice(shared: &Shared, place: &Place, params: &CallParams, earlier: usize) {
-    if shared.host.trace == Trace::None {
+    if shared.runtime.trace == TraceLevel::None {
         return;
     }
     let (Place::Leaf(_, address) | Place::Peer(_, address)) = place;
     let part = if earlier == 0 { "choose" } else { "retry" };
-    debug!(shared.host.log, "{part}: {address} for a submission";
+    debug!(shared.runtime.log, "{part}: {address} for a submission";
         "request" => params.request.0, "why" => format!("attempt {}", earlier + 1));
 }
 
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -221,7 +221,7 @@
         if !entered {
             return;
         }
-        info!(shared.host.log, "fleet: {} is leaving", shared.own.id);
+        info!(shared.runtime.log, "fleet: {} is leaving", shared.own.id);
         let started = shared.now();
         lock(&shared.swim).leave(None);
         announce(shared).await;
@@ -232,7 +232,7 @@
         let drained = timeout(grace, wait_until_idle(shared)).await;
         if drained.is_err() {
             warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "fleet: requests are still in flight after {grace:?}"
             );
         }
@@ -247,14 +247,14 @@
             .is_err()
         {
             warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "fleet: the last records could not be written"
             );
         }
         let messages = lock(&shared.swim).stop(shared.status(), LEAVE_FANOUT);
         gossip::send_all(shared, messages).await;
         shared.phase.send_replace(Phase::Stopped);
-        info!(shared.host.log, "fleet: {} has stopped", shared.own.id);
+        info!(shared.runtime.log, "fleet: {} has stopped", shared.own.id);
     }
 }
 
@@ -305,7 +305,7 @@
         sleep(SUCCESSOR_BACKOFF).await;
     }
     warn!(
-        shared.host.log,
+        shared.runtime.log,
         "keep: no member took over the tickets; outcomes of repeats will be unknown"
     );
 }
@@ -325,7 +325,10 @@
     let Ok(life) = shared.peers().adopt(address, tickets).await else {
         return false;
     };
-    info!(shared.host.log, "keep: handed {count} tickets to {member}");
+    info!(
+        shared.runtime.log,
+        "keep: handed {count} tickets to {member}"
+    );
     lock(&shared.swim).leave(Some(Heir { member, life }));
     true
 }
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -35,7 +35,7 @@
         let turn = is_watcher(&shared);
         if turn != watching {
             let word = if turn { "watches" } else { "no longer watches" };
-            info!(shared.host.log, "conf: this entry {word} the platform";
+            info!(shared.runtime.log, "conf: this entry {word} the platform";
                 "domain" => %shared.own.domain);
             watching = turn;
         }
@@ -67,7 +67,7 @@
     tokio::select! {
         biased;
         () = async { futures::future::select_all(watches.map(Box::pin)).await; } => {
-            warn!(shared.host.log, "conf: the watch of the platform ended");
+            warn!(shared.runtime.log, "conf: the watch of the platform ended");
         }
         () = read_vms(shared) => {}
         () = until_turn_ends(shared) => {}
@@ -89,7 +89,7 @@
             }
             Err(PlatformError::Unavailable) => return,
             Err(error) => {
-                warn!(shared.host.log, "conf: watch of {kind} failed"; "why" => %error);
+                warn!(shared.runtime.log, "conf: watch of {kind} failed"; "why" => %error);
                 return;
             }
         }
