--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -10,8 +10,8 @@
 use chestnut_book::BookVersion;
 use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
 use chestnut_fleet::{Addresses, Liveness, Member, Message, MessageKind, Successor};
-use chestnut_once::{Handed, Outcome, Ticket};
-use chestnut_quarantine::{Fingerprint, LeafMark, Report};
+use chestnut_once::{HandedTicket, Outcome, Ticket};
+use chestnut_quarantine::{Fingerprint, LeafHash, SuspectReport};
 use chestnut_route::{Failure, Refusal};
 use chestnut_unit::{
     CallType, DomainName, Incarnation, IndexVersion, LeafId, OrgName, Reason, RequestId,
@@ -144,14 +144,14 @@
 }
 
 /// Writes the reports on suspect requests.
-fn put_reports(reports: &[Report], mut to: struct_list::Builder<'_, schema::case::Owned>) {
+fn put_reports(reports: &[SuspectReport], mut to: struct_list::Builder<'_, schema::case::Owned>) {
     for (at, report) in reports.iter().enumerate() {
         let mut to = to.reborrow().get(at as u32);
-        to.set_what(report.what.0);
-        to.set_cleared_ms(report.cleared.map_or(-1, |age| age.as_millis() as i64));
+        to.set_what(report.fingerprint.0);
+        to.set_cleared_ms(report.answered.map_or(-1, |age| age.as_millis() as i64));
         to.set_episodes(report.episodes);
-        let mut crashes = to.init_strikes(report.strikes.len() as u32);
-        for (at, (leaf, age)) in report.strikes.iter().enumerate() {
+        let mut crashes = to.init_strikes(report.crashes.len() as u32);
+        for (at, (leaf, age)) in report.crashes.iter().enumerate() {
             let mut crash = crashes.reborrow().get(at as u32);
             crash.set_leaf(leaf.0);
             crash.set_ago_ms(u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
@@ -160,22 +160,22 @@
 }
 
 /// Reads the reports on suspect requests.
-fn get_reports(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<Report>> {
+fn get_reports(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<SuspectReport>> {
     from.iter().map(get_report).collect()
 }
 
 /// Reads a report on a suspect request, with the leafs that crashed under it.
-fn get_report(from: schema::case::Reader<'_>) -> Read<Report> {
+fn get_report(from: schema::case::Reader<'_>) -> Read<SuspectReport> {
     let crashes = from.get_strikes()?;
     let crashes = crashes.iter().map(|crash| {
         let age = Duration::from_millis(u64::from(crash.get_ago_ms()));
-        (LeafMark(crash.get_leaf()), age)
+        (LeafHash(crash.get_leaf()), age)
     });
-    let cleared = u64::try_from(from.get_cleared_ms()).ok();
-    Ok(Report {
-        what: Fingerprint(from.get_what()),
-        cleared: cleared.map(Duration::from_millis),
-        strikes: crashes.collect(),
+    let answered = u64::try_from(from.get_cleared_ms()).ok();
+    Ok(SuspectReport {
+        fingerprint: Fingerprint(from.get_what()),
+        answered: answered.map(Duration::from_millis),
+        crashes: crashes.collect(),
         episodes: from.get_episodes(),
     })
 }
@@ -441,7 +441,7 @@
 
 /// Writes tickets that are handed over, with their outcomes if settled.
 pub(crate) fn put_handed(
-    tickets: &[Handed],
+    tickets: &[HandedTicket],
     mut to: struct_list::Builder<'_, schema::handed::Owned>,
 ) {
     for (at, handed) in (0u32..).zip(tickets) {
@@ -458,7 +458,7 @@
 /// Reads tickets that are handed over.
 pub(crate) fn get_handed(
     from: struct_list::Reader<'_, schema::handed::Owned>,
-) -> Read<Vec<Handed>> {
+) -> Read<Vec<HandedTicket>> {
     let get_item = |item: schema::handed::Reader<'_>| {
         let settled = if item.get_settled() {
             let outcome = to_outcome(get_reply(item.get_outcome()?)?);
@@ -466,7 +466,7 @@
         } else {
             None
         };
-        Ok(Handed {
+        Ok(HandedTicket {
             ticket: parse(item.get_ticket()?)?,
             settled,
         })
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -4,7 +4,7 @@
 
 use chestnut_flow::lock;
 use chestnut_port::FeedError;
-use chestnut_quarantine::{Fingerprint, Report};
+use chestnut_quarantine::{Fingerprint, SuspectReport};
 use chestnut_unit::{Time, Wall};
 use futures::future::BoxFuture;
 use slog::{info, warn};
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The crashes under the request, at the time of writing.
-    pub report: Report,
+    pub report: SuspectReport,
     /// The time of writing.
     pub at: Wall,
 }
@@ -76,7 +76,7 @@
     let mut next_write = Time::MAX;
     let mut last_read = None;
     loop {
-        let wake = shared.host.clock.instant(next_check.min(next_write));
+        let wake = shared.runtime.clock.instant(next_check.min(next_write));
         tokio::select! {
             update = updates.recv() => match update {
                 Some(fingerprint) => {
@@ -115,17 +115,17 @@
     pending: &mut BTreeSet<Fingerprint>,
 ) -> bool {
     while let Some(fingerprint) = pending.first().copied() {
-        let report = lock(&shared.ledger).verdict(fingerprint, shared.now());
+        let report = lock(&shared.ledger).blame_report(fingerprint, shared.now());
         shared.metrics.count_store("records");
         let written = match report {
             Some(report) => {
-                let at = shared.host.clock.wall();
+                let at = shared.runtime.clock.wall();
                 records.write(Record { report, at }).await
             }
             None => records.remove(fingerprint).await,
         };
         if let Err(error) = written {
-            warn!(shared.host.log, "quarantine: the store did not take the record of {fingerprint}"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: the store did not take the record of {fingerprint}"; "why" => %error);
             if !matches!(error, FeedError::Refused(_)) {
                 return false;
             }
@@ -143,12 +143,12 @@
     let list = match records.list().await {
         Ok(list) => list,
         Err(error) => {
-            warn!(shared.host.log, "quarantine: can't read the records"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: can't read the records"; "why" => %error);
             return;
         }
     };
-    let wall = shared.host.clock.wall();
-    let reports: Vec<Report> = list
+    let wall = shared.runtime.clock.wall();
+    let reports: Vec<SuspectReport> = list
         .into_iter()
         .map(|record| record.report.aged(wall.since(record.at)))
         .collect();
@@ -158,18 +158,18 @@
     }
     let obsolete: Vec<Fingerprint> = {
         let ledger = lock(&shared.ledger);
-        let fingerprints = reports.iter().map(|report| report.what);
+        let fingerprints = reports.iter().map(|report| report.fingerprint);
         fingerprints
-            .filter(|fingerprint| !ledger.blames(*fingerprint))
+            .filter(|fingerprint| !ledger.is_blamed(*fingerprint))
             .collect()
     };
     for fingerprint in obsolete {
         info!(
-            shared.host.log,
+            shared.runtime.log,
             "quarantine: removing the record of {fingerprint}, which no longer applies"
         );
         if let Err(error) = records.remove(fingerprint).await {
-            warn!(shared.host.log, "quarantine: can't remove a record"; "why" => %error);
+            warn!(shared.runtime.log, "quarantine: can't remove a record"; "why" => %error);
             return;
         }
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -11,9 +11,9 @@
 };
 
 use chestnut_book::{BookVersion, RouteBook};
-use chestnut_flow::{Cell, Host, lock};
+use chestnut_flow::{Cell, Runtime, lock};
 use chestnut_port::{Distance, Forward, Traffic};
-use chestnut_quarantine::{Fingerprint, Ledger};
+use chestnut_quarantine::{Fingerprint, SuspectLedger};
 use chestnut_route::{Choice, Class, Table, TableConfig};
 use chestnut_unit::{RequestId, ServiceName, Time};
 use slog::info;
@@ -22,7 +22,7 @@
 use crate::{
     allot::Allotment,
     cold::refresh_cold,
-    ground::{Ground, Homes, gate, set_bounds, set_budgets},
+    ground::{Ground, Homes, admission_queue, set_bounds, set_budgets},
     metrics::Metrics,
     pass::Passed,
     pulse::Pulse,
@@ -52,7 +52,7 @@
     /// The settings that the entry started with.
     pub(crate) settings: RelaySettings,
     /// Clock, log and random numbers.
-    pub(crate) host: Host,
+    pub(crate) runtime: Runtime,
     /// The routing table and the relay state, under one lock.
     pub(crate) cell: Arc<Cell<Ground>>,
     /// The port for calls to leafs.
@@ -82,13 +82,13 @@
     /// Notified when the upstream has to be chosen again.
     pub(crate) choose: Notify,
     /// The crash records of suspect requests.
-    pub(crate) ledger: Mutex<Ledger>,
+    pub(crate) ledger: Mutex<SuspectLedger>,
     /// Notified when the ledger has updates to send.
-    pub(crate) struck: Notify,
+    pub(crate) ledger_changed: Notify,
     /// Queue of failed calls to examine for a suspect request.
     pub(crate) doubts: mpsc::Sender<Doubt>,
     /// Queue of requests whose record in the store has to be updated.
-    pub(crate) verdicts: mpsc::Sender<Fingerprint>,
+    pub(crate) record_updates: mpsc::Sender<Fingerprint>,
     /// Requests that run now.
     pub(crate) in_flight: AtomicU32,
     /// Total number of calls to leafs.
@@ -101,11 +101,11 @@
     /// Creates the state of an entry that starts.
     pub(crate) fn new(
         settings: RelaySettings,
-        host: Host,
+        runtime: Runtime,
         forward: Arc<dyn Forward>,
         traffic: Arc<Traffic>,
         doubts: mpsc::Sender<Doubt>,
-        verdicts: mpsc::Sender<Fingerprint>,
+        record_updates: mpsc::Sender<Fingerprint>,
     ) -> Self {
         let config = TableConfig {
             choice: Choice::Predicted,
@@ -114,10 +114,10 @@
         };
         let ground = Ground::new(&settings);
         let name = ServiceName::new("relay").expect("a legal name");
-        let cell = Cell::new(name, Table::new(config), gate(), ground);
+        let cell = Cell::new(name, Table::new(config), admission_queue(), ground);
         Self {
             settings,
-            host,
+            runtime,
             cell: Arc::new(cell),
             forward,
             metrics: Metrics::new(),
@@ -133,9 +133,9 @@
             cooled: Notify::new(),
             choose: Notify::new(),
             ledger: Mutex::default(),
-            struck: Notify::new(),
+            ledger_changed: Notify::new(),
             doubts,
-            verdicts,
+            record_updates,
             in_flight: AtomicU32::new(0),
             calls: AtomicU64::new(0),
             requests: AtomicU64::new(1),
@@ -144,7 +144,7 @@
 
     /// Returns the current time.
     pub(crate) fn now(&self) -> Time {
-        self.host.now()
+        self.runtime.now()
     }
 
     /// Returns the lifecycle phase.
@@ -178,7 +178,7 @@
         self.metrics.set_behind(behind);
         drop(spread);
         if is_newer {
-            info!(self.host.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
+            info!(self.runtime.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
         }
         // Also if the version was known: a remote peer may have reported it first, and a
         // local peer can be asked at once.
@@ -215,7 +215,7 @@
         let behind = spread.taken(version, now).unwrap_or_default();
         self.metrics.set_behind(spread.behind(now));
         drop(spread);
-        info!(self.host.log, "watch: book {version} is in force"; "rules" => rules, "from" => %from,
+        info!(self.runtime.log, "watch: book {version} is in force"; "rules" => rules, "from" => %from,
             "behind_ms" => behind.as_millis() as u64);
         self.version.send_replace(version);
         self.cooled.notify_one();
@@ -247,7 +247,7 @@
         state.extra.allotment = allotment;
         set_budgets(state);
         set_bounds(state);
-        info!(self.host.log, "fleet: {} carriers, {} others", allotment.carriers, allotment.others;
+        info!(self.runtime.log, "fleet: {} carriers, {} others", allotment.carriers, allotment.others;
             "this" => format!("{:?}", allotment.part));
     }
 }
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -57,7 +57,7 @@
         }
         sleep(RETRY_BACKOFF).await;
     }
-    warn!(shared.host.log, "conf: gave up on the edit of {}: no answer from the platform",
+    warn!(shared.runtime.log, "conf: gave up on the edit of {}: no answer from the platform",
         request.key; "edit" => &request.edit_id);
     if sent {
         Err(EditError::Unconfirmed {
@@ -100,7 +100,7 @@
         id: request.edit_id.clone(),
         version: version + 1,
         by: request.author.clone(),
-        at: shared.host.clock.wall(),
+        at: shared.runtime.clock.wall(),
     };
     let next = Stored::next(stored.as_ref(), request.spec.clone(), edit);
     let value = serde_json::to_value(next).expect("stored objects serialize to JSON");
@@ -130,7 +130,7 @@
 
 /// Logs an accepted edit, applies it here and sends it to the peers.
 fn apply_edit(shared: &Arc<Shared>, request: &EditRequest, object: Object) {
-    info!(shared.host.log, "conf: accepted {} version {}", request.key, object.version;
+    info!(shared.runtime.log, "conf: accepted {} version {}", request.key, object.version;
         "edit" => &request.edit_id, "by" => &request.author);
     propagation::apply_and_forward(shared, vec![object], "an edit here");
 }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use chestnut_conf::{Object, ObjectKey};
 use chestnut_fleet::Member;
-use chestnut_once::Handed;
+use chestnut_once::HandedTicket;
 use chestnut_port::{Dispatch, PeerService, SubAnswer, SubQuery, Submission, SubmitReply};
 use chestnut_route::Failure;
 use chestnut_unit::{Incarnation, LeafId};
@@ -55,14 +55,18 @@
 
     fn records(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
-            Ok(batch) => lock(&self.0.peer_records).add(batch),
-            Err(_) => slog::warn!(self.0.host.log, "refuse: invalid records from a peer"),
+            Ok(batch) => lock(&self.0.replica_batches).add(batch),
+            Err(_) => slog::warn!(self.0.runtime.log, "refuse: invalid records from a peer"),
         }
     }
 
-    fn adopt(&self, tickets: Vec<Handed>) -> Incarnation {
-        info!(self.0.host.log, "keep: took over {} tickets", tickets.len());
-        lock(&self.0.keeper).adopt(tickets);
+    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation {
+        info!(
+            self.0.runtime.log,
+            "keep: took over {} tickets",
+            tickets.len()
+        );
+        lock(&self.0.tickets).adopt(tickets);
         self.0.own.incarnation
     }
 }
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -91,7 +91,7 @@
 
 /// Makes the receipt of a refusal, then logs, counts and records it.
 pub(crate) fn refuse(shared: &Shared, subject: &Subject, cause: RefusalCause) -> Refusal {
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let receipt = Receipt {
         entry: shared.own.id.clone(),
         request: subject.request,
@@ -104,8 +104,8 @@
         service: subject.service.clone(),
         call: subject.call.clone(),
     };
-    let text = receipt.encode(&shared.receipt_key);
-    info!(shared.host.log, "refuse: {}", cause.reason;
+    let text = receipt.encode(&shared.mac_key);
+    info!(shared.runtime.log, "refuse: {}", cause.reason;
         "request" => subject.request.0, "run" => cause.execution.as_str(), "why" => &cause.detail,
         "organisation" => subject.organisation.as_ref().map_or("-", OrgName::as_str));
     shared.metrics.count_refusal(cause.reason);
@@ -113,7 +113,7 @@
         receipt: text.clone(),
         detail: cause.detail.clone(),
     };
-    lock(&shared.journal).add(cause.reason, record, wall);
+    lock(&shared.refusal_log).add(cause.reason, record, wall);
     Refusal {
         receipt: text,
         reason: cause.reason,
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -8,12 +8,12 @@
     },
 };
 
-use chestnut_audit::{CheckKey, Copies, Journal, JournalConfig};
+use chestnut_audit::{MacKey, RefusalLog, RefusalLogConfig, ReplicaBatches};
 use chestnut_conf::{Book, BookDigest, Kind, OrgPolicy, Settings};
 use chestnut_fleet::{Confirmation, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
-use chestnut_flow::{Host, Trace};
-use chestnut_once::{Keeper, KeeperConfig};
+use chestnut_flow::{Runtime, TraceLevel};
+use chestnut_once::{RegistryConfig, TicketRegistry};
 use chestnut_port::{Clock, Peers, Platform, Probes, SubmitReply, Targets};
 use chestnut_route::OrgLimiters;
 use chestnut_unit::{DomainName, LeafId, MemberId, OrgName, RequestId, ServiceName, Time};
@@ -29,7 +29,7 @@
 
 /// Maximum number of batches of refusal records stored for peers, to bound
 /// memory.
-const MAX_COPIES: usize = 32;
+const MAX_REPLICA_BATCHES: usize = 32;
 
 /// The latest read of one kind of object: its revision and the request time.
 #[derive(Clone, Copy)]
@@ -111,7 +111,7 @@
 /// The shared state of one entry.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) host: Host,
+    pub(crate) runtime: Runtime,
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) probes: Arc<dyn Probes>,
@@ -124,16 +124,16 @@
     /// Limits of the organisations.
     pub(crate) org_limiters: Mutex<OrgLimiters>,
     /// Tickets that this entry minted or took over, with their outcomes.
-    pub(crate) keeper: Mutex<Keeper>,
+    pub(crate) tickets: Mutex<TicketRegistry>,
     pub(crate) dispatches: Mutex<Dispatches>,
     /// Refusal records that the platform doesn't have yet.
-    pub(crate) journal: Mutex<Journal>,
+    pub(crate) refusal_log: Mutex<RefusalLog>,
     /// Refusal records stored for peers.
-    pub(crate) peer_records: Mutex<Copies>,
+    pub(crate) replica_batches: Mutex<ReplicaBatches>,
     /// Leafs that are listed as leaving.
     pub(crate) leaving_leafs: Mutex<BTreeSet<LeafId>>,
     /// Key that authenticates receipts.
-    pub(crate) receipt_key: CheckKey,
+    pub(crate) mac_key: MacKey,
     pub(crate) metrics: Metrics,
     pub(crate) phase: watch::Sender<Phase>,
     /// Notified when members or services change.
@@ -170,30 +170,38 @@
             interval: control.probe,
             ..SwimConfig::default()
         };
-        let keeper = KeeperConfig {
-            life: control.ticket,
-            ..KeeperConfig::default()
+        let tickets = RegistryConfig {
+            ttl: control.ticket,
+            ..RegistryConfig::default()
         };
-        let journal = JournalConfig {
+        let refusal_log = RefusalLogConfig {
             interval: control.records,
-            ..JournalConfig::default()
+            ..RefusalLogConfig::default()
         };
         let now = ports.clock.now();
         Self {
-            receipt_key: CheckKey::from_secret(&control.secret),
-            host: Host::new(
+            mac_key: MacKey::from_secret(&control.secret),
+            runtime: Runtime::new(
                 log,
                 match settings.log.level {
-                    chestnut_conf::LogLevel::Debug => Trace::All,
-                    _ => Trace::None,
+                    chestnut_conf::LogLevel::Debug => TraceLevel::All,
+                    _ => TraceLevel::None,
                 },
                 ports.clock,
                 seed,
             ),
             swim: Mutex::new(Swim::new(swim, own.clone(), now)),
-            keeper: Mutex::new(Keeper::new(own.id.clone(), own.incarnation, keeper)),
-            journal: Mutex::new(Journal::new(journal, own.id.clone(), own.incarnation)),
-            peer_records: Mutex::new(Copies::new(MAX_COPIES)),
+            tickets: Mutex::new(TicketRegistry::new(
+                own.id.clone(),
+                own.incarnation,
+                tickets,
+            )),
+            refusal_log: Mutex::new(RefusalLog::new(
+                refusal_log,
+                own.id.clone(),
+                own.incarnation,
+            )),
+            replica_batches: Mutex::new(ReplicaBatches::new(MAX_REPLICA_BATCHES)),
             metrics: Metrics::new(),
             settings,
             targets: ports.targets,
@@ -226,7 +234,7 @@
 
     /// The current time of the entry's clock.
     pub(crate) fn now(&self) -> Time {
-        self.host.now()
+        self.runtime.now()
     }
 
     /// The current lifecycle phase.
@@ -241,7 +249,7 @@
 
     /// A random generator for one decision or request, derived from the seed.
     pub(crate) fn rng(&self) -> ChaCha8Rng {
-        self.host.rng()
+        self.runtime.rng()
     }
 
     /// Fills a ticket's nonce from the system's random source. Nonces from the
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -39,7 +39,7 @@
         starting
     });
     shared.placement_due.notify_one();
-    info!(shared.host.log, "fleet: {} serves", shared.own.id);
+    info!(shared.runtime.log, "fleet: {} serves", shared.own.id);
 }
 
 /// Reads all configuration from the platform, then the VMs; returns whether the
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -89,8 +89,8 @@
     };
     let members = members(shared);
     let (records_waiting, records_dropped) = {
-        let journal = lock(&shared.journal);
-        (journal.waiting(), journal.dropped())
+        let log = lock(&shared.refusal_log);
+        (log.unconfirmed(), log.dropped())
     };
     Status {
         member: shared.own.id.to_string(),
@@ -102,7 +102,7 @@
         in_flight: shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
         records_waiting,
         records_dropped,
-        tickets: lock(&shared.keeper).len(),
+        tickets: lock(&shared.tickets).len(),
         probe_bytes: shared.probes.bytes(),
     }
 }
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -1,14 +1,14 @@
 //! Submissions, which run at most once for each ticket.
 //!
-//! A ticket names its keeper, the entry that minted it. Every use of a ticket
-//! goes to its keeper, or to the successor of a keeper that has left, which
-//! dispatches the first use and answers the others with its outcome.
+//! A ticket names its issuer, the entry that minted it. Every use of a ticket
+//! goes to its keeper: the issuer, or its successor if the issuer has left. The
+//! keeper dispatches the first use and answers the others with its outcome.
 
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
 use chestnut_conf::CallKind;
-use chestnut_flow::{GateId, InFlight, Trace, admit};
+use chestnut_flow::{InFlightGuard, QueueId, TraceLevel, admit};
 use chestnut_once::{Claim, Outcome};
 use chestnut_port::{Dispatch, LeafSubmit, PeerError, Submission, SubmitReply};
 use chestnut_route::{
@@ -34,8 +34,8 @@
 pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refusal> {
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
-    let wall = shared.host.clock.wall();
-    let minted = lock(&shared.keeper).mint(nonce, wall);
+    let wall = shared.runtime.clock.wall();
+    let minted = lock(&shared.tickets).mint(nonce, wall);
     let Some(ticket) = minted else {
         let subject = Subject {
             request: shared.next_request(),
@@ -55,7 +55,7 @@
     shared: &Arc<Shared>,
     request: SubmitRequest,
 ) -> Result<SubmitOutcome, Refusal> {
-    let _flight = InFlight::enter(&shared.in_flight);
+    let _flight = InFlightGuard::enter(&shared.in_flight);
     let mut subject = Subject {
         request: shared.next_request(),
         organisation: Some(request.organisation.clone()),
@@ -102,7 +102,7 @@
         let swim = lock(&shared.swim);
         let ticket = &submission.ticket;
         swim.view
-            .ticket_owner(&ticket.keeper, ticket.incarnation)
+            .ticket_owner(&ticket.issuer, ticket.incarnation)
             .cloned()
     };
     let Some(keeper) = keeper else {
@@ -112,7 +112,7 @@
         return run_once(shared, submission).await;
     }
     debug!(
-        shared.host.log,
+        shared.runtime.log,
         "keep: forwarding submission to {}", keeper.id
     );
     forward(shared, keeper.addresses.peers, submission).await
@@ -136,15 +136,15 @@
 /// Runs a submission whose ticket this entry keeps, or replies with the outcome
 /// of an earlier use.
 pub(crate) async fn run_once(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
-    let wall = shared.host.clock.wall();
+    let wall = shared.runtime.clock.wall();
     let body = body_hash(&submission);
-    let claim = lock(&shared.keeper).claim(&submission.ticket, body, wall);
+    let claim = lock(&shared.tickets).claim(&submission.ticket, body, wall);
     match claim {
         Claim::Run => dispatch_once(shared, submission).await,
         Claim::Join => await_dispatch(shared, &submission).await,
         Claim::Settled(outcome) => reply_of(outcome),
-        Claim::OtherBody | Claim::Refused => SubmitReply::NotRun(Reason::BadTicket),
-        Claim::Forgotten => SubmitReply::Unknown(Reason::KeeperGone),
+        Claim::BodyMismatch | Claim::Refused => SubmitReply::NotRun(Reason::BadTicket),
+        Claim::NotFound => SubmitReply::Unknown(Reason::KeeperGone),
         Claim::Moved => forward_moved(shared, submission).await,
     }
 }
@@ -217,7 +217,7 @@
         async move {
             let ticket = submission.ticket.clone();
             let outcome = run_claimed(&shared, submission).await;
-            lock(&shared.keeper).settle(&ticket, outcome.clone());
+            lock(&shared.tickets).settle(&ticket, outcome.clone());
             // New repeats find the outcome; those that wait get the reply.
             let _ = reply_tx.send(Some(reply_of(outcome)));
             lock(&shared.dispatches).remove(&key);
@@ -265,7 +265,7 @@
     let _permit = query::org_permit(shared, &submission.organisation, &effective, policy)?;
     let deadline = query::deadline(shared, Some(submission.deadline), policy);
     let admission = query::admit_request(subject, policy, deadline);
-    let _running = admit(&shared.host, &service, GateId::default(), admission)
+    let _admitted = admit(&shared.runtime, &service, QueueId::default(), admission)
         .await
         .map_err(|(reason, after)| RefusalCause::not_run(reason, "at admission").after(after))?;
     let now = shared.now();
@@ -368,12 +368,12 @@
 
 /// Logs the replica that was chosen and the number of the attempt.
 fn log_choice(shared: &Shared, backend: &BackendAddress, params: &CallParams, earlier: usize) {
-    if shared.host.trace == Trace::None {
+    if shared.runtime.trace == TraceLevel::None {
         return;
     }
     let (BackendAddress::Leaf(_, address) | BackendAddress::Peer(_, address)) = backend;
     let part = if earlier == 0 { "choose" } else { "retry" };
-    debug!(shared.host.log, "{part}: {address} for a submission";
+    debug!(shared.runtime.log, "{part}: {address} for a submission";
         "request" => params.request.0, "why" => format!("attempt {}", earlier + 1));
 }
 
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -227,7 +227,7 @@
         if !entered {
             return;
         }
-        info!(shared.host.log, "fleet: {} is leaving", shared.own.id);
+        info!(shared.runtime.log, "fleet: {} is leaving", shared.own.id);
         let started = shared.now();
         lock(&shared.swim).leave(None);
         announce(shared).await;
@@ -238,7 +238,7 @@
         let drained = timeout(grace, wait_until_idle(shared)).await;
         if drained.is_err() {
             warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "fleet: requests are still in flight after {grace:?}"
             );
         }
@@ -253,14 +253,14 @@
             .is_err()
         {
             warn!(
-                shared.host.log,
+                shared.runtime.log,
                 "fleet: the last records could not be written"
             );
         }
         let messages = lock(&shared.swim).stop(shared.status(), LEAVE_FANOUT);
         gossip::send_all(shared, messages).await;
         shared.phase.send_replace(Phase::Stopped);
-        info!(shared.host.log, "fleet: {} has stopped", shared.own.id);
+        info!(shared.runtime.log, "fleet: {} has stopped", shared.own.id);
     }
 }
 
@@ -294,10 +294,10 @@
 /// Stops dispatching, waits for the dispatches in flight, and hands all
 /// tickets over to a successor.
 async fn hand_over_tickets(shared: &Shared) {
-    lock(&shared.keeper).close();
+    lock(&shared.tickets).close();
     let grace = shared.settings.control.grace;
     let settled = async {
-        while lock(&shared.keeper).running() > 0 {
+        while lock(&shared.tickets).running() > 0 {
             sleep(DRAIN_POLL).await;
         }
     };
@@ -311,7 +311,7 @@
         sleep(SUCCESSOR_BACKOFF).await;
     }
     warn!(
-        shared.host.log,
+        shared.runtime.log,
         "keep: no member took over the tickets; outcomes of repeats will be unknown"
     );
 }
@@ -326,12 +326,15 @@
     let Some((member, address)) = pick_successor(shared) else {
         return false;
     };
-    let tickets = lock(&shared.keeper).hand_over();
+    let tickets = lock(&shared.tickets).hand_over();
     let count = tickets.len();
     let Ok(incarnation) = shared.peers().adopt(address, tickets).await else {
         return false;
     };
-    info!(shared.host.log, "keep: handed {count} tickets to {member}");
+    info!(
+        shared.runtime.log,
+        "keep: handed {count} tickets to {member}"
+    );
     lock(&shared.swim).leave(Some(Successor {
         member,
         incarnation,
