--- a/crates/relay/src/adverts.rs
+++ b/crates/relay/src/adverts.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     Upstream,
-    members::{Members, addresses, serves, share},
+    members::{Members, addresses, update_quota, wait_until_serving},
     shared::Shared,
 };
 
@@ -50,8 +50,12 @@
 ///
 /// Seeds are asked first, which needs no call to the store. Entries that watch the
 /// store publish adverts there, for entries that can reach no seed and know no member.
-pub(crate) async fn find(shared: Arc<Shared>, members: Arc<Members>, adverts: Arc<dyn Adverts>) {
-    if !serves(&shared).await {
+pub(crate) async fn discover(
+    shared: Arc<Shared>,
+    members: Arc<Members>,
+    adverts: Arc<dyn Adverts>,
+) {
+    if !wait_until_serving(&shared).await {
         return;
     }
     let settings = &shared.settings;
@@ -62,16 +66,16 @@
     };
     let mut published = false;
     loop {
-        members.knock(&shared).await;
+        members.send_join_requests(&shared).await;
         sleep(SEED_WAIT).await;
         let alone = members.count() <= 1;
         let watches = *shared.upstream.borrow() == Some(Upstream::Store);
         if alone || watches {
-            shared.metrics.count_store("adverts");
+            shared.metrics.count_store_call("adverts");
             match adverts.list(Freshness::Stale).await {
                 Ok(list) => {
-                    members.introduce(&shared, &list);
-                    share(&shared, &members);
+                    members.add_advertised(&shared, &list);
+                    update_quota(&shared, &members);
                     published |= list.contains(&own);
                     if published {
                         remove_gone(&shared, &members, &list, &*adverts).await;
@@ -97,7 +101,7 @@
 
 /// Writes this entry's advert; returns whether that succeeded.
 async fn publish(shared: &Shared, own: &Advert, adverts: &dyn Adverts) -> bool {
-    shared.metrics.count_store("publish");
+    shared.metrics.count_store_call("publish");
     match adverts.publish(own.clone()).await {
         Ok(()) => true,
         Err(error) => {
@@ -109,7 +113,7 @@
 
 /// Removes the adverts of members that have left.
 async fn remove_gone(shared: &Shared, members: &Members, list: &[Advert], adverts: &dyn Adverts) {
-    let gone = members.gone_of(shared, list);
+    let gone = members.gone_members(shared, list);
     for member in gone {
         info!(
             shared.host.log,
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/apply.rs
@@ -10,34 +10,37 @@
 use tokio::time::sleep_until;
 
 use crate::{
-    evacuations::Shift,
-    leafs::{LeafEntry, Leafs, Moved},
-    moves::{take_moves, take_shifts},
+    evacuations::EvacuationChange,
+    leaf_changes::{apply_evacuations, apply_leaf_changes},
+    leafs::{LeafChange, LeafRegistration, Leafs},
     shared::{Phase, Shared},
     upstream::Upstream,
 };
 
 /// Applies an answer of the feed of leafs to the relay state, and to the cache that peers
 /// read from.
-pub(crate) fn update_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
+pub(crate) fn update_leafs(shared: &Shared, batch: Batch<(LeafId, LeafRegistration)>, whole: bool) {
     let colder = leafs_cold_longer(shared, &batch);
-    let mut passed = lock(&shared.passed.leafs);
+    let mut cache = lock(&shared.feed_copies.leafs);
     match whole {
-        true => passed.listed(&batch),
+        true => cache.replace(&batch),
         // A leaf that warms up writes with each heartbeat, and only its remaining warm-up
         // time changes. One that has become cold again is a change.
-        false => passed.changed_from(&batch, |(id, known), (_, new)| {
+        false => cache.apply_filtered(&batch, |(id, known), (_, new)| {
             known.is_same(new) && new.warmup <= known.warmup && !colder.contains(id)
         }),
     }
-    drop(passed);
+    drop(cache);
     apply_leafs(shared, batch, whole);
 }
 
 /// Returns the leafs of a batch that stay cold for longer than was known. A leaf that
 /// becomes cold again before it has reported a shorter warm-up writes the same entry as
 /// before.
-fn leafs_cold_longer(shared: &Shared, batch: &Batch<(LeafId, LeafEntry)>) -> BTreeSet<LeafId> {
+fn leafs_cold_longer(
+    shared: &Shared,
+    batch: &Batch<(LeafId, LeafRegistration)>,
+) -> BTreeSet<LeafId> {
     /// Tolerance for the jitter of heartbeats, by which the end of one warm-up differs.
     const TOLERANCE: Duration = Duration::from_millis(500);
     let now = shared.now();
@@ -53,56 +56,59 @@
     longer.map(|(id, _)| id.clone()).collect()
 }
 
-fn apply_leafs(shared: &Shared, batch: Batch<(LeafId, LeafEntry)>, whole: bool) {
+fn apply_leafs(shared: &Shared, batch: Batch<(LeafId, LeafRegistration)>, whole: bool) {
     let now = shared.now();
-    let mut moves = Vec::new();
+    let mut changes = Vec::new();
     {
         let mut state = lock(&shared.cell.state);
         let leafs = &mut state.extra.leafs;
         if whole {
-            apply_leaf_list(leafs, batch.items, now, &mut moves);
+            apply_leaf_list(leafs, batch.items, now, &mut changes);
         } else {
             for item in batch.items {
-                apply_leaf(leafs, item, now, &mut moves);
+                apply_leaf(leafs, item, now, &mut changes);
             }
         }
         let known = leafs.len();
         shared.metrics.leafs.set(known as i64);
-        take_moves(&mut state, &moves, &shared.settings, now);
+        apply_leaf_changes(&mut state, &changes, &shared.settings, now);
     }
-    report_moves(shared, &moves, batch.revision);
-    if moves.iter().any(|moved| matches!(moved, Moved::Cooled(..))) {
-        shared.cooled.notify_one();
+    report_leaf_changes(shared, &changes, batch.revision);
+    if changes
+        .iter()
+        .any(|change| matches!(change, LeafChange::BecameCold(..)))
+    {
+        shared.cold_changed.notify_one();
     }
     serve_if_ready(shared);
 }
 
 fn apply_leaf_list(
     leafs: &mut Leafs,
-    items: Vec<Item<(LeafId, LeafEntry)>>,
+    items: Vec<Item<(LeafId, LeafRegistration)>>,
     now: Time,
-    moves: &mut Vec<Moved>,
+    changes: &mut Vec<LeafChange>,
 ) {
     let mut list = Vec::new();
     for item in items {
         match item.content {
             Content::Is(leaf) => list.push(leaf),
-            Content::Deleted | Content::Malformed => apply_leaf(leafs, item, now, moves),
+            Content::Deleted | Content::Malformed => apply_leaf(leafs, item, now, changes),
         }
     }
-    leafs.listed(list, now, moves);
+    leafs.listed(list, now, changes);
 }
 
 fn apply_leaf(
     leafs: &mut Leafs,
-    item: Item<(LeafId, LeafEntry)>,
+    item: Item<(LeafId, LeafRegistration)>,
     now: Time,
-    moves: &mut Vec<Moved>,
+    changes: &mut Vec<LeafChange>,
 ) {
     match (item.content, LeafId::new(&item.name)) {
-        (Content::Is((id, entry)), _) => leafs.changed(id, entry, now, moves),
-        (Content::Deleted, Ok(id)) => leafs.deleted(&id, now, moves),
-        (Content::Malformed, Ok(id)) => leafs.malformed(&id, moves),
+        (Content::Is((id, entry)), _) => leafs.changed(id, entry, now, changes),
+        (Content::Deleted, Ok(id)) => leafs.deleted(&id, now, changes),
+        (Content::Malformed, Ok(id)) => leafs.malformed(&id, changes),
         // An invalid name belongs to no known leaf.
         (Content::Deleted | Content::Malformed, Err(_)) => {}
     }
@@ -117,7 +123,7 @@
         let wake = lock(&shared.cell.state).extra.leafs.wake();
         // Without the store this entry can't see expired leafs come back, so it removes
         // none.
-        let lost = shared.pulse.borrow().is_lost();
+        let lost = shared.store_status.borrow().is_lost();
         if lost || wake > now {
             let wake = if lost {
                 now + CHECK_INTERVAL
@@ -127,35 +133,35 @@
             sleep_until(shared.host.clock.instant(wake)).await;
             continue;
         }
-        let mut moves = Vec::new();
+        let mut changes = Vec::new();
         {
             let mut state = lock(&shared.cell.state);
-            state.extra.leafs.tick(now, &mut moves);
-            take_moves(&mut state, &moves, &shared.settings, now);
+            state.extra.leafs.tick(now, &mut changes);
+            apply_leaf_changes(&mut state, &changes, &shared.settings, now);
         }
-        report_moves(shared, &moves, 0);
+        report_leaf_changes(shared, &changes, 0);
     }
 }
 
 /// Logs changes of leafs, and drops what was kept of calls to leafs that are gone or restarted.
-fn report_moves(shared: &Shared, moves: &[Moved], revision: u64) {
-    for moved in moves {
-        let (event, id) = match moved {
+fn report_leaf_changes(shared: &Shared, changes: &[LeafChange], revision: u64) {
+    for change in changes {
+        let (event, id) = match change {
             // Logged with each heartbeat of a leaf that warms up.
-            Moved::Cooled(id, until) => {
+            LeafChange::BecameCold(id, until) => {
                 let left = until.since(shared.now()).as_millis() as u64;
                 debug!(shared.host.log, "hold: leaf {id} is cold"; "revision" => revision, "left_ms" => left);
                 continue;
             }
-            Moved::Came(id, _) => ("takes work", id),
-            Moved::Reborn(id, _) => ("has started again", id),
-            Moved::Outdated(id) => ("has started again since, an old entry is passed over", id),
-            Moved::Leaves(id) => ("is leaving", id),
-            Moved::Closed(id) => ("takes no more work", id),
-            Moved::Missing(id) => ("is missing", id),
-            Moved::Gone(id) => ("is gone", id),
+            LeafChange::Updated(id, _) => ("takes work", id),
+            LeafChange::Restarted(id, _) => ("has started again", id),
+            LeafChange::Stale(id) => ("has started again since, an old entry is passed over", id),
+            LeafChange::Draining(id) => ("is leaving", id),
+            LeafChange::Closed(id) => ("takes no more work", id),
+            LeafChange::Missing(id) => ("is missing", id),
+            LeafChange::Removed(id) => ("is gone", id),
         };
-        if let Moved::Gone(id) | Moved::Reborn(id, _) = moved {
+        if let LeafChange::Removed(id) | LeafChange::Restarted(id, _) = change {
             shared.forward.forget(id);
         }
         info!(shared.host.log, "hold: leaf {id} {event}"; "revision" => revision);
@@ -166,47 +172,47 @@
 /// peers read from.
 pub(crate) fn update_evacuations(shared: &Shared, batch: Batch<DomainName>, whole: bool) {
     {
-        let mut passed = lock(&shared.passed.evacuations);
+        let mut cache = lock(&shared.feed_copies.evacuations);
         match whole {
-            true => passed.listed(&batch),
-            false => passed.changed(&batch),
+            true => cache.replace(&batch),
+            false => cache.apply(&batch),
         }
     }
     let now = shared.now();
-    let mut shifts = Vec::new();
-    let emptied = {
+    let mut changes = Vec::new();
+    let evacuated = {
         let mut state = lock(&shared.cell.state);
         let evacuations = &mut state.extra.evacuations;
         match whole {
-            true => evacuations.listed(batch.items, &mut shifts),
+            true => evacuations.listed(batch.items, &mut changes),
             false => {
                 for item in batch.items {
-                    evacuations.changed(item, &mut shifts);
+                    evacuations.changed(item, &mut changes);
                 }
             }
         }
         let count = evacuations.domains().count();
         shared.metrics.evacuated.set(count as i64);
-        take_shifts(&mut state, &shifts, now)
+        apply_evacuations(&mut state, &changes, now)
     };
-    for id in &emptied {
+    for id in &evacuated {
         shared.forward.forget(id);
     }
-    report_shifts(shared, &shifts, batch.revision);
-    shared.cooled.notify_one();
+    report_evacuations(shared, &changes, batch.revision);
+    shared.cold_changed.notify_one();
     serve_if_ready(shared);
 }
 
 /// Logs failure domains that were evacuated or returned to service.
-fn report_shifts(shared: &Shared, shifts: &[Shift], revision: u64) {
-    for shift in shifts {
-        let (event, domain) = match shift {
-            Shift::Emptied(domain) => ("is evacuated, its leafs get no calls", domain),
-            Shift::Refilled(domain) => ("is back, its leafs may be called", domain),
+fn report_evacuations(shared: &Shared, changes: &[EvacuationChange], revision: u64) {
+    for change in changes {
+        let (event, domain) = match change {
+            EvacuationChange::Started(domain) => ("is evacuated, its leafs get no calls", domain),
+            EvacuationChange::Ended(domain) => ("is back, its leafs may be called", domain),
         };
         let leafs = {
             let state = lock(&shared.cell.state);
-            state.extra.leafs.within(domain).count()
+            state.extra.leafs.in_domain(domain).count()
         };
         info!(shared.host.log, "hold: domain {domain} {event}"; "revision" => revision, "leafs" => leafs);
         if leafs == 0 {
@@ -228,7 +234,7 @@
                 continue;
             }
         };
-        shared.take_book(book, Upstream::Store);
+        shared.install_book(book, Upstream::Store);
     }
     serve_if_ready(shared);
 }
--- a/crates/relay/src/pull.rs
+++ b/crates/relay/src/book_fetch.rs
@@ -11,50 +11,50 @@
 use slog::{debug, info};
 use tokio::time::sleep_until;
 
-use crate::{Pull, Upstream, shared::Shared, sources::Sources, take::serve_if_ready};
+use crate::{NextRead, Upstream, apply::serve_if_ready, feeds::Feeds, shared::Shared};
 
 /// Fetches newer route books from peers for as long as the entry runs. A fetch goes on
 /// when the upstream changes.
-pub(crate) async fn run(shared: Arc<Shared>, sources: Arc<Sources>) {
+pub(crate) async fn run(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let mut fetches = FuturesUnordered::new();
     loop {
         let (now, draw) = (shared.now(), shared.host.rng().next_u64());
-        let pull = lock(&shared.spread).next(draw, now);
-        let wake = match pull {
-            Pull::From(peer) => {
-                lock(&shared.spread).begun(peer, now);
-                fetches.push(fetch(&shared, &sources, peer));
+        let next = lock(&shared.propagation).next(draw, now);
+        let wake = match next {
+            NextRead::From(peer) => {
+                lock(&shared.propagation).read_started(peer, now);
+                fetches.push(fetch(&shared, &feeds, peer));
                 continue;
             }
-            Pull::Rest(until) => until,
-            Pull::Nothing => Time::MAX,
+            NextRead::WaitUntil(until) => until,
+            NextRead::Nothing => Time::MAX,
         };
         tokio::select! {
-            Some(peer) = fetches.next() => lock(&shared.spread).ended(peer),
+            Some(peer) = fetches.next() => lock(&shared.propagation).read_ended(peer),
             () = sleep_until(shared.host.clock.instant(wake)) => {}
-            () = shared.newer.notified() => {}
+            () = shared.newer_book.notified() => {}
         }
     }
 }
 
 /// Fetches the book of `peer`, and returns the peer.
-async fn fetch(shared: &Shared, sources: &Sources, peer: SocketAddr) -> SocketAddr {
-    fetch_book(shared, sources, peer).await;
+async fn fetch(shared: &Shared, feeds: &Feeds, peer: SocketAddr) -> SocketAddr {
+    fetch_book(shared, feeds, peer).await;
     peer
 }
 
-async fn fetch_book(shared: &Shared, sources: &Sources, peer: SocketAddr) {
+async fn fetch_book(shared: &Shared, feeds: &Feeds, peer: SocketAddr) {
     let current = lock(&shared.cell.state).extra.book.clone();
     let have = current.as_ref().map_or(BookVersion(0), |book| book.version);
     let started = shared.now();
-    let answer = sources.peers.book(peer, have).await;
+    let answer = feeds.peers.book(peer, have).await;
     let now = shared.now();
     let ms = now.since(started).as_millis() as u64;
     let raw = match answer {
         Ok(raw) if raw.delta.is_empty() => {
             // The peer has restarted since it reported its version.
-            shared.metrics.count_reading("nothing new");
-            lock(&shared.spread).lacks(peer);
+            shared.metrics.count_feed_read("nothing new");
+            lock(&shared.propagation).not_newer(peer);
             return;
         }
         Ok(raw) => raw,
@@ -62,10 +62,10 @@
     };
     match apply_delta(&raw, current.as_deref()) {
         Ok((rules, book)) => {
-            shared.metrics.count_reading("taken");
+            shared.metrics.count_feed_read("taken");
             debug!(shared.host.log, "watch: read book {}", book.version; "peer" => %peer,
                 "since" => %have, "rules" => rules, "bytes" => raw.delta.len(), "ms" => ms);
-            shared.take_book(book, Upstream::Peer(peer));
+            shared.install_book(book, Upstream::Peer(peer));
             serve_if_ready(shared);
         }
         Err(why) => record_failure(shared, peer, &why, ms),
@@ -82,8 +82,8 @@
 }
 
 fn record_failure(shared: &Shared, peer: SocketAddr, why: &str, ms: u64) {
-    shared.metrics.count_reading("failed");
+    shared.metrics.count_feed_read("failed");
     info!(shared.host.log, "watch: a peer did not pass on its book"; "peer" => %peer,
         "why" => why, "ms" => ms);
-    lock(&shared.spread).failed(peer, shared.now());
+    lock(&shared.propagation).failed(peer, shared.now());
 }
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -68,14 +68,14 @@
 /// The estimates are learned: a fixed allowance for connecting would be too large for
 /// callers that keep their connections, and drop shards that would answer in time.
 #[derive(Clone, Debug)]
-pub(crate) struct Callers {
+pub(crate) struct CallerDelays {
     /// Time that callers had spent before they arrived, without zeros.
     elapsed: Quantiles,
     /// Delay from the time at which an answer was due to when it was sent.
     overrun: Quantiles,
 }
 
-impl Default for Callers {
+impl Default for CallerDelays {
     fn default() -> Self {
         Self {
             elapsed: Quantiles::new(ELAPSED_QUANTILE),
@@ -84,8 +84,8 @@
     }
 }
 
-impl Callers {
-    /// Records a caller of a rule with `timeout` that sent the remaining time `left`, and
+impl CallerDelays {
+    /// Records a caller of a rule with `timeout` that sent the time `remaining`, and
     /// returns the time to subtract from its objective: the time it has spent, the network
     /// delay and the overrun.
     pub(crate) fn overhead(
@@ -95,15 +95,15 @@
         timeout: Duration,
         now: Time,
     ) -> Duration {
-        let elapsed = remaining.map_or(Duration::ZERO, |left| max.elapsed(left, timeout, now));
+        let elapsed = remaining.map_or(Duration::ZERO, |time| max.elapsed(time, timeout, now));
         if !elapsed.is_zero() {
             self.elapsed.record(elapsed);
         }
-        elapsed + self.way(elapsed) + self.overrun()
+        elapsed + self.network_delay(elapsed) + self.overrun()
     }
 
     /// Records that an answer cut off at its objective was sent `late` after it.
-    pub(crate) fn went_out(&mut self, late: Duration) {
+    pub(crate) fn record_overrun(&mut self, late: Duration) {
         if late <= MAX_OVERRUN {
             self.overrun.record(late);
         }
@@ -124,7 +124,7 @@
 
     /// Returns the network delay to a caller that has spent `elapsed`, and back. Before there
     /// are enough samples it is the maximum less `elapsed`, and at least half of the maximum.
-    pub(crate) fn way(&self, elapsed: Duration) -> Duration {
+    pub(crate) fn network_delay(&self, elapsed: Duration) -> Duration {
         if self.elapsed.count() < MIN_SAMPLES {
             return MAX_NETWORK_DELAY
                 .saturating_sub(elapsed)
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -21,9 +21,9 @@
 use tokio::time::sleep_until;
 
 use crate::{
-    ground::{Ground, State},
-    members::{Members, serves},
+    members::{Members, wait_until_serving},
     shared::Shared,
+    state::{RelayState, State},
 };
 
 /// The port to the leases in the store.
@@ -61,14 +61,14 @@
 /// Settings that adjust the rate limit of cold leafs from the book.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ColdCalls {
+pub struct ColdLimits {
     /// Multiple of the rate in the book.
     pub over: f64,
     /// Calls per second that are added to it.
     pub slack: f64,
 }
 
-impl Default for ColdCalls {
+impl Default for ColdLimits {
     /// The rate in the book, unchanged.
     fn default() -> Self {
         Self {
@@ -95,19 +95,19 @@
     lease: Option<HeldLease>,
 }
 
-impl Ground {
+impl RelayState {
     /// Returns the rate limit of a cold leaf of `service`, in calls per second from all
     /// entries together; none if the book sets no limit.
     fn cold_rate_limit(&self, service: &ServiceName) -> Option<u32> {
         let rule = self.book.as_ref()?.service(service)?.cold?;
-        let calls = rule.rate.as_f64() * self.cold_calls.over + self.cold_calls.slack;
+        let calls = rule.rate.as_f64() * self.cold_limits.over + self.cold_limits.slack;
         // The cast saturates.
         Some(calls.max(0.0) as u32)
     }
 
     /// Returns what this entry may send to a cold leaf under its lease; nothing without one.
     fn permit_for(&self, ix: Ix) -> ColdPermit {
-        let endpoint = self.places.get(&ix);
+        let endpoint = self.endpoints.get(&ix);
         let bound = endpoint.and_then(|endpoint| self.cold_rate_limit(&endpoint.service));
         match (bound, self.cold.lease) {
             (Some(bound), Some(lease)) => ColdPermit {
@@ -121,7 +121,7 @@
 
 /// Records that a leaf is cold until `until`, if its service has a rate limit.
 pub(crate) fn mark_cold(state: &mut State, ix: Ix, until: Time, now: Time) {
-    let endpoint = state.extra.places.get(&ix);
+    let endpoint = state.extra.endpoints.get(&ix);
     let bounded =
         endpoint.is_some_and(|endpoint| state.extra.cold_rate_limit(&endpoint.service).is_some());
     if !bounded || until <= now {
@@ -137,7 +137,7 @@
 pub(crate) fn refresh_cold(state: &mut State, now: Time) {
     let bounded: Vec<Ix> = state.extra.cold.leafs.keys().copied().collect();
     for ix in bounded {
-        let endpoint = state.extra.places.get(&ix);
+        let endpoint = state.extra.endpoints.get(&ix);
         if endpoint.is_none_or(|endpoint| state.extra.cold_rate_limit(&endpoint.service).is_none())
         {
             state.table.end_cold_limit(ix);
@@ -153,8 +153,8 @@
 }
 
 /// Returns how long leafs of `service` stay cold; zero if the book sets no rate limit.
-pub(crate) fn cold_duration(ground: &Ground, service: &ServiceName) -> Duration {
-    let book = ground.book.as_ref();
+pub(crate) fn cold_duration(relay_state: &RelayState, service: &ServiceName) -> Duration {
+    let book = relay_state.book.as_ref();
     let rule = book.and_then(|book| book.service(service)?.cold);
     rule.map_or(Duration::ZERO, |rule| rule.span)
 }
@@ -174,7 +174,7 @@
 
 /// Acquires, renews and releases leases for as long as the entry runs.
 pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, store: Arc<dyn LeaseStore>) {
-    if !serves(&shared).await {
+    if !wait_until_serving(&shared).await {
         return;
     }
     let (incarnation, start) = {
@@ -188,7 +188,7 @@
         let any = any_cold(&shared, now);
         let wanted = any
             && members
-                .carrier_rank(&shared)
+                .serving_rank(&shared)
                 .is_some_and(|at| at < MAX_CANDIDATES);
         if let Some(call) = leases.next(wanted, now) {
             call_store(&shared, &*store, &mut leases, call).await;
@@ -205,7 +205,7 @@
             .min(recheck)
             .max(now + MIN_WAKE_INTERVAL);
         tokio::select! {
-            () = shared.cooled.notified() => {}
+            () = shared.cold_changed.notified() => {}
             () = sleep_until(shared.host.clock.instant(wake)) => {}
         }
     }
@@ -213,7 +213,7 @@
 
 /// Makes a call to the store and passes its result to `leases`.
 async fn call_store(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
-    shared.metrics.count_store("leases");
+    shared.metrics.count_store_call("leases");
     let (sent, suspended) = (shared.now(), shared.host.clock.slept());
     match call {
         LeaseCall::List => match store.list().await {
@@ -280,13 +280,13 @@
         let permit = state.extra.permit_for(*ix);
         state.table.permit(*ix, permit);
     }
-    shared.metrics.cold.set(leafs.len() as i64);
+    shared.metrics.cold_leafs.set(leafs.len() as i64);
     let held = state
         .extra
         .cold
         .lease
         .map_or(-1, |lease| i64::from(lease.id.0));
-    shared.metrics.lease.set(held);
+    shared.metrics.cold_lease.set(held);
 }
 
 /// Returns whether any rate-limited leaf is cold.
--- a/crates/relay/src/evacuations.rs
+++ b/crates/relay/src/evacuations.rs
@@ -7,11 +7,11 @@
 
 /// A change of the evacuated failure domains, for the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Shift {
+pub enum EvacuationChange {
     /// The domain's evacuation started: its leafs get no calls from now on.
-    Emptied(DomainName),
+    Started(DomainName),
     /// The domain's evacuation ended: its leafs may be called again, and may be cold.
-    Refilled(DomainName),
+    Ended(DomainName),
 }
 
 /// The evacuated failure domains, as the store lists them.
@@ -44,7 +44,7 @@
 
     /// Applies a full list and appends the changes to `out`; evacuations that it lacks
     /// have ended.
-    pub fn listed(&mut self, items: Vec<Item<DomainName>>, out: &mut Vec<Shift>) {
+    pub fn listed(&mut self, items: Vec<Item<DomainName>>, out: &mut Vec<EvacuationChange>) {
         self.known = true;
         let listed: BTreeSet<DomainName> = items.iter().filter_map(domain_of).collect();
         let ended: Vec<DomainName> = self.domains.difference(&listed).cloned().collect();
@@ -57,7 +57,7 @@
     }
 
     /// Applies one changed object and appends the change, if any, to `out`.
-    pub fn changed(&mut self, item: Item<DomainName>, out: &mut Vec<Shift>) {
+    pub fn changed(&mut self, item: Item<DomainName>, out: &mut Vec<EvacuationChange>) {
         match (domain_of(&item), DomainName::new(&item.name)) {
             (Some(domain), _) => self.evacuate(domain, out),
             (None, Ok(domain)) => self.restore(domain, out),
@@ -66,15 +66,15 @@
         }
     }
 
-    fn evacuate(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
+    fn evacuate(&mut self, domain: DomainName, out: &mut Vec<EvacuationChange>) {
         if self.domains.insert(domain.clone()) {
-            out.push(Shift::Emptied(domain));
+            out.push(EvacuationChange::Started(domain));
         }
     }
 
-    fn restore(&mut self, domain: DomainName, out: &mut Vec<Shift>) {
+    fn restore(&mut self, domain: DomainName, out: &mut Vec<EvacuationChange>) {
         if self.domains.remove(&domain) {
-            out.push(Shift::Refilled(domain));
+            out.push(EvacuationChange::Ended(domain));
         }
     }
 }
--- a/crates/relay/src/pass.rs
+++ b/crates/relay/src/feed_server.rs
@@ -17,32 +17,32 @@
 use tokio::{sync::watch, time::timeout};
 
 use crate::{
-    LeafEntry, Mirror, Upstream,
+    LeafRegistration, Upstream, WatchCache,
+    feeds::{EVACUATIONS, LEAFS},
     history::History,
     shared::Shared,
-    sources::{EVACUATIONS, LEAFS},
 };
 
 /// Copies of the feeds that are served to other entries.
-pub(crate) struct Passed {
+pub(crate) struct FeedCopies {
     /// The last versions of the route book.
     pub(crate) books: Mutex<History>,
     /// The leafs, as of the last update.
-    pub(crate) leafs: Mutex<Mirror<(LeafId, LeafEntry)>>,
+    pub(crate) leafs: Mutex<WatchCache<(LeafId, LeafRegistration)>>,
     /// The evacuated failure domains, as of the last update.
-    pub(crate) evacuations: Mutex<Mirror<DomainName>>,
+    pub(crate) evacuations: Mutex<WatchCache<DomainName>>,
     /// Incremented with every update of a feed.
-    pub(crate) told: watch::Sender<u64>,
+    pub(crate) updates: watch::Sender<u64>,
 }
 
-impl Passed {
+impl FeedCopies {
     /// No feed has been received yet.
     pub(crate) fn new() -> Self {
         Self {
             books: Mutex::default(),
             leafs: Mutex::default(),
             evacuations: Mutex::default(),
-            told: watch::Sender::new(0),
+            updates: watch::Sender::new(0),
         }
     }
 }
@@ -58,10 +58,10 @@
 }
 
 impl FeedRange {
-    fn read<T: Clone>(self, mirror: &Mirror<T>) -> Result<Batch<T>, FeedError> {
+    fn read<T: Clone>(self, cache: &WatchCache<T>) -> Result<Batch<T>, FeedError> {
         match self {
-            Self::All => mirror.all(),
-            Self::Since(revision) => mirror.since(revision),
+            Self::All => cache.list(),
+            Self::Since(revision) => cache.changes_since(revision),
         }
     }
 }
@@ -69,21 +69,21 @@
 impl FeedServer {
     /// Reads and encodes a part of the feed named `feed`.
     fn read(&self, feed: &str, range: FeedRange) -> Result<RawBatch, FeedError> {
-        let passed = &self.0.passed;
+        let copies = &self.0.feed_copies;
         match feed {
-            LEAFS => encode(range.read(&lock(&passed.leafs))?),
-            EVACUATIONS => encode(range.read(&lock(&passed.evacuations))?),
+            LEAFS => encode(range.read(&lock(&copies.leafs))?),
+            EVACUATIONS => encode(range.read(&lock(&copies.evacuations))?),
             _ => Err(FeedError::Refused(format!("no feed {feed}"))),
         }
     }
 
     /// Waits until objects of a feed have changed after `revision`, and reads those.
     async fn wait_for_changes(&self, feed: &str, revision: u64) -> Result<RawBatch, FeedError> {
-        let mut updates = self.0.passed.told.subscribe();
-        let mut heartbeats = self.0.pulse.subscribe();
+        let mut updates = self.0.feed_copies.updates.subscribe();
+        let mut statuses = self.0.store_status.subscribe();
         loop {
             updates.borrow_and_update();
-            heartbeats.borrow_and_update();
+            statuses.borrow_and_update();
             // Fails if this entry has lost the store or has a peer as its upstream.
             self.pulse()?;
             let batch = self.read(feed, FeedRange::Since(revision))?;
@@ -93,7 +93,7 @@
             tokio::select! {
                 // An error means that the entry is stopping.
                 _ = updates.changed() => {}
-                _ = heartbeats.changed() => {}
+                _ = statuses.changed() => {}
             }
         }
     }
@@ -105,7 +105,7 @@
     }
 
     fn book(&self, have: BookVersion) -> Result<RawBook, FeedError> {
-        let book = lock(&self.0.passed.books).since(have);
+        let book = lock(&self.0.feed_copies.books).since(have);
         let book = book.map_err(|error| FeedError::Refused(error.to_string()))?;
         self.0.metrics.passed_bytes.inc_by(book.delta.len() as u64);
         debug!(self.0.host.log, "watch: sends book {} to a peer", book.version;
@@ -115,18 +115,19 @@
 
     fn pulse(&self) -> Result<u64, FeedError> {
         if let Some(Upstream::Peer(peer)) = *self.0.upstream.borrow() {
-            return Err(match lock(&self.0.upstreams).is_heard(peer) {
+            return Err(match lock(&self.0.upstream_selector).is_current(peer) {
                 true => FeedError::Elsewhere(peer),
                 false => FeedError::Lost,
             });
         }
-        let pulse = *self.0.pulse.borrow();
+        let status = *self.0.store_status.borrow();
         // An entry that has lost the store keeps polling it. Meanwhile it must not
         // report a revision received from peers as the store's: other entries
         // would choose it as their upstream and receive updates late.
-        let connected = lock(&self.0.upstreams).hears_store(self.0.now()) && !pulse.is_lost();
-        match connected && pulse.revision() > 0 {
-            true => Ok(pulse.revision()),
+        let connected =
+            lock(&self.0.upstream_selector).is_store_fresh(self.0.now()) && !status.is_lost();
+        match connected && status.revision() > 0 {
+            true => Ok(status.revision()),
             false => Err(FeedError::Lost),
         }
     }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/feed_watch.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     Upstream,
-    follow::{Follower, Next},
-    pulse::Pulse,
+    apply::{Readiness, apply_books, expire_leafs, readiness, update_evacuations, update_leafs},
+    feeds::{EVACUATIONS, Feeds, LEAFS},
+    list_watch::{ListWatch, NextCall},
     shared::Shared,
-    sources::{EVACUATIONS, LEAFS, Sources},
-    take::{Readiness, apply_books, expire_leafs, readiness, update_evacuations, update_leafs},
+    store_status::StoreStatus,
 };
 
 /// Name of the route book in metrics and logs.
@@ -54,17 +54,17 @@
 }
 
 /// Watches the route book in the store for as long as the entry runs and the store is
-/// its upstream. Books of other entries are fetched by [`crate::pull`].
-pub(crate) async fn book(shared: Arc<Shared>, sources: Arc<Sources>) {
-    let feed = |from| (from == Upstream::Store).then(|| sources.book.clone());
+/// its upstream. Books of other entries are fetched by [`crate::book_fetch`].
+pub(crate) async fn book(shared: Arc<Shared>, feeds: Arc<Feeds>) {
+    let feed = |from| (from == Upstream::Store).then(|| feeds.book.clone());
     let apply = |batch, _| apply_books(&shared, batch);
     watch_feed(&shared, feed, CallPolicy::Finish, BOOK, apply).await;
 }
 
 /// Loads the leafs and evacuations that the entry at `from` knows. An entry that starts
 /// while the store is lost serves by them, and by that entry's book.
-pub(crate) async fn load_from_peer(shared: &Shared, sources: &Sources, from: SocketAddr) {
-    let (leafs, evacuations) = (sources.peers.leafs(from), sources.peers.evacuations(from));
+pub(crate) async fn load_from_peer(shared: &Shared, feeds: &Feeds, from: SocketAddr) {
+    let (leafs, evacuations) = (feeds.peers.leafs(from), feeds.peers.evacuations(from));
     let lists = tokio::join!(
         leafs.list(Freshness::Stale),
         evacuations.list(Freshness::Stale)
@@ -72,31 +72,31 @@
     let (Ok(leafs), Ok(evacuations)) = lists else {
         return;
     };
-    if lock(&shared.passed.evacuations).is_behind(&evacuations) {
+    if lock(&shared.feed_copies.evacuations).is_behind(&evacuations) {
         update_evacuations(shared, evacuations, true);
     }
     // The store may have answered meanwhile. An older list beside its watch would lack
     // leafs for good that the watch does not report again.
-    if lock(&shared.passed.leafs).is_behind(&leafs) {
-        info!(shared.host.log, "watch: loads the state of {from}"; "revision" => leafs.revision);
+    if lock(&shared.feed_copies.leafs).is_behind(&leafs) {
+        info!(shared.host.log, "watch: takes what {from} has heard"; "revision" => leafs.revision);
         update_leafs(shared, leafs, true);
     }
 }
 
 /// Watches the leafs for as long as the entry runs.
-pub(crate) async fn leafs(shared: Arc<Shared>, sources: Arc<Sources>) {
+pub(crate) async fn leafs(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let apply = |batch, whole| update_leafs(&shared, batch, whole);
-    let feed = |from| Some(sources.leafs(from));
+    let feed = |from| Some(feeds.leafs(from));
     let watch = watch_feed(&shared, feed, CallPolicy::Cancel, LEAFS, apply);
     tokio::join!(watch, expire_leafs(&shared));
 }
 
 /// Watches which failure domains are evacuated, for as long as the entry runs.
-pub(crate) async fn evacuations(shared: Arc<Shared>, sources: Arc<Sources>) {
+pub(crate) async fn evacuations(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let apply = |batch, whole| update_evacuations(&shared, batch, whole);
-    let feed = |from| Some(sources.evacuations(from));
+    let feed = |from| Some(feeds.evacuations(from));
     let watch = watch_feed(&shared, feed, CallPolicy::Cancel, EVACUATIONS, apply);
-    tokio::join!(watch, list_evacuations(&shared, &*sources.evacuations));
+    tokio::join!(watch, list_evacuations(&shared, &*feeds.evacuations));
 }
 
 /// Lists the evacuated failure domains from the store while no peer reports them. A
@@ -110,10 +110,10 @@
         match readiness(shared) {
             Readiness::Ready => return,
             Readiness::Incomplete => continue,
-            Readiness::NeedsEvacuations => shared.metrics.count_store(EVACUATIONS),
+            Readiness::NeedsEvacuations => shared.metrics.count_store_call(EVACUATIONS),
         }
         match evacuations.list(Freshness::Now).await {
-            Ok(batch) if lock(&shared.passed.evacuations).is_behind(&batch) => {
+            Ok(batch) if lock(&shared.feed_copies.evacuations).is_behind(&batch) => {
                 update_evacuations(shared, batch, true);
             }
             Ok(_) => {}
@@ -133,38 +133,41 @@
     what: &'static str,
     apply: impl Fn(Batch<T>, bool),
 ) {
-    let mut follower = Follower::default();
+    let mut list_watch = ListWatch::default();
     let mut batch_delay = BATCH_DELAY;
     loop {
         wait_for_store(shared).await;
         let Some(upstream) = wait_for_upstream(shared).await else {
             return;
         };
-        let next = follower.next();
+        let next = list_watch.next_call();
         let Some(source) = feed(upstream) else {
             upstream_replaced(shared, upstream).await;
             continue;
         };
-        if what == EVACUATIONS && follower.known() > 0 && is_transient(shared, upstream).await {
+        if what == EVACUATIONS
+            && list_watch.latest_revision() > 0
+            && is_transient(shared, upstream).await
+        {
             continue;
         }
         if upstream == Upstream::Store {
-            shared.metrics.count_store(what);
+            shared.metrics.count_store_call(what);
         }
         let started = shared.now();
-        let answer = next_answer(shared, &*source, &mut follower, upstream, policy).await;
+        let answer = next_answer(shared, &*source, &mut list_watch, upstream, policy).await;
         record_outcome(shared, what, upstream, started, answer.as_ref());
         let Some(answer) = answer else {
             continue;
         };
         match (answer, upstream) {
-            (Ok(batch), _) if follower.is_old(batch.revision) => sleep(STALE_BACKOFF).await,
+            (Ok(batch), _) if list_watch.is_stale(batch.revision) => sleep(STALE_BACKOFF).await,
             (Ok(batch), _) => {
-                follower.answered(batch.revision);
+                list_watch.record_answer(batch.revision);
                 let changed = !batch.items.is_empty();
-                apply(batch, next == Next::List);
-                shared.passed.told.send_modify(|count| *count += 1);
-                if changed && next != Next::List && upstream == Upstream::Store {
+                apply(batch, next == NextCall::List);
+                shared.feed_copies.updates.send_modify(|count| *count += 1);
+                if changed && next != NextCall::List && upstream == Upstream::Store {
                     batch_delay = match shared.now().since(started) < BURST_GAP {
                         true => (batch_delay * 2).min(BATCH_DELAY_MAX),
                         false => BATCH_DELAY,
@@ -173,11 +176,11 @@
                 }
             }
             (Err(error @ FeedError::HistoryGone), _) => {
-                follower.failed(&error, &mut shared.host.rng());
+                list_watch.record_failure(&error, &mut shared.host.rng());
             }
             (Err(FeedError::Lost | FeedError::Elsewhere(_)), Upstream::Peer(_)) => {
                 // The next heartbeat shows the outcome, and the upstream to use.
-                shared.choose.notify_one();
+                shared.upstream_changed.notify_one();
                 sleep(LOST_BACKOFF).await;
             }
             (Err(error), Upstream::Peer(peer)) => {
@@ -187,7 +190,7 @@
                 sleep(PEER_BACKOFF).await;
             }
             (Err(error), Upstream::Store) => {
-                let backoff = follower.failed(&error, &mut shared.host.rng());
+                let backoff = list_watch.record_failure(&error, &mut shared.host.rng());
                 warn!(shared.host.log, "watch: a call failed"; "what" => what,
                     "why" => %error, "rest_ms" => backoff.as_millis() as u64);
                 sleep(backoff).await;
@@ -224,31 +227,31 @@
         Some(Err(_)) => "failed",
         None => "given up",
     };
-    shared.metrics.count_reading(kind);
+    shared.metrics.count_feed_read(kind);
     if answer.is_none() {
-        debug!(shared.host.log, "watch: cancelled a call for the {what}"; "from" => %from,
+        debug!(shared.host.log, "watch: gave up a call for the {what}"; "from" => %from,
             "after_ms" => shared.now().since(started).as_millis() as u64);
     }
 }
 
-/// Returns the answer to the follower's next call; `None` if the store is lost or the
+/// Returns the answer to the next call of `list_watch`; `None` if the store is lost or the
 /// upstream has changed.
 async fn next_answer<T>(
     shared: &Shared,
     feed: &dyn Feed<T>,
-    follower: &mut Follower,
+    list_watch: &mut ListWatch,
     upstream: Upstream,
     policy: CallPolicy,
 ) -> Option<Result<Batch<T>, FeedError>> {
-    let revision = match follower.next() {
-        Next::List => {
+    let revision = match list_watch.next_call() {
+        NextCall::List => {
             return tokio::select! {
                 biased;
                 answer = feed.list(Freshness::Now) => Some(answer),
                 () = call_cancelled(shared, upstream, policy) => None,
             };
         }
-        Next::Watch(revision) => revision,
+        NextCall::Watch(revision) => revision,
     };
     let mut started = shared.now();
     let mut watch = feed.watch(revision, WATCH_TIMEOUT);
@@ -257,18 +260,18 @@
             biased;
             answer = &mut watch => return Some(answer),
             () = call_cancelled(shared, upstream, policy) => return None,
-            () = check_due(shared, follower.known(), started) => {}
+            () = check_due(shared, list_watch.latest_revision(), started) => {}
         }
         if *shared.upstream.borrow() != Some(upstream) {
             return None;
         }
         if upstream == Upstream::Store {
-            shared.metrics.count_store("check");
+            shared.metrics.count_store_call("check");
         }
-        match feed.check(follower.known()).await {
+        match feed.check(list_watch.latest_revision()).await {
             // Nothing of this kind has changed, so the watch may be healthy.
             Ok(batch) if batch.items.is_empty() => {
-                follower.answered(batch.revision.max(follower.known()));
+                list_watch.record_answer(batch.revision.max(list_watch.latest_revision()));
                 started = shared.now();
             }
             answer => {
@@ -283,9 +286,9 @@
 async fn wait_for_store(shared: &Shared) {
     // An error means that the entry ends.
     let _ = shared
-        .pulse
+        .store_status
         .subscribe()
-        .wait_for(|pulse| !pulse.is_lost())
+        .wait_for(|status| !status.is_lost())
         .await;
 }
 
@@ -305,33 +308,33 @@
 
 /// Waits until a call to `from` is to be cancelled.
 async fn call_cancelled(shared: &Shared, from: Upstream, policy: CallPolicy) {
-    let mut pulses = shared.pulse.subscribe();
+    let mut statuses = shared.store_status.subscribe();
     let over = async {
         upstream_replaced(shared, from).await;
-        if policy == CallPolicy::Finish && !lock(&shared.upstreams).is_deaf() {
+        if policy == CallPolicy::Finish && !lock(&shared.upstream_selector).is_store_in_backoff() {
             sleep(CALL_GRACE).await;
         }
     };
     tokio::select! {
         () = over => {}
         // An error means that the entry ends.
-        _ = pulses.wait_for(Pulse::is_lost) => {}
+        _ = statuses.wait_for(StoreStatus::is_lost) => {}
     }
 }
 
 /// Waits until a watch that was started or last checked at `started`, and has reported all
 /// changes up to `reported`, is to be checked.
 async fn check_due(shared: &Shared, reported: u64, started: Time) {
-    let mut pulses = shared.pulse.subscribe();
+    let mut statuses = shared.store_status.subscribe();
     loop {
-        let until = pulses.borrow_and_update().overdue(reported, started);
+        let until = statuses.borrow_and_update().check_due(reported, started);
         if until.is_some_and(|until| until <= shared.now()) {
             return;
         }
         let wake = shared.host.clock.instant(until.unwrap_or(Time::MAX));
         tokio::select! {
             // An error means that the entry ends.
-            _ = pulses.changed() => {}
+            _ = statuses.changed() => {}
             () = sleep_until(wake) => {}
         }
     }
--- a/crates/relay/src/sources.rs
+++ b/crates/relay/src/feeds.rs
@@ -7,7 +7,7 @@
 use chestnut_unit::{DomainName, LeafId};
 use futures::{FutureExt, future::BoxFuture};
 
-use crate::{LeafEntry, Upstream};
+use crate::{LeafRegistration, Upstream};
 
 /// Name of the feed of leafs between entries.
 pub(crate) const LEAFS: &str = "leafs";
@@ -15,24 +15,24 @@
 pub(crate) const EVACUATIONS: &str = "evacuations";
 
 /// Port to the feeds of other entries.
-pub trait FeedPeers: Send + Sync {
+pub trait PeerFeeds: Send + Sync {
     /// Returns the heartbeat of the entry at `to`: the revision of the store and the
     /// version of its route book.
-    fn pulse(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>>;
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>>;
 
     /// Returns the delta that turns version `have` (0 for none) into the route book of
     /// the entry at `to`.
     fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>>;
 
     /// Returns the feed of leafs of the entry at `to`.
-    fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafEntry)>>;
+    fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafRegistration)>>;
 
     /// Returns the feed of evacuated failure domains of the entry at `to`.
     fn evacuations(&self, to: SocketAddr) -> Arc<dyn Feed<DomainName>>;
 }
 
-impl FeedPeers for FeedNet {
-    fn pulse(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
+impl PeerFeeds for FeedNet {
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
         Self::pulse(self, to).boxed()
     }
 
@@ -40,7 +40,7 @@
         Self::book(self, to, have).boxed()
     }
 
-    fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafEntry)>> {
+    fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafRegistration)>> {
         Arc::new(self.feed(to, LEAFS))
     }
 
@@ -50,20 +50,20 @@
 }
 
 /// Feeds of the store, and the port to those of other entries.
-pub(crate) struct Sources {
+pub(crate) struct Feeds {
     /// Route books in the store.
     pub(crate) book: Arc<dyn Feed<RouteBook>>,
     /// Leafs in the store.
-    pub(crate) leafs: Arc<dyn Feed<(LeafId, LeafEntry)>>,
+    pub(crate) leafs: Arc<dyn Feed<(LeafId, LeafRegistration)>>,
     /// Evacuated failure domains in the store.
     pub(crate) evacuations: Arc<dyn Feed<DomainName>>,
     /// Feeds of other entries.
-    pub(crate) peers: Arc<dyn FeedPeers>,
+    pub(crate) peers: Arc<dyn PeerFeeds>,
 }
 
-impl Sources {
+impl Feeds {
     /// Returns the feed of leafs of an upstream.
-    pub(crate) fn leafs(&self, from: Upstream) -> Arc<dyn Feed<(LeafId, LeafEntry)>> {
+    pub(crate) fn leafs(&self, from: Upstream) -> Arc<dyn Feed<(LeafId, LeafRegistration)>> {
         match from {
             Upstream::Store => self.leafs.clone(),
             Upstream::Peer(peer) => self.peers.leafs(peer),
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -22,25 +22,25 @@
 use slog::info;
 
 use crate::{
-    calls::LeafCalls,
-    ground::Ground,
+    leaf_calls::LeafCalls,
     plan::{Plan, plan},
     quarantine::{self, Attempt},
     shared::{Phase, Shared},
+    state::RelayState,
 };
 
 /// A request of a caller, with its host and its timeout.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RelayRequest {
     /// The host name, matched against the rules.
     pub host: String,
     /// The message that is forwarded to leafs.
     pub message: Arc<Message>,
     /// How much longer the caller will wait, if it says so.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
-impl Ask {
+impl RelayRequest {
     /// The fingerprint by which the quarantine recognises repeats of a request. It includes
     /// the credentials, as a leaf may answer one caller and crash under another, but not the
     /// request id and deadline, which differ between attempts.
@@ -59,7 +59,7 @@
 
 /// Why a request was not answered by a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum DeclineReason {
     /// No rule of the route book matches the request.
     NoRule,
     /// This entry has not read the route book or the list of leafs yet.
@@ -76,11 +76,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Declined {
     /// The reason.
-    pub why: Why,
+    pub reason: DeclineReason,
     /// Whether the request may have run on a leaf.
     pub run: Run,
     /// Delay before a retry, where one may help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// The reply to a request.
@@ -91,7 +91,7 @@
     /// The merged answers of several shards.
     Merged {
         /// Signatures of the merged answers.
-        proofs: Vec<HeaderValue>,
+        signatures: Vec<HeaderValue>,
         /// Number of shards without an answer.
         missing: usize,
         /// The greatest records of all answers.
@@ -136,7 +136,7 @@
 }
 
 /// Handles a request and logs its outcome.
-pub(crate) async fn forward(shared: &Shared, ask: Ask) -> Reply {
+pub(crate) async fn forward(shared: &Shared, request: RelayRequest) -> Reply {
     let _in_flight = InFlight::enter(&shared.in_flight);
     let start = shared.now();
     let mut log = RequestLog {
@@ -152,61 +152,70 @@
         answered: false,
         full_shards: String::new(),
     };
-    let reply = handle(shared, &ask, start, &mut log)
+    let reply = handle(shared, &request, start, &mut log)
         .await
         .unwrap_or_else(Reply::Declined);
     let elapsed = shared.now().since(start);
     if let (true, Some(send_by)) = (log.cut_short, log.send_by) {
         let late = elapsed.saturating_sub(send_by);
-        lock(&shared.cell.state).extra.callers.went_out(late);
+        lock(&shared.cell.state)
+            .extra
+            .caller_delays
+            .record_overrun(late);
     }
-    log_outcome(shared, &ask, &log, &reply, elapsed);
+    log_outcome(shared, &request, &log, &reply, elapsed);
     reply
 }
 
 async fn handle(
     shared: &Shared,
-    ask: &Ask,
+    request: &RelayRequest,
     start: Time,
     log: &mut RequestLog,
 ) -> Result<Reply, Declined> {
     let book = lock(&shared.cell.state).extra.book.clone();
     let book = match book {
         Some(book) if shared.phase() > Phase::Starting => book,
-        _ => return Err(not_run(Why::NotReady, Some(RETRY_AFTER_START))),
+        _ => return Err(not_run(DeclineReason::NotReady, Some(RETRY_AFTER_START))),
     };
     log.version = book.version.0;
-    let path = ask.message.target.path();
-    let Some(rule) = book.find(&ask.host, path).cloned() else {
-        return Err(not_run(Why::NoRule, None));
+    let path = request.message.target.path();
+    let Some(rule) = book.find(&request.host, path).cloned() else {
+        return Err(not_run(DeclineReason::NoRule, None));
     };
     log.rule = Some(rule.clone());
-    let fingerprint = ask.fingerprint();
+    let fingerprint = request.fingerprint();
     let trust = quarantine::admit(shared, fingerprint)?;
     let draw = shared.host.rng().next_u64();
     let Plan {
         routes,
         gate,
         class,
-        ahead,
+        send_by,
         timeliness,
-    } = plan(&mut lock(&shared.cell.state), &rule, ask.left, draw, start);
-    log.send_by = (timeliness == Timeliness::InTime).then_some(ahead);
-    let timeout = ask.left.unwrap_or(rule.timeout).min(rule.timeout);
+    } = plan(
+        &mut lock(&shared.cell.state),
+        &rule,
+        request.remaining,
+        draw,
+        start,
+    );
+    log.send_by = (timeliness == Timeliness::InTime).then_some(send_by);
+    let timeout = request.remaining.unwrap_or(rule.timeout).min(rule.timeout);
     let deadline = start + timeout;
-    let request = AdmitRequest {
+    let admission = AdmitRequest {
         id: shared.next_request(),
         urgency: urgency(rule.rank),
         deadline,
         sheddable: Sheddable::Yes,
     };
-    let running = admit(&shared.host, &shared.cell, gate, request)
+    let running = admit(&shared.host, &shared.cell, gate, admission)
         .await
-        .map_err(|(reason, after)| not_run(Why::Declined(reason), Some(after)))?;
+        .map_err(|(reason, after)| not_run(DeclineReason::Declined(reason), Some(after)))?;
     let config = QueryConfig {
         deadline,
         min_coverage: min_coverage(&rule),
-        objective: start + ahead,
+        objective: start + send_by,
         timeliness,
         max_attempts: rule.attempts,
         repeat: match rule.kind {
@@ -216,7 +225,7 @@
         trust,
         class,
     };
-    let leaf_calls = leaf_calls(shared, &rule, ask);
+    let leaf_calls = leaf_calls(shared, &rule, request);
     let _attempt = Attempt::new(shared, fingerprint, leaf_calls.outcomes.clone());
     let query = run(
         &shared.host,
@@ -247,10 +256,10 @@
     reply(&rule, query, last_failure, retry_after)
 }
 
-fn leaf_calls<'a>(shared: &'a Shared, rule: &Rule, ask: &Ask) -> LeafCalls<'a> {
+fn leaf_calls<'a>(shared: &'a Shared, rule: &Rule, request: &RelayRequest) -> LeafCalls<'a> {
     LeafCalls {
         shared,
-        message: ask.message.clone(),
+        message: request.message.clone(),
         kind: rule.kind,
         merges: matches!(rule.target, Target::Gather { .. }),
         last_failure: Arc::new(Mutex::new(None)),
@@ -261,13 +270,13 @@
 /// The names of leafs, separated by spaces.
 fn leaf_names(shared: &Shared, leafs: &[Ix]) -> String {
     let state = lock(&shared.cell.state);
-    let places = leafs.iter().filter_map(|ix| state.extra.places.get(ix));
-    let names: Vec<&str> = places.map(|place| place.leaf.as_str()).collect();
+    let endpoints = leafs.iter().filter_map(|ix| state.extra.endpoints.get(ix));
+    let names: Vec<&str> = endpoints.map(|endpoint| endpoint.leaf.as_str()).collect();
     names.join(" ")
 }
 
 /// Releases the admission slot of a request and records its calls.
-fn release(mut running: Running<'_, Ground>, query: &Query<LeafReply>) {
+fn release(mut running: Running<'_, RelayState>, query: &Query<LeafReply>) {
     running.calls = query.calls() as u32;
     running.sheds = query.shed_calls();
 }
@@ -315,7 +324,7 @@
     Reply::Merged {
         body: greatest(bodies, top).into(),
         missing: coverage.asked - coverage.answered,
-        proofs: parts.into_iter().map(|reply| reply.proof).collect(),
+        signatures: parts.into_iter().map(|reply| reply.proof).collect(),
     }
 }
 
@@ -328,16 +337,16 @@
             Some(End::Partial(PartialReason::NoCapacity)) => Reason::Overload,
             _ => Reason::TargetRefused,
         };
-        return not_run(Why::Declined(reason), Some(retry_after));
+        return not_run(DeclineReason::Declined(reason), Some(retry_after));
     }
-    let why = match query.end() {
-        Some(End::Partial(PartialReason::Deadline)) => Why::Timeout,
-        _ => Why::Failed,
+    let reason = match query.end() {
+        Some(End::Partial(PartialReason::Deadline)) => DeclineReason::Timeout,
+        _ => DeclineReason::Failed,
     };
     Declined {
-        why,
+        reason,
         run: Run::Unknown,
-        after: None,
+        retry_after: None,
     }
 }
 
@@ -348,23 +357,29 @@
     base.mul_f64(0.5 + draw as f64 / u64::MAX as f64)
 }
 
-fn not_run(why: Why, after: Option<Duration>) -> Declined {
+fn not_run(reason: DeclineReason, retry_after: Option<Duration>) -> Declined {
     Declined {
-        why,
+        reason,
         run: Run::NotRun,
-        after,
+        retry_after,
     }
 }
 
 /// Logs the outcome of a request and updates the metrics.
-fn log_outcome(shared: &Shared, ask: &Ask, log: &RequestLog, reply: &Reply, elapsed: Duration) {
+fn log_outcome(
+    shared: &Shared,
+    request: &RelayRequest,
+    log: &RequestLog,
+    reply: &Reply,
+    elapsed: Duration,
+) {
     let rule = log.rule.as_ref().map_or("-", |rule| rule.name.as_str());
     let outcome = match reply {
         Reply::Whole(reply) if reply.answer.status().is_success() => "answered",
         Reply::Whole(_) => "leaf failed",
         Reply::Merged { missing: 0, .. } => "answered",
         Reply::Merged { .. } => "partial",
-        Reply::Declined(declined) => declined.why.as_str(),
+        Reply::Declined(declined) => declined.reason.as_str(),
     };
     shared.metrics.observe(rule, outcome, elapsed);
     let missing = log.coverage.as_ref().map_or(String::new(), |coverage| {
@@ -376,15 +391,15 @@
         Reply::Whole(_) | Reply::Merged { .. } => "Ran".to_owned(),
     };
     info!(shared.host.log, "forward: {outcome}";
-        "request" => &ask.message.id, "asks" => %ask.fingerprint(), "rule" => rule, "book" => log.version,
-        "left_ms" => ask.left.map(|left| left.as_millis() as u64),
+        "request" => &request.message.id, "asks" => %request.fingerprint(), "rule" => rule, "book" => log.version,
+        "left_ms" => request.remaining.map(|left| left.as_millis() as u64),
         "ahead_ms" => log.send_by.map(|send_by| send_by.as_millis() as u64),
         "calls" => log.calls, "withheld" => log.withheld, "missing" => missing, "in_vain" => &log.failed_leafs,
         "lost" => log.lost_leafs, "answered" => log.answered, "full" => &log.full_shards, "run" => run,
         "ms" => elapsed.as_secs_f64() * 1e3);
 }
 
-impl Why {
+impl DeclineReason {
     /// The name used in logs and metric labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/leaf_calls.rs
@@ -17,7 +17,7 @@
 use chestnut_unit::LeafId;
 use futures::FutureExt;
 
-use crate::{cold::send_until, ground::Ground, shared::Shared};
+use crate::{cold::send_until, shared::Shared, state::RelayState};
 
 /// Makes the leaf calls of one forwarded request and collects their outcomes.
 pub(crate) struct LeafCalls<'a> {
@@ -51,7 +51,7 @@
 const ONCE_IDLE_MAX: Duration = Duration::from_millis(500);
 
 impl Calls for LeafCalls<'_> {
-    type Extra = Ground;
+    type Extra = RelayState;
     type Part = LeafReply;
 
     fn request(&self) -> &dyn Display {
@@ -59,24 +59,24 @@
     }
 
     fn call(&self, start: Start<'_>) -> Flying<LeafReply> {
-        let place = {
+        let endpoint = {
             let state = lock(&self.shared.cell.state);
-            let place = state.extra.places.get(&start.to).cloned();
+            let endpoint = state.extra.endpoints.get(&start.to).cloned();
             let until = send_until(self.shared, &state, start.to);
-            place
+            endpoint
                 .zip(until)
-                .map(|(place, until)| (state.extra.connections(&place.service), place, until))
+                .map(|(to, until)| (state.extra.connections(&to.service), to, until))
         };
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
         self.shared.metrics.count_call(start.kind);
-        let Some((connections, place, until)) = place else {
+        let Some((connections, endpoint, until)) = endpoint else {
             return async { Err(Failure::NotSent) }.boxed();
         };
-        let callee = (place.leaf.clone(), place.address);
+        let callee = (endpoint.leaf.clone(), endpoint.address);
         let call = LeafCall {
-            leaf: place.leaf,
-            address: place.address,
-            distance: place.distance,
+            leaf: endpoint.leaf,
+            address: endpoint.address,
+            distance: endpoint.distance,
             message: self.message.clone(),
             left: start.left,
             connections,
--- a/crates/relay/src/moves.rs
+++ b/crates/relay/src/leaf_changes.rs
@@ -6,17 +6,22 @@
 
 use crate::{
     cold::{cold_duration, mark_cold},
-    evacuations::Shift,
-    ground::{Endpoint, State},
-    leafs::{LeafEntry, Moved},
+    evacuations::EvacuationChange,
+    leafs::{LeafChange, LeafRegistration},
     settings::RelaySettings,
+    state::{Endpoint, State},
 };
 
 /// Applies changes of the known leafs to the table, and clears the caches they affect.
-pub(crate) fn take_moves(state: &mut State, moves: &[Moved], own: &RelaySettings, now: Time) {
-    for moved in moves {
-        match moved {
-            Moved::Came(id, entry) => {
+pub(crate) fn apply_leaf_changes(
+    state: &mut State,
+    changes: &[LeafChange],
+    own: &RelaySettings,
+    now: Time,
+) {
+    for change in changes {
+        match change {
+            LeafChange::Updated(id, entry) => {
                 // A leaf without warm-up time is warm, however recently it was discovered.
                 let since = match entry.warmup.is_zero() {
                     true => Time::ZERO,
@@ -24,21 +29,21 @@
                 };
                 add_leaf(state, id, entry, own, since, now);
             }
-            Moved::Reborn(id, entry) => restart_leaf(state, id, entry, own, now),
-            Moved::Cooled(id, until) => {
+            LeafChange::Restarted(id, entry) => restart_leaf(state, id, entry, own, now),
+            LeafChange::BecameCold(id, until) => {
                 if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
                     mark_cold(state, ix, *until, now);
                 }
             }
-            Moved::Outdated(_) => {}
-            Moved::Leaves(id) | Moved::Missing(id) => set_suspected(state, id, true),
-            Moved::Closed(id) => set_leaving(state, id, now),
-            Moved::Gone(id) => remove_leaf(state, id, now),
+            LeafChange::Stale(_) => {}
+            LeafChange::Draining(id) | LeafChange::Missing(id) => set_suspected(state, id, true),
+            LeafChange::Closed(id) => set_leaving(state, id, now),
+            LeafChange::Removed(id) => remove_leaf(state, id, now),
         }
     }
-    if moves
+    if changes
         .iter()
-        .any(|moved| !matches!(moved, Moved::Cooled(..)))
+        .any(|change| !matches!(change, LeafChange::BecameCold(..)))
     {
         state.extra.routes.clear();
         state.extra.leaf_domains = None;
@@ -49,7 +54,7 @@
 fn add_leaf(
     state: &mut State,
     id: &LeafId,
-    entry: &LeafEntry,
+    entry: &LeafRegistration,
     own: &RelaySettings,
     since: Time,
     now: Time,
@@ -74,31 +79,35 @@
         slots: entry.slots,
     };
     state.table.set_bounds(ix, state.extra.bounds(&endpoint));
-    state.extra.places.insert(ix, endpoint);
+    state.extra.endpoints.insert(ix, endpoint);
     set_suspected(state, id, false);
 }
 
 /// Assumes that a leaf whose domain is no longer evacuated is cold: it may have cooled
 /// down, which its registration reports only with its next heartbeat.
 fn assume_cold(state: &mut State, id: &LeafId, ix: Ix, now: Time) {
-    let Some(endpoint) = state.extra.places.get(&ix) else {
+    let Some(endpoint) = state.extra.endpoints.get(&ix) else {
         return;
     };
     let until = now + cold_duration(&state.extra, &endpoint.service);
-    state.extra.leafs.cool(id, until);
+    state.extra.leafs.mark_cold(id, until);
     mark_cold(state, ix, until, now);
 }
 
 /// Applies changes of the evacuated failure domains to the table. Returns the leafs that
 /// get no more calls.
-pub(crate) fn take_shifts(state: &mut State, shifts: &[Shift], now: Time) -> Vec<LeafId> {
+pub(crate) fn apply_evacuations(
+    state: &mut State,
+    changes: &[EvacuationChange],
+    now: Time,
+) -> Vec<LeafId> {
     let mut evacuated = Vec::new();
-    for shift in shifts {
-        let (domain, excluded) = match shift {
-            Shift::Emptied(domain) => (domain, true),
-            Shift::Refilled(domain) => (domain, false),
+    for change in changes {
+        let (domain, excluded) = match change {
+            EvacuationChange::Started(domain) => (domain, true),
+            EvacuationChange::Ended(domain) => (domain, false),
         };
-        let leafs: Vec<LeafId> = state.extra.leafs.within(domain).cloned().collect();
+        let leafs: Vec<LeafId> = state.extra.leafs.in_domain(domain).cloned().collect();
         for id in leafs {
             if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
                 state.table.set_excluded(ix, excluded, now);
@@ -111,7 +120,7 @@
             }
         }
     }
-    if !shifts.is_empty() {
+    if !changes.is_empty() {
         state.extra.leaf_domains = None;
     }
     evacuated
@@ -121,13 +130,19 @@
 fn remove_leaf(state: &mut State, id: &LeafId, now: Time) {
     set_leaving(state, id, now);
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
-        state.extra.places.remove(&ix);
+        state.extra.endpoints.remove(&ix);
     }
 }
 
 /// Replaces a leaf by its new incarnation; results of calls to the old one don't count
 /// for the new one.
-fn restart_leaf(state: &mut State, id: &LeafId, entry: &LeafEntry, own: &RelaySettings, now: Time) {
+fn restart_leaf(
+    state: &mut State,
+    id: &LeafId,
+    entry: &LeafRegistration,
+    own: &RelaySettings,
+    now: Time,
+) {
     remove_leaf(state, id, now);
     state.table.retire(&Backend::Leaf(id.clone()));
     add_leaf(state, id, entry, own, now, now);
--- a/crates/relay/src/leafs.rs
+++ b/crates/relay/src/leafs.rs
@@ -10,13 +10,13 @@
 pub enum LeafState {
     /// The leaf accepts work.
     Ready,
-    /// The leaf is leaving and must get no new work.
+    /// The leaf is draining and must get no new work.
     Draining,
 }
 
 /// The registration of one incarnation of a leaf: one run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeafEntry {
+pub struct LeafRegistration {
     /// The service that the leaf runs.
     pub service: ServiceName,
     /// The address that the leaf listens on.
@@ -30,11 +30,11 @@
     /// Remaining time for which the leaf is cold after its start.
     pub warmup: Duration,
     /// The leaf's incarnation, if it reports one.
-    #[serde(default)]
-    pub life: Option<Incarnation>,
+    #[serde(default, rename = "life")]
+    pub incarnation: Option<Incarnation>,
 }
 
-impl LeafEntry {
+impl LeafRegistration {
     /// Returns whether `other` is equal apart from `warmup`, which changes with every
     /// heartbeat of a leaf that has just started.
     #[must_use]
@@ -59,36 +59,36 @@
 /// A known leaf: its latest registration and the state derived from it.
 #[derive(Clone, Debug)]
 struct Leaf {
-    entry: LeafEntry,
+    entry: LeafRegistration,
     /// When the registration went missing, if it has.
     missing_since: Option<Time>,
-    /// Time until which a leaving leaf may still be called.
-    linger_until: Option<Time>,
+    /// Time until which a draining leaf may still be called.
+    draining_until: Option<Time>,
     /// Time until which the leaf is cold, as far as is known.
     cold_until: Time,
 }
 
 /// A change of the known leafs, for the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum LeafChange {
     /// A leaf is new, or its registration changed.
-    Came(LeafId, LeafEntry),
-    /// A leaf restarted under the same id: its statistics, connections and leaving
+    Updated(LeafId, LeafRegistration),
+    /// A leaf restarted under the same id: its statistics, connections and draining
     /// state belong to the earlier incarnation.
-    Reborn(LeafId, LeafEntry),
+    Restarted(LeafId, LeafRegistration),
     /// A leaf is cold until the given time.
-    Cooled(LeafId, Time),
+    BecameCold(LeafId, Time),
     /// A registration of an earlier incarnation was ignored.
-    Outdated(LeafId),
-    /// A leaf is leaving; it is called only if no other can be.
-    Leaves(LeafId),
-    /// A leaving leaf no longer accepts new work.
+    Stale(LeafId),
+    /// A leaf is draining; it is called only if no other can be.
+    Draining(LeafId),
+    /// A draining leaf no longer accepts new work.
     Closed(LeafId),
     /// The registration of a ready leaf is missing. The leaf is called only if no other
     /// can be, until the registration returns or the wait for it times out.
     Missing(LeafId),
     /// A leaf was removed.
-    Gone(LeafId),
+    Removed(LeafId),
 }
 
 /// Removed leafs whose latest incarnation is kept, so that a stale list or peer does
@@ -100,8 +100,8 @@
 /// A registration goes missing if the leaf is gone, or if the store expired it during
 /// an outage while the leaf still runs. A missing ready leaf therefore stays callable as
 /// the last choice until expired registrations have had time to return; otherwise a
-/// service would lose all its leafs in an outage. That time is shorter than a leaving
-/// leaf's drain time, so no call reaches one that has stopped. A leaving leaf stays the
+/// service would lose all its leafs in an outage. That time is shorter than a draining
+/// leaf's drain time, so no call reaches one that has stopped. A draining leaf stays the
 /// last choice for a while too, or its shard would have no leaf until others start.
 #[derive(Clone, Debug)]
 pub struct Leafs {
@@ -110,28 +110,28 @@
     incarnations: BTreeMap<LeafId, Incarnation>,
     /// Time after which a missing leaf is removed.
     missing_timeout: Duration,
-    /// Time for which a leaving leaf may still be called.
-    linger: Duration,
+    /// Time for which a draining leaf may still be called.
+    draining_grace: Duration,
 }
 
 impl Leafs {
     /// Creates an empty set, in which a missing leaf is removed after `missing_timeout`
-    /// and a leaving leaf may still be called for `linger`.
+    /// and a draining leaf may still be called for `draining_grace`.
     #[must_use]
-    pub fn new(missing_timeout: Duration, linger: Duration) -> Self {
+    pub fn new(missing_timeout: Duration, draining_grace: Duration) -> Self {
         Self {
             known: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             missing_timeout,
-            linger,
+            draining_grace,
         }
     }
 
     /// Changes the timeouts: at once for missing leafs, and for leafs that leave from now
     /// on.
-    pub fn set_spans(&mut self, missing_timeout: Duration, linger: Duration) {
+    pub fn set_timeouts(&mut self, missing_timeout: Duration, draining_grace: Duration) {
         self.missing_timeout = missing_timeout;
-        self.linger = linger;
+        self.draining_grace = draining_grace;
     }
 
     /// Returns the number of known leafs, including missing ones.
@@ -147,7 +147,7 @@
     }
 
     /// Returns the service and failure domain of each ready leaf.
-    pub fn places(&self) -> impl Iterator<Item = (&ServiceName, &DomainName)> {
+    pub fn ready_leafs(&self) -> impl Iterator<Item = (&ServiceName, &DomainName)> {
         let ready = self.known.values().map(|known| &known.entry);
         ready
             .filter(|entry| entry.state == LeafState::Ready)
@@ -155,18 +155,18 @@
     }
 
     /// Returns the leafs of a failure domain.
-    pub fn within<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a LeafId> {
+    pub fn in_domain<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a LeafId> {
         let known = self.known.iter();
         known
             .filter(move |(_, known)| known.entry.domain == *domain)
             .map(|(id, _)| id)
     }
 
-    /// Returns all known leafs of a service, including leaving and missing ones.
-    pub fn of<'a>(
+    /// Returns all known leafs of a service, including draining and missing ones.
+    pub fn of_service<'a>(
         &'a self,
         service: &'a ServiceName,
-    ) -> impl Iterator<Item = (&'a LeafId, &'a LeafEntry)> {
+    ) -> impl Iterator<Item = (&'a LeafId, &'a LeafRegistration)> {
         self.known
             .iter()
             .map(|(id, known)| (id, &known.entry))
@@ -192,7 +192,7 @@
 
     /// Records that a leaf is cold until `until`, whatever its registration says. Returns
     /// whether this extends the known time.
-    pub fn cool(&mut self, id: &LeafId, until: Time) -> bool {
+    pub fn mark_cold(&mut self, id: &LeafId, until: Time) -> bool {
         let known = self.known.get_mut(id);
         known.is_some_and(|known| {
             let is_new = known.cold_until < until;
@@ -203,7 +203,12 @@
 
     /// Applies a full list and appends the changes to `out`; leafs that it lacks are
     /// missing.
-    pub fn listed(&mut self, list: Vec<(LeafId, LeafEntry)>, now: Time, out: &mut Vec<Moved>) {
+    pub fn listed(
+        &mut self,
+        list: Vec<(LeafId, LeafRegistration)>,
+        now: Time,
+        out: &mut Vec<LeafChange>,
+    ) {
         let present: std::collections::BTreeSet<LeafId> =
             list.iter().map(|(id, _)| id.clone()).collect();
         for (id, entry) in list {
@@ -219,44 +224,50 @@
     ///
     /// One of an earlier incarnation than the latest known comes from a stale or reordered
     /// read. It is ignored, since it would send calls to an address that the leaf has left.
-    pub fn changed(&mut self, id: LeafId, entry: LeafEntry, now: Time, out: &mut Vec<Moved>) {
+    pub fn changed(
+        &mut self,
+        id: LeafId,
+        entry: LeafRegistration,
+        now: Time,
+        out: &mut Vec<LeafChange>,
+    ) {
         let old = self.known.get(&id);
         let cold = match entry.warmup.is_zero() {
             true => Time::ZERO,
             false => now + entry.warmup,
         };
         if old.is_some_and(|known| known.missing_since.is_none() && known.entry.is_same(&entry)) {
-            if self.cool(&id, cold) {
-                out.push(Moved::Cooled(id, cold));
+            if self.mark_cold(&id, cold) {
+                out.push(LeafChange::BecameCold(id, cold));
             }
             return;
         }
         let order = self.compare_incarnation(&id, &entry);
         if order == IncarnationOrder::Earlier {
-            out.push(Moved::Outdated(id));
+            out.push(LeafChange::Stale(id));
             return;
         }
         let known_cold = self
             .known
             .get(&id)
             .map_or(Time::ZERO, |known| known.cold_until);
-        self.record_incarnation(&id, entry.life);
+        self.record_incarnation(&id, entry.incarnation);
         if order == IncarnationOrder::Later {
-            out.push(Moved::Reborn(id.clone(), entry.clone()));
+            out.push(LeafChange::Restarted(id.clone(), entry.clone()));
         }
-        let linger_until = match entry.state {
+        let draining_until = match entry.state {
             LeafState::Ready => None,
-            LeafState::Draining => Some(now + self.linger),
+            LeafState::Draining => Some(now + self.draining_grace),
         };
         match entry.state {
             LeafState::Ready if order == IncarnationOrder::Later => {}
-            LeafState::Ready => out.push(Moved::Came(id.clone(), entry.clone())),
-            LeafState::Draining => out.push(Moved::Leaves(id.clone())),
+            LeafState::Ready => out.push(LeafChange::Updated(id.clone(), entry.clone())),
+            LeafState::Draining => out.push(LeafChange::Draining(id.clone())),
         }
         let known = Leaf {
             entry,
             missing_since: None,
-            linger_until,
+            draining_until,
             cold_until: match order {
                 IncarnationOrder::Later => cold,
                 IncarnationOrder::Earlier | IncarnationOrder::Same => cold.max(known_cold),
@@ -264,23 +275,23 @@
         };
         self.known.insert(id.clone(), known);
         if cold > now {
-            out.push(Moved::Cooled(id, cold));
+            out.push(LeafChange::BecameCold(id, cold));
         }
     }
 
     /// Removes a leaf whose registration can't be read. Unlike a deletion this is not
     /// caused by an outage, so the leaf is removed at once.
-    pub fn malformed(&mut self, id: &LeafId, out: &mut Vec<Moved>) {
+    pub fn malformed(&mut self, id: &LeafId, out: &mut Vec<LeafChange>) {
         if self.known.remove(id).is_some() {
-            out.push(Moved::Gone(id.clone()));
+            out.push(LeafChange::Removed(id.clone()));
         }
     }
 
     /// Compares the incarnation of `entry` with the latest known one. A leaf with a new
     /// address counts as restarted even if it reports no incarnation.
-    fn compare_incarnation(&self, id: &LeafId, entry: &LeafEntry) -> IncarnationOrder {
+    fn compare_incarnation(&self, id: &LeafId, entry: &LeafRegistration) -> IncarnationOrder {
         let moved = |known: &Leaf| known.entry.address != entry.address;
-        match (entry.life, self.incarnations.get(id)) {
+        match (entry.incarnation, self.incarnations.get(id)) {
             (Some(new), Some(latest)) if new < *latest => IncarnationOrder::Earlier,
             (Some(new), Some(latest)) if new > *latest => IncarnationOrder::Later,
             _ if self.known.get(id).is_some_and(moved) => IncarnationOrder::Later,
@@ -307,24 +318,24 @@
         }
     }
 
-    /// Applies the deletion of a registration: removes a leaving leaf, and marks a ready
+    /// Applies the deletion of a registration: removes a draining leaf, and marks a ready
     /// one as missing.
-    pub fn deleted(&mut self, id: &LeafId, now: Time, out: &mut Vec<Moved>) {
+    pub fn deleted(&mut self, id: &LeafId, now: Time, out: &mut Vec<LeafChange>) {
         let Some(known) = self.known.get_mut(id) else {
             return;
         };
         if known.entry.state == LeafState::Draining {
             self.known.remove(id);
-            out.push(Moved::Gone(id.clone()));
+            out.push(LeafChange::Removed(id.clone()));
         } else if known.missing_since.is_none() {
             known.missing_since = Some(now);
-            out.push(Moved::Missing(id.clone()));
+            out.push(LeafChange::Missing(id.clone()));
         }
     }
 
     /// Restarts the timeout of missing leafs, since the store has recovered from an outage
     /// and their registrations may still return.
-    pub fn returned(&mut self, now: Time) {
+    pub fn restart_timeouts(&mut self, now: Time) {
         for known in self.known.values_mut() {
             if known.missing_since.is_some() {
                 known.missing_since = Some(now);
@@ -333,12 +344,12 @@
     }
 
     /// Removes leafs that have been missing too long, and closes those that have been
-    /// leaving too long.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Moved>) {
+    /// draining too long.
+    pub fn tick(&mut self, now: Time, out: &mut Vec<LeafChange>) {
         for (id, known) in &mut self.known {
-            if known.linger_until.is_some_and(|until| until <= now) {
-                known.linger_until = None;
-                out.push(Moved::Closed(id.clone()));
+            if known.draining_until.is_some_and(|until| until <= now) {
+                known.draining_until = None;
+                out.push(LeafChange::Closed(id.clone()));
             }
         }
         let limit = self.missing_timeout;
@@ -351,7 +362,7 @@
             .collect();
         for id in expired_ids {
             self.known.remove(&id);
-            out.push(Moved::Gone(id));
+            out.push(LeafChange::Removed(id));
         }
     }
 
@@ -360,7 +371,7 @@
     pub fn wake(&self) -> Time {
         let known = self.known.values();
         let expires = |leaf: &Leaf| leaf.missing_since.map(|at| at + self.missing_timeout);
-        let wakes = known.flat_map(|known| [expires(known), known.linger_until]);
+        let wakes = known.flat_map(|known| [expires(known), known.draining_until]);
         wakes.flatten().min().unwrap_or(Time::MAX)
     }
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/list_watch.rs
@@ -6,9 +6,9 @@
 use chestnut_port::FeedError;
 use rand::Rng;
 
-/// The next call that a [`Follower`] makes to its feed.
+/// The next call that a [`ListWatch`] makes to its feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextCall {
     /// Reads the whole list.
     List,
     /// Waits for changes after this revision.
@@ -28,29 +28,29 @@
 /// jitter, so that entries that lost the store together don't reconnect
 /// together.
 #[derive(Clone, Debug, Default)]
-pub struct Follower {
+pub struct ListWatch {
     revision: Option<u64>,
     /// Greatest revision received; kept while the list is read again.
     newest: u64,
     failures: u32,
 }
 
-impl Follower {
+impl ListWatch {
     /// Returns the next call to make.
     #[must_use]
-    pub fn next(&self) -> Next {
-        self.revision.map_or(Next::List, Next::Watch)
+    pub fn next_call(&self) -> NextCall {
+        self.revision.map_or(NextCall::List, NextCall::Watch)
     }
 
     /// Returns whether an answer that goes up to `revision` is older than what
     /// is known. Taken as a whole list it would restore deleted objects.
     #[must_use]
-    pub fn is_old(&self, revision: u64) -> bool {
+    pub fn is_stale(&self, revision: u64) -> bool {
         revision < self.newest
     }
 
     /// Records an answer that goes up to `revision`, and resets the backoff.
-    pub fn answered(&mut self, revision: u64) {
+    pub fn record_answer(&mut self, revision: u64) {
         self.revision = Some(revision);
         self.newest = self.newest.max(revision);
         self.failures = 0;
@@ -58,13 +58,13 @@
 
     /// Returns the greatest revision received so far.
     #[must_use]
-    pub fn known(&self) -> u64 {
+    pub fn latest_revision(&self) -> u64 {
         self.newest
     }
 
     /// Records a failed call and returns the backoff before the next one. After
     /// [`FeedError::HistoryGone`] the list is read again at once.
-    pub fn failed(&mut self, error: &FeedError, rng: &mut dyn Rng) -> Duration {
+    pub fn record_failure(&mut self, error: &FeedError, rng: &mut dyn Rng) -> Duration {
         if *error == FeedError::HistoryGone {
             self.revision = None;
             return Duration::ZERO;
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -26,10 +26,9 @@
 use tokio::time::sleep_until;
 
 use crate::{
-    Advert, Allotment, Cause, Distance, Part, Rate, RelaySettings, Upstream,
-    ground::Homes,
-    quarantine,
+    Advert, Cause, Distance, Quota, Rate, RelaySettings, Role, Upstream, quarantine,
     shared::{Phase, Shared},
+    state::LeafDomains,
 };
 
 /// Averaging time of the load by which serving entries are chosen.
@@ -82,7 +81,7 @@
         Self {
             swim: Mutex::new(swim),
             rate: Mutex::new(Rate::default()),
-            steady_rate: Mutex::new(Rate::over(STEADY_LOAD_SPAN)),
+            steady_rate: Mutex::new(Rate::with_time_constant(STEADY_LOAD_SPAN)),
             load: AtomicU32::new(0),
             serving_count: Mutex::default(),
             probes,
@@ -91,7 +90,7 @@
 
     /// Addresses of the serving entries for callers, at most `most`.
     pub(crate) fn addresses(&self, shared: &Shared, most: usize) -> Vec<SocketAddr> {
-        let homes = shared.homes();
+        let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
         let own = &shared.settings.entry.member;
         let own_serves = shared.phase() == Phase::Serving;
@@ -108,10 +107,10 @@
         let listed = known
             .iter()
             .filter(|member| !any_other_alive || member.liveness == Liveness::Alive)
-            .map(|member| self.candidate(&swim, &homes, member, member.addresses.callers))
+            .map(|member| self.candidate(&swim, &leaf_domains, member, member.addresses.callers))
             .collect::<Vec<_>>();
         let serving_count = lock(&self.serving_count).count();
-        let mut list = carriers(&listed, homes.leafs, serving_count);
+        let mut list = carriers(&listed, leaf_domains.leaf_count, serving_count);
         let mut rng = shared.host.rng();
         while list.len() > most {
             let at = (rng.next_u64() % list.len() as u64) as usize;
@@ -121,44 +120,54 @@
     }
 
     /// The position of this entry in the list of serving entries, if it is one of them.
-    pub(crate) fn carrier_rank(&self, shared: &Shared) -> Option<usize> {
-        let homes = shared.homes();
+    pub(crate) fn serving_rank(&self, shared: &Shared) -> Option<usize> {
+        let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
-        let list = self.candidates(&swim, &homes);
+        let list = self.candidates(&swim, &leaf_domains);
         let serving_count = lock(&self.serving_count).count();
-        let serving = carriers(&list, homes.leafs, serving_count);
+        let serving = carriers(&list, leaf_domains.leaf_count, serving_count);
         serving.iter().position(|member| member.id == *own)
     }
 
     /// The members that may serve callers, including those that are leaving.
-    fn candidates<'a>(&self, swim: &'a Swim, homes: &Homes) -> Vec<Candidate<&'a Member>> {
+    fn candidates<'a>(
+        &self,
+        swim: &'a Swim,
+        leaf_domains: &LeafDomains,
+    ) -> Vec<Candidate<&'a Member>> {
         let present = interleave_domains(swim.view.present()).into_iter();
-        let candidates = present.map(|member| self.candidate(swim, homes, member, member));
+        let candidates = present.map(|member| self.candidate(swim, leaf_domains, member, member));
         candidates.collect()
     }
 
     /// The quota of this entry, from the numbers of serving and other entries.
-    fn allotment(&self, shared: &Shared) -> Allotment {
-        let homes = shared.homes();
+    fn quota(&self, shared: &Shared) -> Quota {
+        let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
-        let list = self.candidates(&swim, &homes);
-        let wanted = carriers(&list, homes.leafs, 0).len();
+        let list = self.candidates(&swim, &leaf_domains);
+        let wanted = carriers(&list, leaf_domains.leaf_count, 0).len();
         let serving_count = lock(&self.serving_count).want(wanted, shared.now());
-        let serving = carriers(&list, homes.leafs, serving_count);
-        Allotment {
-            carriers: serving.len().max(1),
+        let serving = carriers(&list, leaf_domains.leaf_count, serving_count);
+        Quota {
+            serving: serving.len().max(1),
             others: list.len() - serving.len(),
-            part: match serving.iter().any(|member| member.id == *own) {
-                true => Part::Carrier,
-                false => Part::Other,
+            role: match serving.iter().any(|member| member.id == *own) {
+                true => Role::Carrier,
+                false => Role::Other,
             },
         }
     }
 
     /// A member as a candidate for serving, known as `id`.
-    fn candidate<T>(&self, swim: &Swim, homes: &Homes, member: &Member, id: T) -> Candidate<T> {
+    fn candidate<T>(
+        &self,
+        swim: &Swim,
+        leaf_domains: &LeafDomains,
+        member: &Member,
+        id: T,
+    ) -> Candidate<T> {
         let load = match member.id == swim.view.own().id {
             true => self.load.load(Ordering::Relaxed),
             false => member.load,
@@ -167,13 +176,13 @@
             id,
             weight: member.weight,
             load,
-            near: homes.domains.contains(&member.domain),
+            near: leaf_domains.domains.contains(&member.domain),
         }
     }
 
     /// The members of `list` that are gone, for removal of their adverts. Empty except at the
     /// member with the lowest id, so that each advert is removed once.
-    pub(crate) fn gone_of(&self, shared: &Shared, list: &[Advert]) -> Vec<MemberId> {
+    pub(crate) fn gone_members(&self, shared: &Shared, list: &[Advert]) -> Vec<MemberId> {
         if !self.has_lowest_id(shared) {
             return Vec::new();
         }
@@ -222,15 +231,15 @@
     }
 
     /// Chooses the upstream from which this entry receives updates, and says why.
-    pub(crate) fn upstream(&self, shared: &Shared) -> (Upstream, Cause) {
+    pub(crate) fn choose_upstream(&self, shared: &Shared) -> (Upstream, Cause) {
         let now = shared.now();
         let swim = lock(&self.swim);
         let (own, seeds) = (swim.view.own(), &shared.settings.seeds);
         let age = now.since(Time::ZERO);
         let others = swim.view.others().filter(is_started);
-        let mut upstreams = lock(&shared.upstreams);
-        let upstream = upstreams.choose(own, others, seeds, age, now);
-        (upstream, upstreams.cause())
+        let mut selector = lock(&shared.upstream_selector);
+        let upstream = selector.choose(own, others, seeds, age, now);
+        (upstream, selector.cause())
     }
 
     /// Messages that report this entry's status, such as a new book version, to a random
@@ -250,7 +259,7 @@
     }
 
     /// Sends join requests to the seeds.
-    pub(crate) async fn knock(&self, shared: &Shared) {
+    pub(crate) async fn send_join_requests(&self, shared: &Shared) {
         let out: Vec<Send> = {
             let swim = lock(&self.swim);
             let own = shared.settings.listen.peers;
@@ -262,7 +271,7 @@
     }
 
     /// Adds members that are known only by their adverts.
-    pub(crate) fn introduce(&self, shared: &Shared, adverts: &[Advert]) {
+    pub(crate) fn add_advertised(&self, shared: &Shared, adverts: &[Advert]) {
         let now = shared.now();
         let mut swim = lock(&self.swim);
         let unknown: Vec<Member> = adverts
@@ -320,7 +329,7 @@
 
 /// Waits until the entry serves callers, as other entries direct callers to every member
 /// that they know. Returns false if the entry has ended instead.
-pub(crate) async fn serves(shared: &Shared) -> bool {
+pub(crate) async fn wait_until_serving(shared: &Shared) -> bool {
     let mut phases = shared.phase.subscribe();
     let served = phases.wait_for(|phase| *phase > Phase::Starting).await;
     served.is_ok()
@@ -328,7 +337,7 @@
 
 /// Runs the membership protocol for as long as the entry runs: sends and answers probes.
 pub(crate) async fn probe(shared: Arc<Shared>, members: Arc<Members>) {
-    if !serves(&shared).await {
+    if !wait_until_serving(&shared).await {
         return;
     }
     announce(&shared, &members).await;
@@ -351,7 +360,7 @@
                 swim.tell_load(members.load.load(Ordering::Relaxed));
                 swim.tick(status, now, &mut rng, &mut out);
                 drop(swim);
-                share(&shared, &members);
+                update_quota(&shared, &members);
             }
         }
         send_all(&shared, &members, out).await;
@@ -392,14 +401,14 @@
         false => Distance::Far,
     };
     quarantine::merge_reports(shared, &probe.cases);
-    shared.hear_version(probe.from.addresses.peers, probe.book, distance);
+    shared.record_peer_version(probe.from.addresses.peers, probe.book, distance);
 }
 
 /// The status that this entry reports: its load in calls per second and its book version.
 fn status(shared: &Shared, members: &Members) -> Status {
     let calls = shared.calls.load(Ordering::Relaxed);
-    let load = lock(&members.rate).take(calls, shared.now());
-    let steady = lock(&members.steady_rate).take(calls, shared.now());
+    let load = lock(&members.rate).record(calls, shared.now());
+    let steady = lock(&members.steady_rate).record(calls, shared.now());
     members.load.store(steady, Ordering::Relaxed);
     Status {
         load,
@@ -443,14 +452,14 @@
         };
         info!(shared.host.log, "fleet: {id} {state}");
     }
-    shared.choose.notify_one();
-    share(shared, members);
+    shared.upstream_changed.notify_one();
+    update_quota(shared, members);
 }
 
 /// Updates this entry's quota of the shared limits from the members that are present,
 /// including those that are leaving.
-pub(crate) fn share(shared: &Shared, members: &Members) {
+pub(crate) fn update_quota(shared: &Shared, members: &Members) {
     shared.metrics.members.set(members.count() as i64);
     shared.traffic.set_near(members.local_peers(shared));
-    shared.allot(members.allotment(shared));
+    shared.set_quota(members.quota(shared));
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -74,15 +74,15 @@
     /// Leafs that are known.
     pub(crate) leafs: Gauge,
     /// Cold leafs, whose call rate is bounded after their start.
-    pub(crate) cold: Gauge,
+    pub(crate) cold_leafs: Gauge,
     /// Id of the lease of cold leafs that this entry holds; -1 if it holds none.
-    pub(crate) lease: Gauge,
+    pub(crate) cold_lease: Gauge,
     /// Failure domains that are being evacuated.
     pub(crate) evacuated: Gauge,
     /// Calls in flight to leafs of evacuated failure domains.
     pub(crate) evacuated_calls: Gauge,
     /// Version of the route book in force.
-    pub(crate) book: Gauge,
+    pub(crate) book_version: Gauge,
     book_behind: Gauge,
     feed_reads: Family<KindLabels, Counter>,
     upstream_moves: Family<CauseLabels, Counter>,
@@ -111,11 +111,11 @@
             passed_bytes: Counter::default(),
             members: Gauge::default(),
             leafs: Gauge::default(),
-            cold: Gauge::default(),
-            lease: Gauge::default(),
+            cold_leafs: Gauge::default(),
+            cold_lease: Gauge::default(),
             evacuated: Gauge::default(),
             evacuated_calls: Gauge::default(),
-            book: Gauge::default(),
+            book_version: Gauge::default(),
             book_behind: Gauge::default(),
             feed_reads: Family::default(),
             upstream_moves: Family::default(),
@@ -150,14 +150,18 @@
         r.register("members", "Entries that serve", self.members.clone());
         r.register("leafs", "Leafs that are known", self.leafs.clone());
         let cold = "Leafs whose calls are bounded while they are cold";
-        r.register("cold_leafs", cold, self.cold.clone());
+        r.register("cold_leafs", cold, self.cold_leafs.clone());
         let lease = "Lease of cold leafs that is held, -1 if none is";
-        r.register("cold_lease", lease, self.lease.clone());
+        r.register("cold_lease", lease, self.cold_lease.clone());
         let evacuated = "Failure domains that are evacuated";
         r.register("evacuated_domains", evacuated, self.evacuated.clone());
         let calls = "Calls under way to leafs of evacuated domains";
         r.register("evacuated_calls", calls, self.evacuated_calls.clone());
-        r.register("book_version", "Version in force", self.book.clone());
+        r.register(
+            "book_version",
+            "Version in force",
+            self.book_version.clone(),
+        );
         let behind = "Milliseconds since a peer told of a newer version, 0 if none has";
         r.register(
             "upstream_moves",
@@ -198,7 +202,7 @@
     }
 
     /// Counts a call to the store.
-    pub(crate) fn count_store(&self, kind: &'static str) {
+    pub(crate) fn count_store_call(&self, kind: &'static str) {
         self.store_calls.get_or_create(&KindLabels { kind }).inc();
         *lock(&self.unlogged_store_calls).entry(kind).or_default() += 1;
     }
@@ -209,13 +213,13 @@
     }
 
     /// Sets how long a newer book version has been known; `None` if the book is current.
-    pub(crate) fn set_behind(&self, delay: Option<Duration>) {
+    pub(crate) fn set_book_behind(&self, delay: Option<Duration>) {
         self.book_behind
             .set(delay.map_or(0, |delay| delay.as_millis() as i64));
     }
 
     /// Counts a change of upstream by its cause.
-    pub(crate) fn count_move(&self, cause: Cause) {
+    pub(crate) fn count_upstream_move(&self, cause: Cause) {
         let cause = format!("{cause:?}").to_lowercase();
         self.upstream_moves
             .get_or_create(&CauseLabels { cause })
@@ -223,7 +227,7 @@
     }
 
     /// Counts a read of a feed by its result.
-    pub(crate) fn count_reading(&self, kind: &'static str) {
+    pub(crate) fn count_feed_read(&self, kind: &'static str) {
         self.feed_reads.get_or_create(&KindLabels { kind }).inc();
     }
 
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     callers::MaxRemaining,
-    ground::{RuleState, State, gate},
+    state::{RuleState, State, gate},
 };
 
 /// Classes of calls, one per rule; further rules share the first one. The limit bounds
@@ -28,7 +28,7 @@
     pub(crate) class: Class,
     /// Time from the request's arrival to when its answer must be sent to meet the latency
     /// objective.
-    pub(crate) ahead: Duration,
+    pub(crate) send_by: Duration,
     /// Whether the answer can still meet the objective.
     pub(crate) timeliness: Timeliness,
 }
@@ -44,7 +44,7 @@
 ) -> Plan {
     let class = class_of(state, rule);
     state.table.set_objective(class, rule.goal);
-    let (ahead, timeliness) = time_ahead(state, rule, class, remaining, now);
+    let (send_by, timeliness) = send_by(state, rule, class, remaining, now);
     let services = match &rule.target {
         Target::One(service) => vec![service.clone()],
         Target::Split(parts) => vec![pick_service(state, rule, parts, draw)],
@@ -70,7 +70,7 @@
         routes,
         gate,
         class,
-        ahead,
+        send_by,
         timeliness,
     }
 }
@@ -79,7 +79,7 @@
 ///
 /// An answer that can't gets the whole objective from now: it is late in any case, and
 /// more complete with more time.
-fn time_ahead(
+fn send_by(
     state: &mut State,
     rule: &Rule,
     class: Class,
@@ -87,18 +87,19 @@
     now: Time,
 ) -> (Duration, Timeliness) {
     let median = state.table.profile(class).calls.median();
-    let ground = &mut state.extra;
-    let Some(kept) = ground.rules.get_mut(&rule.name) else {
+    let relay_state = &mut state.extra;
+    let Some(kept) = relay_state.rules.get_mut(&rule.name) else {
         return (rule.goal, Timeliness::InTime);
     };
-    let overhead = ground
-        .callers
-        .overhead(&mut kept.max_remaining, remaining, rule.timeout, now);
-    let ahead = rule
+    let overhead =
+        relay_state
+            .caller_delays
+            .overhead(&mut kept.max_remaining, remaining, rule.timeout, now);
+    let send_by = rule
         .goal
-        .saturating_sub(overhead + ground.transmission_delay(rule));
-    match ahead > median {
-        true => (ahead, Timeliness::InTime),
+        .saturating_sub(overhead + relay_state.transmission_delay(rule));
+    match send_by > median {
+        true => (send_by, Timeliness::InTime),
         false => (rule.goal, Timeliness::Late),
     }
 }
@@ -163,7 +164,7 @@
     state
         .extra
         .leafs
-        .of(service)
+        .of_service(service)
         .filter_map(|(id, _)| state.table.find(&Backend::Leaf(id.clone())))
         .collect()
 }
@@ -174,8 +175,8 @@
         return *id;
     }
     let extra = state.extra.extra;
-    let mut budget = Budget::empty(extra.share(), 1);
-    budget.set_quota(state.extra.allotment.slack(&extra), extra.window);
+    let mut budget = Budget::empty(extra.ratio(), 1);
+    budget.set_quota(state.extra.quota.slack(&extra), extra.window);
     let id = state.table.add_budget(ExtraBudget::Joint(budget));
     state.extra.budgets.insert(service.clone(), id);
     id
--- a/crates/relay/src/spread.rs
+++ b/crates/relay/src/propagation.rs
@@ -24,11 +24,11 @@
 
 /// The next step towards a newer book.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pull {
+pub enum NextRead {
     /// Read the book from this peer.
     From(SocketAddr),
     /// Check again at this time, or when a peer reports its version.
-    Rest(Time),
+    WaitUntil(Time),
     /// Wait until a peer reports its version or a read ends.
     Nothing,
 }
@@ -52,7 +52,7 @@
 /// version that the store accepted stays valid. Lists of leafs must come from the upstream,
 /// because stale ones do harm.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct BookPropagation {
     /// The version in force here.
     own_version: BookVersion,
     /// The peers with a newer version.
@@ -63,10 +63,10 @@
     since: Option<Time>,
 }
 
-impl Spread {
+impl BookPropagation {
     /// Records that `peer` has `version`. Returns whether it is newer than all versions
     /// that were known.
-    pub fn told(
+    pub fn reported(
         &mut self,
         peer: SocketAddr,
         version: BookVersion,
@@ -74,7 +74,7 @@
         now: Time,
     ) -> bool {
         if version <= self.own_version {
-            self.lacks(peer);
+            self.not_newer(peer);
             return false;
         }
         let is_newer = self.newest().is_none_or(|newest| version > newest);
@@ -100,7 +100,7 @@
 
     /// Records that `version` is in force here. Returns for how long a newer version than
     /// the one before had been known.
-    pub fn taken(&mut self, version: BookVersion, now: Time) -> Option<Duration> {
+    pub fn installed(&mut self, version: BookVersion, now: Time) -> Option<Duration> {
         self.own_version = self.own_version.max(version);
         self.ahead.retain(|_, ahead| ahead.version > version);
         let since = self.since?;
@@ -111,7 +111,7 @@
     }
 
     /// Records that `peer` has no newer version.
-    pub fn lacks(&mut self, peer: SocketAddr) {
+    pub fn not_newer(&mut self, peer: SocketAddr) {
         self.ahead.remove(&peer);
         if self.ahead.is_empty() {
             self.since = None;
@@ -126,29 +126,29 @@
     }
 
     /// Records the start of a read from `peer`.
-    pub fn begun(&mut self, peer: SocketAddr, now: Time) {
+    pub fn read_started(&mut self, peer: SocketAddr, now: Time) {
         self.reads.insert(peer, now);
     }
 
     /// Records the end of the read from `peer`, successful or not.
-    pub fn ended(&mut self, peer: SocketAddr) {
+    pub fn read_ended(&mut self, peer: SocketAddr) {
         self.reads.remove(&peer);
     }
 
     /// Returns the next step. The random number `draw` breaks ties between peers, so that
     /// entries that learn of a version together don't all ask the same peer.
     #[must_use]
-    pub fn next(&self, draw: u64, now: Time) -> Pull {
+    pub fn next(&self, draw: u64, now: Time) -> NextRead {
         let hedge_at = self.reads.values().max().map(|since| *since + HEDGE_DELAY);
         if self.reads.len() >= MAX_READS {
-            return Pull::Nothing;
+            return NextRead::Nothing;
         }
         let others = self.ahead.iter();
         let others = others.filter(|(peer, _)| !self.reads.contains_key(peer));
         if let Some(hedge_at) = hedge_at.filter(|hedge_at| now < *hedge_at) {
             return match others.count() {
-                0 => Pull::Nothing,
-                _ => Pull::Rest(hedge_at),
+                0 => NextRead::Nothing,
+                _ => NextRead::WaitUntil(hedge_at),
             };
         }
         let ready = others.clone().filter(|(_, ahead)| ahead.not_before <= now);
@@ -156,14 +156,14 @@
         let best = ready.clone().map(|(_, ahead)| rank(ahead)).min();
         let Some(best) = best else {
             let soonest = others.map(|(_, ahead)| ahead.not_before).min();
-            return soonest.map_or(Pull::Nothing, Pull::Rest);
+            return soonest.map_or(NextRead::Nothing, NextRead::WaitUntil);
         };
         let tied: Vec<&SocketAddr> = ready
             .filter(|(_, ahead)| rank(ahead) == best)
             .map(|(peer, _)| peer)
             .collect();
         let at = (draw % tied.len() as u64) as usize;
-        Pull::From(*tied[at])
+        NextRead::From(*tied[at])
     }
 
     /// Returns the newest version that a peer reported, if it is newer than the own one.
@@ -174,7 +174,7 @@
 
     /// Returns for how long a newer version has been known, if one is.
     #[must_use]
-    pub fn behind(&self, now: Time) -> Option<Duration> {
+    pub fn lag(&self, now: Time) -> Option<Duration> {
         self.since.map(|since| now.since(since))
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -24,8 +24,8 @@
 };
 
 use crate::{
-    calls::CallOutcomes,
-    forward::{Declined, Why},
+    forward::{DeclineReason, Declined},
+    leaf_calls::CallOutcomes,
     members::{self, Members},
     shared::Shared,
 };
@@ -49,16 +49,16 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// An attempt that no leaf answered, with the leafs whose connection was lost.
-pub(crate) struct Doubt {
+pub(crate) struct SuspectAttempt {
     fingerprint: Fingerprint,
     leafs: Vec<(LeafId, std::net::SocketAddr)>,
 }
 
 /// The queue of suspect attempts to check.
-pub(crate) type SuspectReceiver = mpsc::Receiver<Doubt>;
+pub(crate) type SuspectReceiver = mpsc::Receiver<SuspectAttempt>;
 
 /// The bounded queue of suspect attempts.
-pub(crate) fn suspect_channel() -> (mpsc::Sender<Doubt>, SuspectReceiver) {
+pub(crate) fn suspect_channel() -> (mpsc::Sender<SuspectAttempt>, SuspectReceiver) {
     mpsc::channel(QUEUE_MAX)
 }
 
@@ -102,18 +102,18 @@
                     shared.host.log,
                     "quarantine: a leaf answered {}", self.fingerprint
                 );
-                shared.struck.notify_one();
+                shared.ledger_changed.notify_one();
             }
             return;
         }
         if outcomes.lost.is_empty() {
             return;
         }
-        let suspect = Doubt {
+        let suspect = SuspectAttempt {
             fingerprint: self.fingerprint,
             leafs: outcomes.lost,
         };
-        match shared.doubts.try_send(suspect) {
+        match shared.suspect_attempts.try_send(suspect) {
             Ok(()) | Err(TrySendError::Closed(_)) => {}
             Err(TrySendError::Full(_)) => {
                 warn!(shared.host.log, "quarantine: too many suspect attempts to check, one is dropped"; "asks" => %self.fingerprint);
@@ -132,9 +132,9 @@
         Stand::Free => Ok(Trust::Trusted),
         Stand::Trial => Ok(Trust::Suspected),
         Stand::Refused(after) => Err(Declined {
-            why: Why::Declined(Reason::Quarantined),
+            reason: DeclineReason::Declined(Reason::Quarantined),
             run: Run::NotRun,
-            after: Some(after),
+            retry_after: Some(after),
         }),
     }
 }
@@ -155,7 +155,7 @@
         .set_quarantine_records(ledger.len(), ledger.refused(now));
     drop(ledger);
     if changed {
-        shared.struck.notify_one();
+        shared.ledger_changed.notify_one();
     }
 }
 
@@ -180,8 +180,8 @@
 type CheckCache = Mutex<BTreeMap<LeafId, (Time, Listening)>>;
 
 /// Checks the leafs of a suspect attempt and records those that have crashed.
-async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: Doubt) {
-    let Doubt {
+async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: SuspectAttempt) {
+    let SuspectAttempt {
         fingerprint,
         mut leafs,
     } = suspect;
@@ -213,7 +213,7 @@
     info!(shared.host.log, "quarantine: leafs ended under {fingerprint}, which none answered";
         "leafs" => names.join(" "), "stand" => format!("{decision:?}"));
     if changed {
-        shared.struck.notify_one();
+        shared.ledger_changed.notify_one();
     }
     if changed && blamed {
         queue_update(shared, fingerprint);
@@ -223,7 +223,7 @@
 /// Queues an update of the store's record of a request.
 fn queue_update(shared: &Shared, fingerprint: Fingerprint) {
     // A dropped update is no loss while other entries still have the record.
-    if shared.verdicts.try_send(fingerprint).is_err() {
+    if shared.record_updates.try_send(fingerprint).is_err() {
         warn!(shared.host.log, "quarantine: too many records to write, one is dropped"; "asks" => %fingerprint);
     }
 }
@@ -256,7 +256,7 @@
         let due = lock(&shared.ledger).tell_at();
         let wake = due.unwrap_or(shared.now() + EXPIRY_INTERVAL);
         tokio::select! {
-            () = shared.struck.notified() => continue,
+            () = shared.ledger_changed.notified() => continue,
             () = sleep_until(shared.host.clock.instant(wake)) => {}
         }
         if due.is_some() {
--- a/crates/relay/src/allot.rs
+++ b/crates/relay/src/quota.rs
@@ -6,9 +6,9 @@
 
 use crate::ExtraCalls;
 
-/// Whether the directory sends callers to this entry.
+/// Whether the directory sends callers to this entry. The variant names are log values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     /// A serving entry: callers are sent to it.
     Carrier,
     /// Not a serving entry; callers that connected earlier may still use it.
@@ -26,24 +26,24 @@
 ///
 /// An extra call is a hedge or a retry: any call after the first of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allotment {
+pub struct Quota {
     /// Number of serving entries.
-    pub carriers: usize,
+    pub serving: usize,
     /// Number of all other entries.
     pub others: usize,
     /// The group that this entry belongs to.
-    pub part: Part,
+    pub role: Role,
 }
 
-impl Allotment {
+impl Quota {
     /// Returns the quota to use until the other entries are known. It assumes many:
     /// with too few, entries that start together would exceed the shared bounds.
     #[must_use]
-    pub fn unknown() -> Self {
+    pub fn initial() -> Self {
         Self {
-            carriers: 16,
+            serving: 16,
             others: 0,
-            part: Part::Carrier,
+            role: Role::Carrier,
         }
     }
 
@@ -51,13 +51,13 @@
     /// together stay within the slack.
     #[must_use]
     pub fn slack(&self, extra: &ExtraCalls) -> f64 {
-        let carriers = self.carriers.max(1) as f64;
+        let serving = self.serving.max(1) as f64;
         if self.others == 0 {
-            return extra.slack / carriers;
+            return extra.slack / serving;
         }
-        match self.part {
-            Part::Carrier => extra.slack * SERVING_SLACK_SHARE / carriers,
-            Part::Other => extra.slack * (1.0 - SERVING_SLACK_SHARE) / self.others as f64,
+        match self.role {
+            Role::Carrier => extra.slack * SERVING_SLACK_SHARE / serving,
+            Role::Other => extra.slack * (1.0 - SERVING_SLACK_SHARE) / self.others as f64,
         }
     }
 
@@ -66,9 +66,9 @@
     #[must_use]
     pub fn connections(&self, most: usize) -> usize {
         let others = self.others.min(most / NON_SERVING_DIVISOR);
-        match self.part {
-            Part::Carrier => ((most - others) / self.carriers.max(1)).max(1),
-            Part::Other => 1,
+        match self.role {
+            Role::Carrier => ((most - others) / self.serving.max(1)).max(1),
+            Role::Other => 1,
         }
     }
 }
@@ -87,14 +87,14 @@
 
 impl Default for Rate {
     fn default() -> Self {
-        Self::over(RATE_TIME_CONSTANT)
+        Self::with_time_constant(RATE_TIME_CONSTANT)
     }
 }
 
 impl Rate {
     /// Returns a rate of zero that is averaged with the time constant `time_constant`.
     #[must_use]
-    pub fn over(time_constant: Duration) -> Self {
+    pub fn with_time_constant(time_constant: Duration) -> Self {
         Self {
             time_constant,
             rate: 0.0,
@@ -105,7 +105,7 @@
 
     /// Records the total count of events so far and returns the average in events per
     /// second.
-    pub fn take(&mut self, count: u64, now: Time) -> u32 {
+    pub fn record(&mut self, count: u64, now: Time) -> u32 {
         let elapsed = now.since(self.updated).as_secs_f64();
         if elapsed > 0.0 {
             let sample = count.saturating_sub(self.count) as f64 / elapsed;
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -12,14 +12,14 @@
 
 use crate::{
     Upstream,
-    members::{Members, serves},
+    members::{Members, wait_until_serving},
     quarantine,
     shared::Shared,
 };
 
 /// The stored record of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct QuarantineRecord {
     /// The crashes under the request, at the time of writing.
     pub report: Report,
     /// The time of writing.
@@ -27,12 +27,12 @@
 }
 
 /// Access to the quarantine records in the store.
-pub trait Records: Send + Sync {
+pub trait RecordStore: Send + Sync {
     /// Reads all records. They may be some seconds old.
-    fn list(&self) -> BoxFuture<'_, Result<Vec<Record>, FeedError>>;
+    fn list(&self) -> BoxFuture<'_, Result<Vec<QuarantineRecord>, FeedError>>;
 
     /// Writes a record, replacing an earlier one of the same request.
-    fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>>;
+    fn write(&self, record: QuarantineRecord) -> BoxFuture<'_, Result<(), FeedError>>;
 
     /// Removes the record of a request, if there is one.
     fn remove(&self, fingerprint: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>>;
@@ -65,10 +65,10 @@
 pub(crate) async fn run(
     shared: Arc<Shared>,
     members: Arc<Members>,
-    records: Arc<dyn Records>,
+    records: Arc<dyn RecordStore>,
     mut updates: mpsc::Receiver<Fingerprint>,
 ) {
-    if !serves(&shared).await {
+    if !wait_until_serving(&shared).await {
         return;
     }
     let mut next_check = shared.now() + FIRST_READ_DELAY;
@@ -111,16 +111,16 @@
 /// retried.
 async fn write_pending(
     shared: &Shared,
-    records: &dyn Records,
+    records: &dyn RecordStore,
     pending: &mut BTreeSet<Fingerprint>,
 ) -> bool {
     while let Some(fingerprint) = pending.first().copied() {
         let report = lock(&shared.ledger).verdict(fingerprint, shared.now());
-        shared.metrics.count_store("records");
+        shared.metrics.count_store_call("records");
         let written = match report {
             Some(report) => {
                 let at = shared.host.clock.wall();
-                records.write(Record { report, at }).await
+                records.write(QuarantineRecord { report, at }).await
             }
             None => records.remove(fingerprint).await,
         };
@@ -138,8 +138,8 @@
 
 /// Reads all records and merges them into the ledger. The member with the lowest id removes
 /// those that have expired or whose request was answered since.
-async fn read_all(shared: &Shared, members: &Members, records: &dyn Records) {
-    shared.metrics.count_store("records");
+async fn read_all(shared: &Shared, members: &Members, records: &dyn RecordStore) {
+    shared.metrics.count_store_call("records");
     let list = match records.list().await {
         Ok(list) => list,
         Err(error) => {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -17,24 +17,25 @@
 
 use crate::{
     adverts::{self, Adverts},
+    book_fetch,
     cold::{self, LeaseStore},
-    forward::{self, Ask, Reply},
-    leafs::LeafEntry,
+    feed_server::FeedServer,
+    feed_watch,
+    feeds::{Feeds, PeerFeeds},
+    forward::{self, RelayRequest, Reply},
+    leafs::LeafRegistration,
     members::{self, Members},
-    pass::FeedServer,
-    pull, quarantine,
-    records::{self, Records},
+    quarantine,
+    records::{self, RecordStore},
     report,
     settings::RelaySettings,
     shared::{Phase, Shared},
-    source,
-    sources::{FeedPeers, Sources},
-    watch as feeds,
+    upstream_poll,
 };
 
 /// Serves this entry's feeds to other entries and returns the client of theirs.
 pub type FeedBinder = Box<
-    dyn FnOnce(Arc<dyn FeedService>) -> BoxFuture<'static, io::Result<Arc<dyn FeedPeers>>> + Send,
+    dyn FnOnce(Arc<dyn FeedService>) -> BoxFuture<'static, io::Result<Arc<dyn PeerFeeds>>> + Send,
 >;
 
 /// The external interfaces of an entry: store, network and other entries.
@@ -42,7 +43,7 @@
     /// The route book, read from the store.
     pub book: Arc<dyn Feed<RouteBook>>,
     /// The list of leafs, read from the store.
-    pub leafs: Arc<dyn Feed<(LeafId, LeafEntry)>>,
+    pub leafs: Arc<dyn Feed<(LeafId, LeafRegistration)>>,
     /// The failure domains that are being evacuated, read from the store.
     pub evacuations: Arc<dyn Feed<DomainName>>,
     /// The feeds of other entries: book, leafs and evacuations.
@@ -50,7 +51,7 @@
     /// The adverts in the store, by which entries find each other.
     pub adverts: Arc<dyn Adverts>,
     /// The quarantine records in the store.
-    pub records: Arc<dyn Records>,
+    pub records: Arc<dyn RecordStore>,
     /// The leases that bound calls to cold (recently started) leafs.
     pub leases: Arc<dyn LeaseStore>,
     /// Calls to leafs.
@@ -88,23 +89,23 @@
         );
         let shared = Arc::new(shared);
         let members = Arc::new(Members::new(&shared, ports.probes));
-        let sources = Arc::new(Sources {
+        let feeds = Arc::new(Feeds {
             book: ports.book,
             leafs: ports.leafs,
             evacuations: ports.evacuations,
             peers: (ports.peers)(Arc::new(FeedServer(shared.clone()))).await?,
         });
         let mut tasks = JoinSet::new();
-        tasks.spawn(source::run(
+        tasks.spawn(upstream_poll::run(
             shared.clone(),
             members.clone(),
-            sources.clone(),
+            feeds.clone(),
         ));
-        tasks.spawn(feeds::book(shared.clone(), sources.clone()));
-        tasks.spawn(feeds::leafs(shared.clone(), sources.clone()));
-        tasks.spawn(feeds::evacuations(shared.clone(), sources.clone()));
-        tasks.spawn(pull::run(shared.clone(), sources));
-        tasks.spawn(adverts::find(
+        tasks.spawn(feed_watch::book(shared.clone(), feeds.clone()));
+        tasks.spawn(feed_watch::leafs(shared.clone(), feeds.clone()));
+        tasks.spawn(feed_watch::evacuations(shared.clone(), feeds.clone()));
+        tasks.spawn(book_fetch::run(shared.clone(), feeds));
+        tasks.spawn(adverts::discover(
             shared.clone(),
             members.clone(),
             ports.adverts,
@@ -129,8 +130,8 @@
 
     /// Forwards a request to leafs and returns the reply. Dropping the future cancels its
     /// calls.
-    pub async fn forward(&self, ask: Ask) -> Reply {
-        forward::forward(&self.shared, ask).await
+    pub async fn forward(&self, request: RelayRequest) -> Reply {
+        forward::forward(&self.shared, request).await
     }
 
     /// The current phase: starting, serving or leaving.
@@ -190,8 +191,8 @@
 
     /// Maximum number of open connections from callers.
     #[must_use]
-    pub fn callers(&self) -> usize {
-        self.shared.settings.entry.callers()
+    pub fn max_caller_connections(&self) -> usize {
+        self.shared.settings.entry.max_caller_connections()
     }
 
     /// Number of requests being handled.
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -85,12 +85,12 @@
         let (next, delay, samples, overrun) = {
             let state = lock(&shared.cell.state);
             let (totals, counts) = (state.table.budget_totals(), state.table.counts());
-            let callers = &state.extra.callers;
+            let delays = &state.extra.caller_delays;
             (
                 ExtraTotals { totals, counts },
-                callers.way(Duration::ZERO),
-                callers.samples(),
-                callers.overrun(),
+                delays.network_delay(Duration::ZERO),
+                delays.samples(),
+                delays.overrun(),
             )
         };
         if next.counts.first > extra.counts.first {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use crate::ColdCalls;
+use crate::ColdLimits;
 use chestnut_conf::{LogSettings, SettingsError, read_settings, span};
 use chestnut_unit::{DomainName, MemberId, Share};
 use serde::Deserialize;
@@ -28,7 +28,7 @@
     pub extra: ExtraCalls,
     /// Limits on calls to cold leafs, where the book bounds their rate.
     #[serde(default)]
-    pub cold: ColdCalls,
+    pub cold: ColdLimits,
     /// Durations of stopping, draining and caching.
     pub times: Times,
     /// Logging.
@@ -64,7 +64,7 @@
 impl RelayEntry {
     /// Maximum number of open connections from callers.
     #[must_use]
-    pub fn callers(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         (self.files as f64 * CALLERS_SHARE) as usize
     }
 
@@ -117,7 +117,7 @@
 impl ExtraCalls {
     /// The ratio `part` as a [`Share`].
     #[must_use]
-    pub fn share(&self) -> Share {
+    pub fn ratio(&self) -> Share {
         Share::from_permille((self.part * 1000.0) as u16)
     }
 }
@@ -155,13 +155,13 @@
 impl Times {
     /// How long a leaving leaf may still be called if no other leaf is available.
     #[must_use]
-    pub fn linger(&self) -> Duration {
+    pub fn draining_leaf_grace(&self) -> Duration {
         self.drain.saturating_sub(PROPAGATION_MAX)
     }
 
     /// How long a leaf may still be called after its entry in the store has expired.
     #[must_use]
-    pub fn lapse(&self) -> Duration {
+    pub fn missing_leaf_grace(&self) -> Duration {
         LEAF_RECOVERY.min(self.drain.mul_f64(LEAF_RECOVERY_SHARE))
     }
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -20,16 +20,16 @@
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::{
-    allot::Allotment,
     cold::refresh_cold,
-    ground::{Ground, Homes, gate, set_bounds, set_budgets},
+    feed_server::FeedCopies,
     metrics::Metrics,
-    pass::Passed,
-    pulse::Pulse,
-    quarantine::Doubt,
+    propagation::BookPropagation,
+    quarantine::SuspectAttempt,
+    quota::Quota,
     settings::{ExtraCalls, RelaySettings, Times},
-    spread::Spread,
-    upstream::{Upstream, UpstreamChoice},
+    state::{LeafDomains, RelayState, gate, set_bounds, set_budgets},
+    store_status::StoreStatus,
+    upstream::{Upstream, UpstreamSelector},
 };
 
 /// The lifecycle phase of an entry.
@@ -54,7 +54,7 @@
     /// Clock, log and random numbers.
     pub(crate) host: Host,
     /// The routing table and the relay state, under one lock.
-    pub(crate) cell: Arc<Cell<Ground>>,
+    pub(crate) cell: Arc<Cell<RelayState>>,
     /// The port for calls to leafs.
     pub(crate) forward: Arc<dyn Forward>,
     /// The entry's metrics.
@@ -64,31 +64,31 @@
     /// The lifecycle phase.
     pub(crate) phase: watch::Sender<Phase>,
     /// The outcome of the last revision polls of the store.
-    pub(crate) pulse: watch::Sender<Pulse>,
+    pub(crate) store_status: watch::Sender<StoreStatus>,
     /// The current upstream; none while no peer that was asked has answered.
     pub(crate) upstream: watch::Sender<Option<Upstream>>,
     /// What this entry passes on to its followers.
-    pub(crate) passed: Passed,
+    pub(crate) feed_copies: FeedCopies,
     /// The choice of the upstream, and the peers that failed as one.
-    pub(crate) upstreams: Mutex<UpstreamChoice>,
+    pub(crate) upstream_selector: Mutex<UpstreamSelector>,
     /// The peers that have a newer book.
-    pub(crate) spread: Mutex<Spread>,
+    pub(crate) propagation: Mutex<BookPropagation>,
     /// Notified when a peer has reported a newer book.
-    pub(crate) newer: Notify,
+    pub(crate) newer_book: Notify,
     /// The version of the book in force; 0 if there is none.
     pub(crate) version: watch::Sender<BookVersion>,
     /// Notified when leafs become cold, or their rate limits change.
-    pub(crate) cooled: Notify,
+    pub(crate) cold_changed: Notify,
     /// Notified when the upstream has to be chosen again.
-    pub(crate) choose: Notify,
+    pub(crate) upstream_changed: Notify,
     /// The crash records of suspect requests.
     pub(crate) ledger: Mutex<Ledger>,
     /// Notified when the ledger has updates to send.
-    pub(crate) struck: Notify,
+    pub(crate) ledger_changed: Notify,
     /// Queue of failed calls to examine for a suspect request.
-    pub(crate) doubts: mpsc::Sender<Doubt>,
+    pub(crate) suspect_attempts: mpsc::Sender<SuspectAttempt>,
     /// Queue of requests whose record in the store has to be updated.
-    pub(crate) verdicts: mpsc::Sender<Fingerprint>,
+    pub(crate) record_updates: mpsc::Sender<Fingerprint>,
     /// Requests that run now.
     pub(crate) in_flight: AtomicU32,
     /// Total number of calls to leafs.
@@ -104,17 +104,17 @@
         host: Host,
         forward: Arc<dyn Forward>,
         traffic: Arc<Traffic>,
-        doubts: mpsc::Sender<Doubt>,
-        verdicts: mpsc::Sender<Fingerprint>,
+        suspect_attempts: mpsc::Sender<SuspectAttempt>,
+        record_updates: mpsc::Sender<Fingerprint>,
     ) -> Self {
         let config = TableConfig {
             choice: Choice::Predicted,
             stall_backoff: STALL_COOLDOWN,
             ..TableConfig::default()
         };
-        let ground = Ground::new(&settings);
+        let relay_state = RelayState::new(&settings);
         let name = ServiceName::new("relay").expect("a legal name");
-        let cell = Cell::new(name, Table::new(config), gate(), ground);
+        let cell = Cell::new(name, Table::new(config), gate(), relay_state);
         Self {
             settings,
             host,
@@ -123,19 +123,19 @@
             metrics: Metrics::new(),
             traffic,
             phase: watch::Sender::new(Phase::Starting),
-            pulse: watch::Sender::new(Pulse::default()),
+            store_status: watch::Sender::new(StoreStatus::default()),
             upstream: watch::Sender::new(None),
-            passed: Passed::new(),
-            upstreams: Mutex::default(),
-            spread: Mutex::default(),
-            newer: Notify::new(),
+            feed_copies: FeedCopies::new(),
+            upstream_selector: Mutex::default(),
+            propagation: Mutex::default(),
+            newer_book: Notify::new(),
             version: watch::Sender::new(BookVersion(0)),
-            cooled: Notify::new(),
-            choose: Notify::new(),
+            cold_changed: Notify::new(),
+            upstream_changed: Notify::new(),
             ledger: Mutex::default(),
-            struck: Notify::new(),
-            doubts,
-            verdicts,
+            ledger_changed: Notify::new(),
+            suspect_attempts,
+            record_updates,
             in_flight: AtomicU32::new(0),
             calls: AtomicU64::new(0),
             requests: AtomicU64::new(1),
@@ -160,8 +160,8 @@
     /// Records that a peer failed as upstream, and has the upstream chosen again.
     pub(crate) fn failed(&self, peer: SocketAddr) {
         let now = self.now();
-        lock(&self.upstreams).failed(peer, now.since(Time::ZERO), now);
-        self.choose.notify_one();
+        lock(&self.upstream_selector).failed(peer, now.since(Time::ZERO), now);
+        self.upstream_changed.notify_one();
     }
 
     /// Returns the version of the book in force; 0 if there is none.
@@ -170,25 +170,30 @@
     }
 
     /// Records the version of the book that a peer has in force.
-    pub(crate) fn hear_version(&self, peer: SocketAddr, version: BookVersion, from: Distance) {
+    pub(crate) fn record_peer_version(
+        &self,
+        peer: SocketAddr,
+        version: BookVersion,
+        from: Distance,
+    ) {
         let now = self.now();
-        let mut spread = lock(&self.spread);
-        let is_newer = spread.told(peer, version, from, now);
-        let behind = spread.behind(now);
-        self.metrics.set_behind(behind);
-        drop(spread);
+        let mut propagation = lock(&self.propagation);
+        let is_newer = propagation.reported(peer, version, from, now);
+        let lag = propagation.lag(now);
+        self.metrics.set_book_behind(lag);
+        drop(propagation);
         if is_newer {
             info!(self.host.log, "watch: a peer has a newer book"; "peer" => %peer, "book" => %version);
         }
         // Also if the version was known: a remote peer may have reported it first, and a
         // local peer can be asked at once.
-        if behind.is_some() {
-            self.newer.notify_one();
+        if lag.is_some() {
+            self.newer_book.notify_one();
         }
     }
 
     /// Puts a book in force if it is newer than the one in force; returns whether it is.
-    pub(crate) fn take_book(&self, mut book: RouteBook, from: Upstream) -> bool {
+    pub(crate) fn install_book(&self, mut book: RouteBook, from: Upstream) -> bool {
         let (now, version) = (self.now(), book.version);
         if from == Upstream::Store {
             let current = lock(&self.cell.state).extra.book.clone();
@@ -208,17 +213,17 @@
         state.extra.leaf_domains = None;
         set_bounds(&mut state);
         refresh_cold(&mut state, now);
-        lock(&self.passed.books).put(book);
+        lock(&self.feed_copies.books).put(book);
         drop(state);
-        self.metrics.book.set(version.0 as i64);
-        let mut spread = lock(&self.spread);
-        let behind = spread.taken(version, now).unwrap_or_default();
-        self.metrics.set_behind(spread.behind(now));
-        drop(spread);
+        self.metrics.book_version.set(version.0 as i64);
+        let mut propagation = lock(&self.propagation);
+        let lag = propagation.installed(version, now).unwrap_or_default();
+        self.metrics.set_book_behind(propagation.lag(now));
+        drop(propagation);
         info!(self.host.log, "watch: book {version} is in force"; "rules" => rules, "from" => %from,
-            "behind_ms" => behind.as_millis() as u64);
+            "behind_ms" => lag.as_millis() as u64);
         self.version.send_replace(version);
-        self.cooled.notify_one();
+        self.cold_changed.notify_one();
         true
     }
 
@@ -228,37 +233,40 @@
         let state = &mut *state;
         state.extra.extra = extra;
         state.extra.times = times;
-        state.extra.leafs.set_spans(times.lapse(), times.linger());
+        state
+            .extra
+            .leafs
+            .set_timeouts(times.missing_leaf_grace(), times.draining_leaf_grace());
         set_budgets(state);
     }
 
     /// Returns the failure domains of the leafs that the book's rules use.
-    pub(crate) fn homes(&self) -> Arc<Homes> {
+    pub(crate) fn leaf_domains(&self) -> Arc<LeafDomains> {
         lock(&self.cell.state).extra.leaf_domains()
     }
 
     /// Sets this entry's quota of the resources that all entries share.
-    pub(crate) fn allot(&self, allotment: Allotment) {
+    pub(crate) fn set_quota(&self, quota: Quota) {
         let mut state = lock(&self.cell.state);
         let state = &mut *state;
-        if state.extra.allotment == allotment {
+        if state.extra.quota == quota {
             return;
         }
-        state.extra.allotment = allotment;
+        state.extra.quota = quota;
         set_budgets(state);
         set_bounds(state);
-        info!(self.host.log, "fleet: {} carriers, {} others", allotment.carriers, allotment.others;
-            "this" => format!("{:?}", allotment.part));
+        info!(self.host.log, "fleet: {} carriers, {} others", quota.serving, quota.others;
+            "this" => format!("{:?}", quota.role));
     }
 }
 
 /// Keeps the state of the rules that `book` names, and frees the classes of all others.
-fn retain_rules(ground: &mut Ground, book: &RouteBook) {
+fn retain_rules(relay_state: &mut RelayState, book: &RouteBook) {
     let named: BTreeSet<&String> = book.rules().map(|rule| &rule.name).collect();
-    ground.rules.retain(|name, kept| {
+    relay_state.rules.retain(|name, kept| {
         let retained = named.contains(name);
         if !retained && kept.class != Class::default() {
-            ground.free_classes.push(kept.class);
+            relay_state.free_classes.push(kept.class);
         }
         retained
     });
--- a/crates/relay/src/ground.rs
+++ b/crates/relay/src/state.rs
@@ -17,11 +17,11 @@
 use chestnut_unit::{DomainName, LeafId, ServiceName};
 
 use crate::{
-    allot::Allotment,
-    callers::{Callers, MaxRemaining},
-    cold::{ColdCalls, ColdLeafs},
+    callers::{CallerDelays, MaxRemaining},
+    cold::{ColdLeafs, ColdLimits},
     evacuations::Evacuations,
     leafs::Leafs,
+    quota::Quota,
     settings::{ExtraCalls, RelaySettings, Times},
 };
 
@@ -59,17 +59,17 @@
 
 /// The failure domains of the leafs that the book's rules use.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Homes {
+pub(crate) struct LeafDomains {
     /// Failure domains whose leafs cover at least half as many of these services as the
     /// best domain; the margin keeps the loss of some leafs from moving callers.
     pub(crate) domains: BTreeSet<DomainName>,
     /// Number of those leafs, in all failure domains.
-    pub(crate) leafs: usize,
+    pub(crate) leaf_count: usize,
 }
 
 /// The relay state, kept beside the routing table under the same lock.
 #[derive(Debug)]
-pub(crate) struct Ground {
+pub(crate) struct RelayState {
     /// The book in force; none before the first.
     pub(crate) book: Option<Arc<RouteBook>>,
     /// The known leafs.
@@ -79,11 +79,11 @@
     /// The rate-limited cold leafs, and the lease to call them.
     pub(crate) cold: ColdLeafs,
     /// Adjustment of the rate limit of cold leafs, from the settings.
-    pub(crate) cold_calls: ColdCalls,
+    pub(crate) cold_limits: ColdLimits,
     /// The endpoints of the leafs, by their index in the table.
-    pub(crate) places: BTreeMap<Ix, Endpoint>,
+    pub(crate) endpoints: BTreeMap<Ix, Endpoint>,
     /// Estimates of the time that requests spend outside this entry.
-    pub(crate) callers: Callers,
+    pub(crate) caller_delays: CallerDelays,
     /// The state of each rule, by its name.
     pub(crate) rules: BTreeMap<String, RuleState>,
     /// Classes of removed rules, free for reuse.
@@ -95,9 +95,9 @@
     /// Cached routes of each list of services; cleared when leafs change.
     pub(crate) routes: BTreeMap<Vec<ServiceName>, Arc<Routes>>,
     /// Cached failure domains of the leafs; none until they are computed.
-    pub(crate) leaf_domains: Option<Arc<Homes>>,
+    pub(crate) leaf_domains: Option<Arc<LeafDomains>>,
     /// This entry's quota of the resources that all entries share.
-    pub(crate) allotment: Allotment,
+    pub(crate) quota: Quota,
     /// Bandwidth of this entry's link, in megabits per second.
     pub(crate) link: f64,
     /// The bound on extra calls, reloadable.
@@ -106,25 +106,25 @@
     pub(crate) times: Times,
 }
 
-impl Ground {
+impl RelayState {
     /// Creates the state of an entry that has received no book and no leafs.
     pub(crate) fn new(settings: &RelaySettings) -> Self {
         let times = settings.times;
         Self {
             book: None,
-            leafs: Leafs::new(times.lapse(), times.linger()),
+            leafs: Leafs::new(times.missing_leaf_grace(), times.draining_leaf_grace()),
             evacuations: Evacuations::default(),
             cold: ColdLeafs::default(),
-            cold_calls: settings.cold,
-            places: BTreeMap::new(),
-            callers: Callers::default(),
+            cold_limits: settings.cold,
+            endpoints: BTreeMap::new(),
+            caller_delays: CallerDelays::default(),
             rules: BTreeMap::new(),
             free_classes: Vec::new(),
             budgets: BTreeMap::new(),
             gates: BTreeMap::new(),
             routes: BTreeMap::new(),
             leaf_domains: None,
-            allotment: Allotment::unknown(),
+            quota: Quota::initial(),
             link: settings.entry.link,
             extra: settings.extra,
             times,
@@ -142,7 +142,7 @@
     }
 
     /// Returns the failure domains of the leafs that the book's rules use, cached.
-    pub(crate) fn leaf_domains(&mut self) -> Arc<Homes> {
+    pub(crate) fn leaf_domains(&mut self) -> Arc<LeafDomains> {
         if let Some(leaf_domains) = &self.leaf_domains {
             return leaf_domains.clone();
         }
@@ -151,19 +151,19 @@
         leaf_domains
     }
 
-    fn find_leaf_domains(&self) -> Homes {
+    fn find_leaf_domains(&self) -> LeafDomains {
         let rules = self.book.iter().flat_map(|book| book.rules());
         let services: BTreeSet<&ServiceName> =
             rules.flat_map(|rule| rule.target.services()).collect();
         let mut services_by_domain: BTreeMap<&DomainName, BTreeSet<&ServiceName>> = BTreeMap::new();
-        let mut leafs = 0;
-        for (service, domain) in self.leafs.places() {
+        let mut leaf_count = 0;
+        for (service, domain) in self.leafs.ready_leafs() {
             if services.contains(service) && !self.evacuations.covers(domain) {
                 services_by_domain
                     .entry(domain)
                     .or_default()
                     .insert(service);
-                leafs += 1;
+                leaf_count += 1;
             }
         }
         let most = services_by_domain
@@ -175,25 +175,28 @@
             .into_iter()
             .filter(|(_, served)| served.len() * 2 >= most);
         let domains = leaf_domains.map(|(domain, _)| domain.clone()).collect();
-        Homes { domains, leafs }
+        LeafDomains {
+            domains,
+            leaf_count,
+        }
     }
 
     /// Returns how many connections this entry may open to a leaf of `service`.
     pub(crate) fn connections(&self, service: &ServiceName) -> usize {
         let rule = self.book.as_ref().and_then(|book| book.service(service));
         let most = rule.map_or(DEFAULT_CONNECTIONS, |rule| rule.connections);
-        self.allotment.connections(most)
+        self.quota.connections(most)
     }
 
     /// Returns this entry's bounds on concurrent calls to a leaf.
     pub(crate) fn bounds(&self, endpoint: &Endpoint) -> Bounds {
         let connections = self.connections(&endpoint.service);
-        Bounds::share(endpoint.slots, self.allotment.carriers, connections)
+        Bounds::share(endpoint.slots, self.quota.serving, connections)
     }
 }
 
 /// The routing table and the relay state, which tasks share under one lock.
-pub(crate) type State = chestnut_flow::State<Ground>;
+pub(crate) type State = chestnut_flow::State<RelayState>;
 
 /// Concurrent requests of one list of services. It bounds memory; the leafs' own queues
 /// limit concurrency first.
@@ -203,7 +206,7 @@
 
 /// Updates the bounds on concurrent calls of all leafs.
 pub(crate) fn set_bounds(state: &mut State) {
-    for (ix, endpoint) in &state.extra.places {
+    for (ix, endpoint) in &state.extra.endpoints {
         state.table.set_bounds(*ix, state.extra.bounds(endpoint));
     }
 }
@@ -211,10 +214,10 @@
 /// Updates all extra-call budgets to the settings and this entry's quota.
 pub(crate) fn set_budgets(state: &mut State) {
     let extra = state.extra.extra;
-    let slack = state.extra.allotment.slack(&extra);
+    let slack = state.extra.quota.slack(&extra);
     for id in state.extra.budgets.values() {
         if let ExtraBudget::Joint(budget) = state.table.budget_mut(*id) {
-            budget.set_share(extra.share());
+            budget.set_share(extra.ratio());
             budget.set_quota(slack, extra.window);
         }
     }
--- a/crates/relay/src/pulse.rs
+++ b/crates/relay/src/store_status.rs
@@ -19,7 +19,7 @@
 /// change may be lost as well, so its start proves nothing and it is checked
 /// like any other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pulse {
+pub struct StoreStatus {
     /// When the store was lost: the first failed poll since the last answer.
     lost_since: Option<Time>,
     /// Greatest revision seen.
@@ -28,10 +28,10 @@
     changed_at: Time,
 }
 
-impl Pulse {
+impl StoreStatus {
     /// Records an answered poll; returns for how long the store had been lost,
     /// if it had.
-    pub fn answered(&mut self, revision: u64, now: Time) -> Option<Duration> {
+    pub fn record_answer(&mut self, revision: u64, now: Time) -> Option<Duration> {
         if revision > self.revision {
             self.revision = revision;
             self.changed_at = now;
@@ -40,7 +40,7 @@
     }
 
     /// Records a failed poll; returns whether the store was reachable before.
-    pub fn failed(&mut self, now: Time) -> bool {
+    pub fn record_failure(&mut self, now: Time) -> bool {
         let new = self.lost_since.is_none();
         self.lost_since.get_or_insert(now);
         new
@@ -62,7 +62,7 @@
     /// reported all changes up to `reported`, is to be checked; `None` if no later
     /// change is known.
     #[must_use]
-    pub fn overdue(&self, reported: u64, started: Time) -> Option<Time> {
+    pub fn check_due(&self, reported: u64, started: Time) -> Option<Time> {
         let since = self.changed_at.max(started);
         (self.revision > reported).then(|| since + CHECK_DELAY)
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -6,7 +6,7 @@
 use chestnut_unit::Time;
 use displaydoc::Display;
 
-use crate::ranked::Ranking;
+use crate::ranking::Ranking;
 
 /// Backoff of a peer that did not answer.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
@@ -53,6 +53,7 @@
 }
 
 /// The reason for the choice of an upstream; each text is a value in the log.
+// The variant names are metric labels.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 pub enum Cause {
     /// it starts and asks the seeds, or the store after them
@@ -98,7 +99,7 @@
 /// store and none is usable, as a single one may be partitioned. A watcher that has lost
 /// the store asks those of other domains and redirects its followers.
 #[derive(Clone, Debug, Default)]
-pub struct UpstreamChoice {
+pub struct UpstreamSelector {
     /// Peers in backoff, and the end of each backoff.
     backoffs: BTreeMap<SocketAddr, Time>,
     /// Peers that have lost the store, and the time at which each report expires.
@@ -115,7 +116,7 @@
     cause: Cause,
 }
 
-impl UpstreamChoice {
+impl UpstreamSelector {
     /// Records that a peer did not answer, which starts its backoff; `age` is the time since
     /// this entry started.
     pub fn failed(&mut self, peer: SocketAddr, age: Duration, now: Time) {
@@ -182,7 +183,7 @@
     /// The last answer counts, not the upstream: an entry that briefly checks whether its
     /// peers have the store again would otherwise report that it has lost the store.
     #[must_use]
-    pub fn hears_store(&self, now: Time) -> bool {
+    pub fn is_store_fresh(&self, now: Time) -> bool {
         self.last_answer
             .is_some_and(|at| now.since(at) < STORE_ANSWER_TTL)
     }
@@ -195,13 +196,13 @@
 
     /// Returns whether the store is in backoff, as it did not answer this entry.
     #[must_use]
-    pub fn is_deaf(&self) -> bool {
+    pub fn is_store_in_backoff(&self) -> bool {
         self.store_backoff.is_some()
     }
 
     /// Records that the store answers this entry although its peers have lost it; those
     /// peers go into backoff.
-    pub fn store_answers(&mut self, now: Time) {
+    pub fn store_reachable_again(&mut self, now: Time) {
         for (peer, _) in std::mem::take(&mut self.lost) {
             self.backoffs.insert(peer, now + FAILURE_BACKOFF);
         }
@@ -210,7 +211,7 @@
     /// Returns whether `peer` was the last to answer. Others are redirected only to such a
     /// peer, or entries in search of an upstream would redirect each other in circles.
     #[must_use]
-    pub fn is_heard(&self, peer: SocketAddr) -> bool {
+    pub fn is_current(&self, peer: SocketAddr) -> bool {
         self.current == Some(peer)
     }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/upstream_poll.rs
@@ -11,10 +11,10 @@
 
 use crate::{
     Distance, Upstream,
+    feed_watch::load_from_peer,
+    feeds::Feeds,
     members::Members,
     shared::{Phase, Shared},
-    sources::Sources,
-    watch::load_from_peer,
 };
 
 /// Interval between polls; the bound on noticing that the store or a peer is lost.
@@ -58,17 +58,17 @@
 }
 
 /// Chooses the upstream and polls it, for as long as the entry runs.
-pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, sources: Arc<Sources>) {
+pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, feeds: Arc<Feeds>) {
     let mut interval = STARTUP_INTERVAL;
     let mut next_check = Time::MAX;
     let mut checked = false;
     loop {
         let upstream = choose_upstream(&shared, &members);
-        shared.metrics.count_store(match upstream {
+        shared.metrics.count_store_call(match upstream {
             Upstream::Store => "pulse",
             Upstream::Peer(_) => "pulse of a peer",
         });
-        let answer = poll(&shared, &sources, upstream).await;
+        let answer = poll(&shared, &feeds, upstream).await;
         let outcome = match upstream {
             Upstream::Store => handle_store_poll(&shared, &members, answer),
             Upstream::Peer(peer) => handle_heartbeat(&shared, &members, peer, answer),
@@ -86,7 +86,7 @@
                 }
                 if now >= next_check {
                     checked = true;
-                    next_check = check_store(&shared, &sources).await;
+                    next_check = check_store(&shared, &feeds).await;
                 }
                 wait_interval(&shared, LOST_INTERVAL).await;
             }
@@ -103,29 +103,29 @@
 
 /// Polls `upstream` and returns the revision of the store. While the entry starts, it also
 /// loads what peers know if the store doesn't answer soon.
-async fn poll(shared: &Shared, sources: &Sources, upstream: Upstream) -> Result<u64, FeedError> {
+async fn poll(shared: &Shared, feeds: &Feeds, upstream: Upstream) -> Result<u64, FeedError> {
     let starting = shared.phase() == Phase::Starting;
     match upstream {
         Upstream::Store if starting => {
-            let mut poll = sources.book.pulse();
+            let mut poll = feeds.book.pulse();
             if let Ok(answer) = timeout(STARTUP_TIMEOUT, &mut poll).await {
                 return answer;
             }
             tokio::select! {
                 answer = &mut poll => return answer,
-                () = load_from_seeds(shared, sources) => {}
+                () = load_from_seeds(shared, feeds) => {}
             }
             poll.await
         }
-        Upstream::Store => sources.book.pulse().await,
+        Upstream::Store => feeds.book.pulse().await,
         Upstream::Peer(peer) if starting => {
-            let answer = peer_heartbeat(shared, sources, peer, STARTUP_TIMEOUT).await;
+            let answer = peer_heartbeat(shared, feeds, peer, STARTUP_TIMEOUT).await;
             if answer == Err(FeedError::Lost) {
-                load_from_peer(shared, sources, peer).await;
+                load_from_peer(shared, feeds, peer).await;
             }
             answer
         }
-        Upstream::Peer(peer) => peer_heartbeat(shared, sources, peer, Duration::MAX).await,
+        Upstream::Peer(peer) => peer_heartbeat(shared, feeds, peer, Duration::MAX).await,
     }
 }
 
@@ -133,31 +133,31 @@
 /// revision of the store that it reports.
 async fn peer_heartbeat(
     shared: &Shared,
-    sources: &Sources,
+    feeds: &Feeds,
     peer: SocketAddr,
     limit: Duration,
 ) -> Result<u64, FeedError> {
     let none = || Err(FeedError::Unavailable("no answer in time".to_owned()));
-    let answer = timeout(limit, sources.peers.pulse(peer)).await;
+    let answer = timeout(limit, feeds.peers.heartbeat(peer)).await;
     let heartbeat = answer.unwrap_or_else(|_| none())?;
     // The upstream is read from in either case, in the same failure domain or in
     // another.
-    shared.hear_version(peer, heartbeat.book, Distance::Near);
+    shared.record_peer_version(peer, heartbeat.book, Distance::Near);
     heartbeat.store
 }
 
 /// Loads the state of the seeds until this entry can serve, while the store doesn't
 /// answer.
-async fn load_from_seeds(shared: &Shared, sources: &Sources) {
+async fn load_from_seeds(shared: &Shared, feeds: &Feeds) {
     let own = shared.settings.listen.peers;
     let seeds = shared.settings.seeds.iter().filter(|seed| **seed != own);
     for seed in seeds {
         if shared.phase() != Phase::Starting {
             return;
         }
-        let answer = peer_heartbeat(shared, sources, *seed, STARTUP_TIMEOUT).await;
+        let answer = peer_heartbeat(shared, feeds, *seed, STARTUP_TIMEOUT).await;
         if !matches!(answer, Err(FeedError::Unavailable(_))) {
-            load_from_peer(shared, sources, *seed).await;
+            load_from_peer(shared, feeds, *seed).await;
         }
     }
 }
@@ -171,12 +171,12 @@
     let now = shared.now();
     match answer {
         Ok(revision) => {
-            lock(&shared.upstreams).store_answered(now);
+            lock(&shared.upstream_selector).store_answered(now);
             mark_answered(shared, revision, now);
             PollOutcome::Answered
         }
         Err(error) => {
-            lock(&shared.upstreams).store_failed(now + check_delay(shared));
+            lock(&shared.upstream_selector).store_failed(now + check_delay(shared));
             if choose_upstream(shared, members) != Upstream::Store {
                 info!(shared.host.log, "watch: the store does not answer"; "why" => %error);
                 return PollOutcome::TryNext;
@@ -198,23 +198,23 @@
     let starting = shared.phase() == Phase::Starting;
     match answer {
         Ok(revision) => {
-            lock(&shared.upstreams).answered(peer);
+            lock(&shared.upstream_selector).answered(peer);
             mark_answered(shared, revision, now);
             choose_upstream(shared, members);
             PollOutcome::Answered
         }
         Err(FeedError::Elsewhere(to)) => {
             let own = shared.settings.listen.peers;
-            lock(&shared.upstreams).redirected(peer, to, own, now);
+            lock(&shared.upstream_selector).redirected(peer, to, own, now);
             PollOutcome::TryNext
         }
         Err(FeedError::Lost) if starting => {
             let age = now.since(Time::ZERO);
-            lock(&shared.upstreams).not_ready(peer, age, now);
+            lock(&shared.upstream_selector).not_ready(peer, age, now);
             PollOutcome::TryNext
         }
         Err(error @ FeedError::Lost) => {
-            lock(&shared.upstreams).lost(peer, now);
+            lock(&shared.upstream_selector).lost(peer, now);
             if choose_upstream(shared, members) != Upstream::Peer(peer) {
                 return PollOutcome::TryNext;
             }
@@ -233,7 +233,9 @@
 /// Records that the store is lost, until a poll is answered.
 fn mark_lost(shared: &Shared, error: &FeedError, now: Time) {
     let mut new = false;
-    shared.pulse.send_modify(|pulse| new = pulse.failed(now));
+    shared
+        .store_status
+        .send_modify(|status| new = status.record_failure(now));
     if new {
         warn!(shared.host.log, "watch: lost the store"; "why" => %error);
     }
@@ -245,15 +247,15 @@
 /// Without a newer revision the entry waits for its peers: if all entries moved to a
 /// store that just came back, each would list and watch it for seconds beside the
 /// watchers.
-async fn check_store(shared: &Shared, sources: &Sources) -> Time {
-    shared.metrics.count_store("pulse");
-    let answer = sources.book.pulse().await;
+async fn check_store(shared: &Shared, feeds: &Feeds) -> Time {
+    shared.metrics.count_store_call("pulse");
+    let answer = feeds.book.pulse().await;
     info!(shared.host.log, "watch: asked the store, which the peers have lost";
         "answers" => answer.is_ok());
     let now = shared.now();
     match answer {
-        Ok(revision) if revision > shared.pulse.borrow().revision() => {
-            lock(&shared.upstreams).store_answers(now);
+        Ok(revision) if revision > shared.store_status.borrow().revision() => {
+            lock(&shared.upstream_selector).store_reachable_again(now);
             Time::MAX
         }
         Ok(_) => now + POLL_INTERVAL,
@@ -268,9 +270,9 @@
 /// or watchers that have all lost the store. If each were published, calls would be
 /// cancelled and repeated on the next one with no gain.
 fn choose_upstream(shared: &Shared, members: &Members) -> Upstream {
-    let (upstream, cause) = members.upstream(shared);
+    let (upstream, cause) = members.choose_upstream(shared);
     let followed = match upstream {
-        Upstream::Peer(peer) if !lock(&shared.upstreams).is_heard(peer) => None,
+        Upstream::Peer(peer) if !lock(&shared.upstream_selector).is_current(peer) => None,
         upstream => Some(upstream),
     };
     let new = shared.upstream.send_if_modified(|now| {
@@ -279,7 +281,7 @@
         new
     });
     if new && followed.is_some() {
-        shared.metrics.count_move(cause);
+        shared.metrics.count_upstream_move(cause);
         info!(shared.host.log, "watch: hears from {upstream}"; "why" => %cause);
     }
     upstream
@@ -289,11 +291,11 @@
 fn mark_answered(shared: &Shared, revision: u64, now: Time) {
     let mut lost = None;
     shared
-        .pulse
-        .send_modify(|pulse| lost = pulse.answered(revision, now));
+        .store_status
+        .send_modify(|status| lost = status.record_answer(revision, now));
     if let Some(span) = lost {
         info!(shared.host.log, "watch: the store is back"; "lost_ms" => span.as_millis() as u64);
-        lock(&shared.cell.state).extra.leafs.returned(now);
+        lock(&shared.cell.state).extra.leafs.restart_timeouts(now);
     }
 }
 
@@ -302,7 +304,7 @@
     // Jitter of a quarter, so that entries that started together don't poll together.
     tokio::select! {
         () = sleep(span.mul_f64(0.75 + 0.25 * random_fraction(shared))) => {}
-        () = shared.choose.notified() => {}
+        () = shared.upstream_changed.notified() => {}
     }
 }
 
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -10,7 +10,7 @@
 
 /// Objects of one list and its latest changes.
 #[derive(Clone, Debug)]
-pub struct Mirror<T> {
+pub struct WatchCache<T> {
     /// Value of each object by name; `None` if it can't be parsed.
     values: BTreeMap<String, Option<T>>,
     /// Revision and object name of each change, oldest first.
@@ -21,7 +21,7 @@
     latest: Option<u64>,
 }
 
-impl<T> Default for Mirror<T> {
+impl<T> Default for WatchCache<T> {
     fn default() -> Self {
         Self {
             values: BTreeMap::new(),
@@ -32,9 +32,9 @@
     }
 }
 
-impl<T: Clone> Mirror<T> {
+impl<T: Clone> WatchCache<T> {
     /// Replaces the content with a whole list.
-    pub fn listed(&mut self, batch: &Batch<T>) {
+    pub fn replace(&mut self, batch: &Batch<T>) {
         self.values.clear();
         for item in &batch.items {
             self.put(item);
@@ -45,8 +45,8 @@
     }
 
     /// Applies changes.
-    pub fn changed(&mut self, batch: &Batch<T>) {
-        self.changed_from(batch, |_, _| false);
+    pub fn apply(&mut self, batch: &Batch<T>) {
+        self.apply_filtered(batch, |_, _| false);
     }
 
     /// Applies changes. Of an item whose value is the `same` as the one known before it,
@@ -55,7 +55,7 @@
     /// Items are compared in order, as one batch may delete and re-create an object.
     /// Compared with the state before the batch, the re-creation would be suppressed and
     /// followers would see the deletion alone.
-    pub fn changed_from(&mut self, batch: &Batch<T>, same: impl Fn(&T, &T) -> bool) {
+    pub fn apply_filtered(&mut self, batch: &Batch<T>, same: impl Fn(&T, &T) -> bool) {
         for item in &batch.items {
             let unchanged = match (self.values.get(&item.name), &item.content) {
                 (Some(Some(known)), Content::Is(value)) => same(known, value),
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Fails with [`FeedError::Unavailable`] before the first list.
-    pub fn all(&self) -> Result<Batch<T>, FeedError> {
+    pub fn list(&self) -> Result<Batch<T>, FeedError> {
         let revision = self.revision()?;
         Ok(Batch {
             items: self.values.keys().map(|name| self.item(name)).collect(),
@@ -100,7 +100,7 @@
     ///
     /// Fails with [`FeedError::HistoryGone`] if some of them were dropped, and with
     /// [`FeedError::Unavailable`] before the first list.
-    pub fn since(&self, revision: u64) -> Result<Batch<T>, FeedError> {
+    pub fn changes_since(&self, revision: u64) -> Result<Batch<T>, FeedError> {
         let latest = self.revision()?;
         if revision < self.dropped {
             return Err(FeedError::HistoryGone);
--- a/crates/relay/tests/allot.rs
+++ b/crates/relay/tests/allot.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chestnut_fleet::{Candidate, carriers};
-use chestnut_relay::{Allotment, ExtraCalls, Part, Rate};
+use chestnut_relay::{ExtraCalls, Quota, Rate, Role};
 use chestnut_unit::Time;
 use rstest::rstest;
 
@@ -16,7 +16,7 @@
 #[case(4, 0, 3)]
 #[case(16, 2884, 4000)]
 fn shares_of_all_entries_stay_within_the_limits(
-    #[case] carriers: usize,
+    #[case] count: usize,
     #[case] others: usize,
     #[case] limit: usize,
 ) {
@@ -25,13 +25,13 @@
         slack: 52.0,
         window: Duration::from_secs(10),
     };
-    let share_of = |part| Allotment {
-        carriers,
+    let share_of = |role| Quota {
+        serving: count,
         others,
-        part,
+        role,
     };
-    let (serving, other) = (share_of(Part::Carrier), share_of(Part::Other));
-    let slack = serving.slack(&extra) * carriers as f64
+    let (serving, other) = (share_of(Role::Carrier), share_of(Role::Other));
+    let slack = serving.slack(&extra) * count as f64
         + if others > 0 {
             other.slack(&extra) * others as f64
         } else {
@@ -40,8 +40,8 @@
     assert!(slack <= 52.0 + 1e-9, "{slack}");
     // Other entries connect to a leaf only while they serve a stray caller, and
     // at most half of its connections are reserved for them.
-    let connections = serving.connections(limit) * carriers;
-    assert!(connections <= limit.max(carriers), "{connections}");
+    let connections = serving.connections(limit) * count;
+    assert!(connections <= limit.max(count), "{connections}");
     assert!(serving.connections(limit) >= 1);
 }
 
@@ -52,11 +52,11 @@
     let mut count = 0;
     for second in 1..=10 {
         count += 100;
-        rate.take(count, Time::ZERO + Duration::from_secs(second));
+        rate.record(count, Time::ZERO + Duration::from_secs(second));
     }
-    let recent = rate.take(count + 50, Time::ZERO + Duration::from_millis(10_500));
+    let recent = rate.record(count + 50, Time::ZERO + Duration::from_millis(10_500));
     assert!((98..=101).contains(&recent), "{recent}");
-    let later = rate.take(count + 50, Time::ZERO + Duration::from_secs(20));
+    let later = rate.record(count + 50, Time::ZERO + Duration::from_secs(20));
     assert!(later <= 2, "{later}");
 }
 
@@ -74,12 +74,12 @@
     };
     let candidates: Vec<Candidate<u32>> = (0..ENTRIES).map(candidate).collect();
     let count = carriers(&candidates, 0, 0).len();
-    let allotment = Allotment {
-        carriers: count,
+    let quota = Quota {
+        serving: count,
         others: ENTRIES as usize - count,
-        part: Part::Carrier,
+        role: Role::Carrier,
     };
-    let open = allotment.connections(CONNECTIONS) * count;
+    let open = quota.connections(CONNECTIONS) * count;
     assert!(
         open <= CONNECTIONS,
         "{open} connections of serving entries alone"
--- a/crates/relay/tests/budget_model.rs
+++ b/crates/relay/tests/budget_model.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use chestnut_relay::{Allotment, ExtraCalls, Part};
+use chestnut_relay::{ExtraCalls, Quota, Role};
 use chestnut_route::Budget;
 use chestnut_unit::{Share, Time};
 use rand::{RngExt, SeedableRng};
@@ -31,12 +31,12 @@
     age: usize,
 }
 
-/// Returns the quota of one of `carriers` entries that all serve callers.
-fn allotment(carriers: usize) -> Allotment {
-    Allotment {
-        carriers: carriers.max(1),
+/// Returns the quota of one of `serving` entries.
+fn quota(serving: usize) -> Quota {
+    Quota {
+        serving: serving.max(1),
         others: 0,
-        part: Part::Carrier,
+        role: Role::Carrier,
     }
 }
 
@@ -109,8 +109,8 @@
         let per_entry = (requests / self.entries.len() as f64) as usize;
         for entry in self.entries.values_mut() {
             // A new entry knows no other member yet.
-            let carriers = if entry.age < VIEW_LAG { 1 } else { known };
-            let slack = allotment(carriers).slack(&self.extra);
+            let serving = if entry.age < VIEW_LAG { 1 } else { known };
+            let slack = quota(serving).slack(&self.extra);
             entry.budget.set_quota(slack, WINDOW);
             // An entry's clock starts at zero with its process.
             entry.budget.refill(Time::ZERO + STEP * entry.age as u32);
@@ -172,7 +172,7 @@
     let (mut first_calls, mut extra_calls) = (vec![0u32; SECONDS], vec![0u32; SECONDS]);
     for second in 0..SECONDS {
         for budget in &mut budgets {
-            let slack = allotment(known(&mut rng)).slack(&extra);
+            let slack = quota(known(&mut rng)).slack(&extra);
             budget.set_quota(slack, WINDOW);
             budget.refill(Time::ZERO + Duration::from_secs(second as u64));
             let calls = rate / count as f64;
--- a/crates/relay/tests/cold.rs
+++ b/crates/relay/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use chestnut_book::{ColdRule, Kind, RouteBook};
 use chestnut_relay::{
-    ColdCalls, Declined, LeafEntry, LeafState, Phase, Relay, RelaySettings, Reply,
+    ColdLimits, Declined, LeafRegistration, LeafState, Phase, Relay, RelaySettings, Reply,
 };
 use chestnut_unit::{CallRate, LeafId, Run};
 use rstest::rstest;
@@ -41,7 +41,7 @@
 
 /// Adds or replaces a leaf that has just started and is cold for `warmup`.
 fn register(stage: &Stage, shard: &str, domain: &str, warmup: Duration) {
-    let entry = LeafEntry {
+    let entry = LeafRegistration {
         domain: domain.parse().unwrap(),
         warmup,
         ..entry(shard, LeafState::Ready)
@@ -157,8 +157,11 @@
             Instant::now(),
             relays[0].forward(ask(&format!("n{n}"), "/all/x")).await,
         );
-        if let Reply::Declined(Declined { run, after, .. }) = reply {
-            assert_eq!((run, after.is_some()), (Run::NotRun, true));
+        if let Reply::Declined(Declined {
+            run, retry_after, ..
+        }) = reply
+        {
+            assert_eq!((run, retry_after.is_some()), (Run::NotRun, true));
             assert_eq!(Instant::now(), start, "the refusal was delayed");
             refused += 1;
         }
@@ -276,7 +279,7 @@
          {cold}[times]\ngrace = \"6s\"\ndrain = \"3s\"\n"
     );
     let settings = RelaySettings::parse(&text, Path::new("entry.toml")).unwrap();
-    assert_eq!(settings.cold, ColdCalls { over, slack });
+    assert_eq!(settings.cold, ColdLimits { over, slack });
 }
 
 /// Guards against leases that are taken, and calls that are limited, although the book has no
--- a/crates/relay/tests/deadly.rs
+++ b/crates/relay/tests/deadly.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use chestnut_book::{Kind, Target};
-use chestnut_relay::{Declined, Relay, Reply, Why};
+use chestnut_relay::{DeclineReason, Declined, Relay, Reply};
 use chestnut_unit::{LeafId, Reason, Run};
 use futures::future::{join, join_all};
 use rstest::rstest;
@@ -100,8 +100,8 @@
 /// The retry delay of a reply that refuses its request as quarantined.
 fn quarantined(reply: &Reply) -> Option<Duration> {
     let declined = declined(reply)?;
-    let why = Why::Declined(Reason::Quarantined);
-    declined.after.filter(|_| declined.why == why)
+    let why = DeclineReason::Declined(Reason::Quarantined);
+    declined.retry_after.filter(|_| declined.reason == why)
 }
 
 /// Outcomes of the requests for one path.
--- a/crates/relay/tests/deadly_model.rs
+++ b/crates/relay/tests/deadly_model.rs
@@ -11,7 +11,7 @@
 };
 
 use chestnut_book::{Kind, Target};
-use chestnut_relay::{Relay, Reply, Why};
+use chestnut_relay::{DeclineReason, Relay, Reply};
 use chestnut_unit::{LeafId, Reason};
 use futures::future::join;
 use rand::{Rng, RngExt, SeedableRng};
@@ -206,9 +206,9 @@
                 .send(format!("p{count}"), POPULAR, rng.next_u64())
                 .await;
             if let Some(Reply::Declined(declined)) = reply
-                && declined.why == Why::Declined(Reason::Quarantined)
+                && declined.reason == DeclineReason::Declined(Reason::Quarantined)
             {
-                let after = declined.after.unwrap();
+                let after = declined.retry_after.unwrap();
                 assert!(after <= MAX_TRIAL_REFUSAL, "popular refused for {after:?}");
             }
             sleep(Duration::from_millis(20)).await;
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -9,7 +9,9 @@
 
 use chestnut_book::{Kind, RouteBook, Target};
 use chestnut_port::{Content, Item};
-use chestnut_relay::{Declined, Evacuations, LeafEntry, LeafState, Phase, Relay, Reply, Shift};
+use chestnut_relay::{
+    Declined, EvacuationChange, Evacuations, LeafRegistration, LeafState, Phase, Relay, Reply,
+};
 use chestnut_unit::{DomainName, LeafId, Run};
 use futures::future::join_all;
 use rand::{RngExt, SeedableRng};
@@ -28,8 +30,8 @@
 const DOMAINS: [&str; 3] = ["dub-a", "dub-b", "kdr-c"];
 
 /// The entry of a ready leaf in `domain`.
-fn entry_in(service: &str, domain: &str) -> LeafEntry {
-    LeafEntry {
+fn entry_in(service: &str, domain: &str) -> LeafRegistration {
+    LeafRegistration {
         domain: domain.parse().unwrap(),
         ..entry(service, LeafState::Ready)
     }
@@ -191,10 +193,13 @@
 
 /// Checks that a request was refused immediately, as not run and with a time to retry.
 fn assert_refused(reply: &Reply, start: Instant) {
-    let Reply::Declined(Declined { run, after, .. }) = reply else {
+    let Reply::Declined(Declined {
+        run, retry_after, ..
+    }) = reply
+    else {
         panic!("{reply:?}");
     };
-    assert_eq!((*run, after.is_some()), (Run::NotRun, true));
+    assert_eq!((*run, retry_after.is_some()), (Run::NotRun, true));
     assert_eq!(Instant::now(), start, "the refusal was delayed");
 }
 
@@ -258,13 +263,13 @@
         ],
         &mut out,
     );
-    assert_eq!(out, [Shift::Emptied(dub.clone())]);
+    assert_eq!(out, [EvacuationChange::Started(dub.clone())]);
     out.clear();
     evacuations.changed(item("dub-a", Content::Is(dub.clone())), &mut out);
     evacuations.changed(item("nowhere", Content::Deleted), &mut out);
     assert_eq!(out, []);
     evacuations.changed(item("dub-a", Content::Deleted), &mut out);
-    assert_eq!(out, [Shift::Refilled(dub)]);
+    assert_eq!(out, [EvacuationChange::Ended(dub)]);
 }
 
 /// Number of entries in the randomised test.
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chestnut_book::{Kind, Target};
-use chestnut_relay::{LeafState, Reply, Why};
+use chestnut_relay::{DeclineReason, LeafState, Reply};
 use chestnut_unit::Run;
 use futures::future::join_all;
 use rstest::rstest;
@@ -30,14 +30,14 @@
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
     let relay = stage.serving(1).await;
     let Reply::Merged {
-        proofs,
+        signatures,
         missing,
         body,
     } = relay.forward(ask("r", "/q/x")).await
     else {
         panic!("no merge");
     };
-    assert_eq!((proofs.len(), missing), (3, 0));
+    assert_eq!((signatures.len(), missing), (3, 0));
     let expected: Vec<u8> = ["s3", "s2", "s1"].map(record).concat();
     assert_eq!(body, expected);
 }
@@ -84,7 +84,7 @@
         panic!("not declined");
     };
     assert_eq!(declined.run, Run::NotRun);
-    assert!(declined.after.is_some());
+    assert!(declined.retry_after.is_some());
     assert!(start.elapsed() < Duration::from_millis(50));
 }
 
@@ -185,7 +185,10 @@
     let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
         panic!("answered");
     };
-    assert_eq!((declined.why, declined.run), (Why::Timeout, Run::Unknown));
+    assert_eq!(
+        (declined.reason, declined.run),
+        (DeclineReason::Timeout, Run::Unknown)
+    );
     assert!(start.elapsed() <= Duration::from_millis(701));
     assert!(stage.leafs.got()[0].left <= Duration::from_millis(700));
 }
@@ -245,14 +248,17 @@
     let Reply::Declined(declined) = starting.forward(ask("r", "/a/x")).await else {
         panic!("answered");
     };
-    assert_eq!((declined.why, declined.run), (Why::NotReady, Run::NotRun));
+    assert_eq!(
+        (declined.reason, declined.run),
+        (DeclineReason::NotReady, Run::NotRun)
+    );
     stage.add_leafs("archive", 1, 10);
     stage.store.put_book(archive_book(Kind::Idempotent));
     let relay = stage.serving(1).await;
     let Reply::Declined(declined) = relay.forward(ask("r", "/b/x")).await else {
         panic!("answered");
     };
-    assert_eq!(declined.why, Why::NoRule);
+    assert_eq!(declined.reason, DeclineReason::NoRule);
     sleep(Duration::from_millis(1)).await;
     assert!(
         matches!(relay.forward(ask("r", "/a/x")).await, Reply::Whole(r) if r.answer.body() == &record("archive"))
@@ -365,7 +371,7 @@
         panic!("answered");
     };
     assert_eq!(declined.run, Run::NotRun);
-    assert!(declined.after.is_some());
+    assert!(declined.retry_after.is_some());
     assert_eq!(stage.leafs.got().len(), 0);
 }
 
--- a/crates/relay/tests/goals.rs
+++ b/crates/relay/tests/goals.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chestnut_book::Kind;
-use chestnut_relay::{Ask, Relay, Reply};
+use chestnut_relay::{Relay, RelayRequest, Reply};
 use tokio::time::{Instant, sleep};
 use world::{Stage, ask, book, gather, missing, rule};
 
@@ -45,8 +45,8 @@
 /// Sends a request `spent` after its caller began; returns the reply and the time
 /// that it took.
 async fn send(relay: &Relay, spent: Duration) -> (Reply, Duration) {
-    let ask = Ask {
-        left: Some(CALLER_TIMEOUT - spent),
+    let ask = RelayRequest {
+        remaining: Some(CALLER_TIMEOUT - spent),
         ..ask("r", "/q/x")
     };
     let start = Instant::now();
--- a/crates/relay/tests/leafs.rs
+++ b/crates/relay/tests/leafs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_relay::{LeafEntry, LeafState, Leafs, Moved};
+use chestnut_relay::{LeafChange, LeafRegistration, LeafState, Leafs};
 use chestnut_unit::{Incarnation, LeafId, ServiceName, Time};
 use rstest::rstest;
 
@@ -15,15 +15,15 @@
     LeafId::new(name).unwrap()
 }
 
-fn entry(state: LeafState) -> LeafEntry {
-    LeafEntry {
+fn entry(state: LeafState) -> LeafRegistration {
+    LeafRegistration {
         service: ServiceName::new("archive").unwrap(),
         address: "10.1.0.1:1".parse().unwrap(),
         domain: "dub-a".parse().unwrap(),
         slots: 5,
         state,
         warmup: Duration::ZERO,
-        life: None,
+        incarnation: None,
     }
 }
 
@@ -31,7 +31,7 @@
     Time::from_millis(ms)
 }
 
-fn ready(names: &[&str]) -> Vec<(LeafId, LeafEntry)> {
+fn ready(names: &[&str]) -> Vec<(LeafId, LeafRegistration)> {
     names
         .iter()
         .map(|name| (id(name), entry(LeafState::Ready)))
@@ -46,15 +46,18 @@
     leafs.listed(ready(&["a", "b"]), at(0), &mut out);
     out.clear();
     leafs.listed(Vec::new(), at(10_000), &mut out);
-    assert_eq!(out, [Moved::Missing(id("a")), Moved::Missing(id("b"))]);
+    assert_eq!(
+        out,
+        [LeafChange::Missing(id("a")), LeafChange::Missing(id("b"))]
+    );
     out.clear();
     leafs.changed(id("a"), entry(LeafState::Ready), at(11_500), &mut out);
-    assert_eq!(out, [Moved::Came(id("a"), entry(LeafState::Ready))]);
+    assert_eq!(out, [LeafChange::Updated(id("a"), entry(LeafState::Ready))]);
     out.clear();
     leafs.tick(at(12_199), &mut out);
     assert_eq!(out, []);
     leafs.tick(at(12_200), &mut out);
-    assert_eq!(out, [Moved::Gone(id("b"))]);
+    assert_eq!(out, [LeafChange::Removed(id("b"))]);
     assert_eq!(leafs.len(), 1);
 }
 
@@ -64,7 +67,10 @@
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), entry(LeafState::Draining), at(0), &mut out);
     leafs.deleted(&id("a"), at(1), &mut out);
-    assert_eq!(out, [Moved::Leaves(id("a")), Moved::Gone(id("a"))]);
+    assert_eq!(
+        out,
+        [LeafChange::Draining(id("a")), LeafChange::Removed(id("a"))]
+    );
     assert!(leafs.is_empty());
 }
 
@@ -74,7 +80,7 @@
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.listed(ready(&["a"]), at(0), &mut out);
     leafs.deleted(&id("a"), at(1_000), &mut out);
-    leafs.returned(at(3_000));
+    leafs.restart_timeouts(at(3_000));
     out.clear();
     leafs.tick(at(5_199), &mut out);
     assert_eq!(out, []);
@@ -85,7 +91,7 @@
 #[test]
 fn warmup_progress_is_not_a_change() {
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
-    let warming = |ms| LeafEntry {
+    let warming = |ms| LeafRegistration {
         warmup: Duration::from_millis(ms),
         ..entry(LeafState::Ready)
     };
@@ -102,20 +108,20 @@
 fn draining_leaf_is_the_last_choice_then_closed() {
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), entry(LeafState::Draining), at(500), &mut out);
-    assert_eq!(out, [Moved::Leaves(id("a"))]);
+    assert_eq!(out, [LeafChange::Draining(id("a"))]);
     assert_eq!(leafs.wake(), at(1_700));
     out.clear();
     leafs.tick(at(1_699), &mut out);
     assert_eq!(out, []);
     leafs.tick(at(1_700), &mut out);
     leafs.tick(at(1_800), &mut out);
-    assert_eq!(out, [Moved::Closed(id("a"))]);
+    assert_eq!(out, [LeafChange::Closed(id("a"))]);
 }
 
 /// Returns the entry of a ready leaf that reports its incarnation.
-fn with_incarnation(incarnation: u64) -> LeafEntry {
-    LeafEntry {
-        life: Some(Incarnation(incarnation)),
+fn with_incarnation(incarnation: u64) -> LeafRegistration {
+    LeafRegistration {
+        incarnation: Some(Incarnation(incarnation)),
         ..entry(LeafState::Ready)
     }
 }
@@ -127,15 +133,15 @@
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), with_incarnation(5), at(0), &mut out);
     leafs.changed(id("a"), with_incarnation(9), at(10), &mut out);
-    assert_eq!(out[1], Moved::Reborn(id("a"), with_incarnation(9)));
+    assert_eq!(out[1], LeafChange::Restarted(id("a"), with_incarnation(9)));
     out.clear();
     leafs.listed(vec![(id("a"), with_incarnation(5))], at(20), &mut out);
-    assert_eq!(out, [Moved::Outdated(id("a"))]);
+    assert_eq!(out, [LeafChange::Stale(id("a"))]);
     leafs.deleted(&id("a"), at(30), &mut out);
     leafs.tick(at(30) + EXPIRY_WAIT, &mut out);
     out.clear();
     leafs.changed(id("a"), with_incarnation(5), at(3_000), &mut out);
-    assert_eq!(out, [Moved::Outdated(id("a"))]);
+    assert_eq!(out, [LeafChange::Stale(id("a"))]);
     assert!(leafs.is_empty());
 }
 
@@ -144,7 +150,7 @@
 #[test]
 fn restarted_leaf_is_no_longer_draining() {
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
-    let draining = LeafEntry {
+    let draining = LeafRegistration {
         state: LeafState::Draining,
         ..with_incarnation(5)
     };
@@ -161,14 +167,17 @@
     let (mut leafs, mut out) = (Leafs::new(EXPIRY_WAIT, DRAIN_WAIT), Vec::new());
     leafs.changed(id("a"), with_incarnation(5), at(0), &mut out);
     out.clear();
-    let draining = LeafEntry {
+    let draining = LeafRegistration {
         state: LeafState::Draining,
         ..with_incarnation(9)
     };
     leafs.changed(id("a"), draining.clone(), at(10), &mut out);
     assert_eq!(
         out,
-        [Moved::Reborn(id("a"), draining), Moved::Leaves(id("a"))]
+        [
+            LeafChange::Restarted(id("a"), draining),
+            LeafChange::Draining(id("a"))
+        ]
     );
 }
 
@@ -182,8 +191,8 @@
     #[case] before: Option<u64>,
     #[case] after: Option<u64>,
 ) {
-    let entry_of = |incarnation: Option<u64>, address: &str| LeafEntry {
-        life: incarnation.map(Incarnation),
+    let entry_of = |incarnation: Option<u64>, address: &str| LeafRegistration {
+        incarnation: incarnation.map(Incarnation),
         address: address.parse().unwrap(),
         ..entry(LeafState::Ready)
     };
@@ -191,7 +200,7 @@
     leafs.changed(id("a"), entry_of(before, "10.1.0.1:1"), at(0), &mut out);
     out.clear();
     leafs.changed(id("a"), entry_of(after, "10.1.0.1:1"), at(1), &mut out);
-    let restarted = |moved: &Moved| matches!(moved, Moved::Reborn(..));
+    let restarted = |moved: &LeafChange| matches!(moved, LeafChange::Restarted(..));
     assert!(!out.iter().any(restarted), "{out:?}");
     leafs.changed(id("a"), entry_of(after, "10.1.0.2:1"), at(2), &mut out);
     assert!(out.iter().any(restarted), "{out:?}");
@@ -207,8 +216,8 @@
     leafs.changed(id("a"), with_incarnation(4), at(2), &mut out);
     leafs.changed(id("a"), with_incarnation(6), at(3), &mut out);
     let expected = [
-        Moved::Outdated(id("a")),
-        Moved::Reborn(id("a"), with_incarnation(6)),
+        LeafChange::Stale(id("a")),
+        LeafChange::Restarted(id("a"), with_incarnation(6)),
     ];
     assert_eq!(out, expected);
 }
@@ -221,6 +230,6 @@
     out.clear();
     leafs.malformed(&id("a"), &mut out);
     leafs.malformed(&id("never-seen"), &mut out);
-    assert_eq!(out, [Moved::Gone(id("a"))]);
+    assert_eq!(out, [LeafChange::Removed(id("a"))]);
     assert_eq!(leafs.len(), 1);
 }
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -70,7 +70,7 @@
         match as_declined(reply) {
             Some(declined) => {
                 assert_eq!(declined.run, Run::NotRun);
-                assert!(declined.after.is_some());
+                assert!(declined.retry_after.is_some());
                 assert!(*elapsed <= OBJECTIVE / 2, "queued for {elapsed:?}");
             }
             None => assert!(*elapsed <= OBJECTIVE, "late by {elapsed:?}"),
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chestnut_book::{Kind, RouteBook, Target};
-use chestnut_relay::{LeafEntry, LeafState, Relay, Reply};
+use chestnut_relay::{LeafRegistration, LeafState, Relay, Reply};
 use chestnut_unit::{Incarnation, LeafId};
 use futures::future::join_all;
 use tokio::time::sleep;
@@ -17,9 +17,9 @@
 }
 
 /// The entry of an `archive` leaf in the given incarnation.
-fn incarnation_entry(incarnation: u64, state: LeafState) -> LeafEntry {
-    LeafEntry {
-        life: Some(Incarnation(incarnation)),
+fn incarnation_entry(incarnation: u64, state: LeafState) -> LeafRegistration {
+    LeafRegistration {
+        incarnation: Some(Incarnation(incarnation)),
         ..entry("archive", state)
     }
 }
@@ -104,7 +104,7 @@
 async fn an_earlier_incarnation_is_not_called_again() {
     let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
     let new_address = "10.1.0.2:1".parse().unwrap();
-    let restarted = LeafEntry {
+    let restarted = LeafRegistration {
         address: new_address,
         ..incarnation_entry(2, LeafState::Ready)
     };
--- a/crates/relay/tests/spread_model.rs
+++ b/crates/relay/tests/spread_model.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use chestnut_book::BookVersion;
-use chestnut_relay::{Distance, Pull, Spread};
+use chestnut_relay::{BookPropagation, Distance, NextRead};
 use chestnut_unit::Time;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
 
 struct Simulation {
     domains: usize,
-    spreads: Vec<Spread>,
+    spreads: Vec<BookPropagation>,
     received: Vec<Option<Time>>,
     /// Messages that were sent, and reads that each entry had to serve.
     messages: usize,
@@ -64,7 +64,7 @@
     fn new(entries: usize, domains: usize, seed: u64) -> Self {
         let mut simulation = Self {
             domains,
-            spreads: vec![Spread::default(); entries],
+            spreads: vec![BookPropagation::default(); entries],
             received: vec![None; entries],
             messages: 0,
             asked: vec![0; entries],
@@ -96,7 +96,7 @@
             return;
         }
         self.received[n] = Some(now);
-        self.spreads[n].taken(NEW, now);
+        self.spreads[n].installed(NEW, now);
         let entries = self.spreads.len();
         for _ in 0..REPORTS_LOCAL {
             let local = self.rng.random_range(0..entries / self.domains) * self.domains;
@@ -117,21 +117,21 @@
                     true => Distance::Near,
                     false => Distance::Far,
                 };
-                self.spreads[n].told(address(from), version, distance, now);
+                self.spreads[n].reported(address(from), version, distance, now);
                 self.handle(Event::Decide(n), now);
             }
             Event::Read(n, from) => {
-                self.spreads[n].ended(address(from));
+                self.spreads[n].read_ended(address(from));
                 self.receive(n, now);
             }
             Event::Decide(n) => match self.spreads[n].next(self.rng.random(), now) {
-                Pull::From(peer) => {
-                    self.spreads[n].begun(peer, now);
+                NextRead::From(peer) => {
+                    self.spreads[n].read_started(peer, now);
                     self.asked[number(peer)] += 1;
                     self.schedule(now + READ_TIME, Event::Read(n, number(peer)));
                 }
-                Pull::Rest(until) => self.schedule(until, Event::Decide(n)),
-                Pull::Nothing => {}
+                NextRead::WaitUntil(until) => self.schedule(until, Event::Decide(n)),
+                NextRead::Nothing => {}
             },
             Event::Heartbeat(n) => {
                 // The first of each domain watches the store and is the upstream of the
--- a/crates/relay/tests/upstream.rs
+++ b/crates/relay/tests/upstream.rs
@@ -7,7 +7,7 @@
 use chestnut_book::{Kind, Target};
 use chestnut_fleet::{Addresses, Liveness, Member};
 use chestnut_port::{Batch, Content, FeedError, Item};
-use chestnut_relay::{LeafState, Mirror, Reply, Upstream, UpstreamChoice};
+use chestnut_relay::{LeafState, Reply, Upstream, UpstreamSelector, WatchCache};
 use chestnut_unit::{Incarnation, Time};
 use tokio::time::sleep;
 use world::{Answers, Stage, ask, book, entry, name, peers_address, rule};
@@ -31,7 +31,7 @@
     let find = |member: &&Member| member.addresses.peers == peers_address(own);
     let own = members.iter().find(find).unwrap();
     let others = members.iter().filter(|member| member.id != own.id);
-    UpstreamChoice::default().choose(own, others, &[], SETTLED, Time::ZERO)
+    UpstreamSelector::default().choose(own, others, &[], SETTLED, Time::ZERO)
 }
 
 /// Every entry watches the store, whose load then grows with the entries and not with
@@ -71,9 +71,9 @@
 fn a_peer_that_failed_is_not_asked_for_a_while() {
     let members: Vec<Member> = (1..=3).map(|n| member(n, "dub-a", 600)).collect();
     let (own, others) = (&members[2], &members[..2]);
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let ask =
-        |choice: &mut UpstreamChoice, now| choice.choose(own, others.iter(), &[], SETTLED, now);
+        |choice: &mut UpstreamSelector, now| choice.choose(own, others.iter(), &[], SETTLED, now);
     let Upstream::Peer(first) = ask(&mut choice, Time::ZERO) else {
         panic!("no peer to follow");
     };
@@ -96,7 +96,7 @@
 }
 
 /// The upstream of entry 5 of [`two_domains`], by `choice`.
-fn choose_for_fifth(choice: &mut UpstreamChoice, now: Time) -> Upstream {
+fn choose_for_fifth(choice: &mut UpstreamSelector, now: Time) -> Upstream {
     let members = two_domains();
     let others = members.iter().filter(|member| member.id != members[4].id);
     choice.choose(&members[4], others, &[], SETTLED, now)
@@ -106,7 +106,7 @@
 /// its watchers instead, once two have lost it and none is known to have it.
 #[test]
 fn followers_of_a_lost_store_wait_for_its_watchers() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     for (lost, next) in [(1, 2), (2, 6), (6, 1)] {
         choice.lost(peers_address(lost), Time::ZERO);
         let expected = Upstream::Peer(peers_address(next));
@@ -126,7 +126,7 @@
 /// watcher is cut off from the store, and it waits for that one.
 #[test]
 fn one_watcher_that_lost_the_store_is_no_quorum() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     choice.lost(peers_address(1), Time::ZERO);
     choice.failed(peers_address(2), SETTLED, Time::ZERO);
     choice.failed(peers_address(6), SETTLED, Time::ZERO);
@@ -137,11 +137,11 @@
 /// watchers that it could follow, and it never becomes a watcher itself.
 #[test]
 fn a_store_that_answers_is_followed_though_peers_lost_it() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     for peer in [1, 2, 6] {
         choice.lost(peers_address(peer), Time::ZERO);
     }
-    choice.store_answers(Time::ZERO);
+    choice.store_reachable_again(Time::ZERO);
     assert_eq!(choose_for_fifth(&mut choice, Time::ZERO), Upstream::Store);
     let later = Time::ZERO + Duration::from_secs(10);
     let expected = Upstream::Peer(peers_address(1));
@@ -152,7 +152,7 @@
 /// takes for watchers redirect it to their upstream.
 #[test]
 fn an_entry_follows_a_redirect() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let (named, own) = (peers_address(9), peers_address(5));
     choice.redirected(peers_address(1), named, own, Time::ZERO);
     assert_eq!(
@@ -168,7 +168,7 @@
 /// and receive no change.
 #[test]
 fn redirect_loops_are_broken() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let own = peers_address(5);
     choice.redirected(peers_address(1), own, own, Time::ZERO);
     let second = Upstream::Peer(peers_address(2));
@@ -182,7 +182,7 @@
 /// few members that it knows so far.
 #[test]
 fn an_entry_that_starts_stays_with_the_peer_that_answers() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let members = two_domains();
     choice.answered(peers_address(7));
     let mut choose = |age| choice.choose(&members[0], members[1..].iter(), &[], age, Time::ZERO);
@@ -196,7 +196,7 @@
 fn entries_that_start_ask_the_seeds_first() {
     let seeds = [peers_address(1), peers_address(2)];
     let (seed, other) = (member(1, "dub-a", 600), member(9, "dub-a", 600));
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let start = Duration::from_millis(10);
     let none = std::iter::empty;
     let of_seed = choice.choose(&seed, none(), &seeds, start, Time::ZERO);
@@ -225,7 +225,7 @@
     let seeds = [peers_address(1), peers_address(2)];
     let upstream = |n, weight, age| {
         let own = member(n, "dub-a", weight);
-        let mut choice = UpstreamChoice::default();
+        let mut choice = UpstreamSelector::default();
         choice.choose(&own, std::iter::empty(), &seeds, age, Time::ZERO)
     };
     let asking = |weight, ms| {
@@ -246,7 +246,7 @@
 /// that still names that watcher as its upstream does not count towards the quorum.
 #[test]
 fn an_entry_that_follows_one_which_lost_the_store_has_lost_it_too() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let own = peers_address(5);
     choice.failed(peers_address(6), SETTLED, Time::ZERO);
     choice.lost(peers_address(1), Time::ZERO);
@@ -272,16 +272,16 @@
 
 #[test]
 fn changes_since_any_kept_revision_are_returned() {
-    let mut mirror = Mirror::default();
-    assert!(matches!(mirror.all(), Err(FeedError::Unavailable(_))));
-    mirror.listed(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
-    mirror.changed(&batch(12, &[("a", Some(3))]));
-    mirror.changed(&batch(15, &[("b", None), ("c", Some(4))]));
+    let mut mirror = WatchCache::default();
+    assert!(matches!(mirror.list(), Err(FeedError::Unavailable(_))));
+    mirror.replace(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
+    mirror.apply(&batch(12, &[("a", Some(3))]));
+    mirror.apply(&batch(15, &[("b", None), ("c", Some(4))]));
     assert_eq!(
-        mirror.all().unwrap(),
+        mirror.list().unwrap(),
         batch(15, &[("a", Some(3)), ("c", Some(4))])
     );
-    let since = |revision| mirror.since(revision);
+    let since = |revision| mirror.changes_since(revision);
     assert_eq!(
         since(10).unwrap(),
         batch(15, &[("a", Some(3)), ("b", None), ("c", Some(4))])
@@ -299,27 +299,27 @@
 /// followers miss changes although the store serves it.
 #[test]
 fn polling_a_peer_does_not_report_the_store_lost() {
-    let mut choice = UpstreamChoice::default();
+    let mut choice = UpstreamSelector::default();
     let members = two_domains();
     let at = Time::from_millis;
-    assert!(!choice.hears_store(at(0)));
+    assert!(!choice.is_store_fresh(at(0)));
     choice.store_answered(at(1_000));
     choice.choose(&members[1], members[2..].iter(), &[], SETTLED, at(1_020));
-    assert!(choice.hears_store(at(1_030)));
+    assert!(choice.is_store_fresh(at(1_030)));
     choice.store_failed(at(6_000));
-    assert!(!choice.hears_store(at(1_040)));
+    assert!(!choice.is_store_fresh(at(1_040)));
     choice.store_answered(at(7_000));
-    assert!(!choice.hears_store(at(10_000)));
+    assert!(!choice.is_store_fresh(at(10_000)));
 }
 
 /// An entry that starts misses leafs for good: it lists the store, and then applies the
 /// older list of a peer.
 #[test]
 fn an_older_list_is_not_applied() {
-    let mut mirror = Mirror::default();
+    let mut mirror = WatchCache::default();
     let list = |revision| batch(revision, &[("a", Some(1))]);
     assert!(mirror.is_behind(&list(0)));
-    mirror.listed(&list(10));
+    mirror.replace(&list(10));
     assert!(!mirror.is_behind(&list(9)));
     assert!(!mirror.is_behind(&list(10)));
     assert!(mirror.is_behind(&list(11)));
@@ -422,29 +422,32 @@
 /// warm-up changes. Followers skip them; a list has the latest.
 #[test]
 fn insignificant_changes_are_not_forwarded() {
-    let mut mirror = Mirror::default();
-    mirror.listed(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
+    let mut mirror = WatchCache::default();
+    mirror.replace(&batch(10, &[("a", Some(1)), ("b", Some(2))]));
     // Values of equal parity count as the same.
     let same = |known: &u32, new: &u32| known % 2 == new % 2;
-    mirror.changed_from(&batch(12, &[("a", Some(3)), ("b", Some(5))]), same);
-    let since = mirror.since(10).unwrap();
+    mirror.apply_filtered(&batch(12, &[("a", Some(3)), ("b", Some(5))]), same);
+    let since = mirror.changes_since(10).unwrap();
     assert_eq!(since, batch(12, &[("b", Some(5))]));
     assert_eq!(
-        mirror.all().unwrap(),
+        mirror.list().unwrap(),
         batch(12, &[("a", Some(3)), ("b", Some(5))])
     );
-    mirror.changed_from(&batch(15, &[("a", None)]), same);
-    assert_eq!(mirror.since(12).unwrap(), batch(15, &[("a", None)]));
+    mirror.apply_filtered(&batch(15, &[("a", None)]), same);
+    assert_eq!(mirror.changes_since(12).unwrap(), batch(15, &[("a", None)]));
 }
 
 /// Followers lose a leaf whose entry was deleted and re-created in one answer of the
 /// store, as only the deletion is forwarded to them.
 #[test]
 fn a_leaf_deleted_and_recreated_in_one_answer_is_kept() {
-    let mut mirror = Mirror::default();
-    mirror.listed(&batch(10, &[("a", Some(1))]));
+    let mut mirror = WatchCache::default();
+    mirror.replace(&batch(10, &[("a", Some(1))]));
     let same = |known: &u32, new: &u32| known == new;
-    mirror.changed_from(&batch(12, &[("a", None), ("a", Some(1))]), same);
-    assert_eq!(mirror.all().unwrap(), batch(12, &[("a", Some(1))]));
-    assert_eq!(mirror.since(10).unwrap(), batch(12, &[("a", Some(1))]));
+    mirror.apply_filtered(&batch(12, &[("a", None), ("a", Some(1))]), same);
+    assert_eq!(mirror.list().unwrap(), batch(12, &[("a", Some(1))]));
+    assert_eq!(
+        mirror.changes_since(10).unwrap(),
+        batch(12, &[("a", Some(1))])
+    );
 }
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -21,7 +21,8 @@
 use chestnut_flow::{Host, Trace, lock};
 use chestnut_port::{Clock, Message};
 use chestnut_relay::{
-    Ask, FeedPeers, LeafEntry, LeafState, Phase, Relay, RelayPorts, RelaySettings, Reply,
+    LeafRegistration, LeafState, PeerFeeds, Phase, Relay, RelayPorts, RelayRequest, RelaySettings,
+    Reply,
 };
 use chestnut_unit::{LeafId, ServiceName, Share};
 use futures::FutureExt;
@@ -85,7 +86,7 @@
             evacuations: Arc::new(self.store.handle_for(n, &self.feeds.1)),
             peers: Box::new(move |service| {
                 lock(&feeds.0).insert(own, service);
-                async move { Ok(Arc::new(feeds) as Arc<dyn FeedPeers>) }.boxed()
+                async move { Ok(Arc::new(feeds) as Arc<dyn PeerFeeds>) }.boxed()
             }),
             adverts: Arc::new(self.store.handle_for(n, &self.feeds.1)),
             records: Arc::new(self.store.handle_for(n, &self.feeds.1)),
@@ -146,15 +147,15 @@
 }
 
 /// Returns the store entry of a leaf of `service`.
-pub fn entry(service: &str, state: LeafState) -> LeafEntry {
-    LeafEntry {
+pub fn entry(service: &str, state: LeafState) -> LeafRegistration {
+    LeafRegistration {
         service: name(service),
         address: "10.1.0.1:1".parse().unwrap(),
         domain: "dub-a".parse().unwrap(),
         slots: 5,
         state,
         warmup: Duration::ZERO,
-        life: None,
+        incarnation: None,
     }
 }
 
@@ -212,7 +213,7 @@
 }
 
 /// Returns a request for `path` with two seconds left.
-pub fn ask(id: &str, path: &'static str) -> Ask {
+pub fn ask(id: &str, path: &'static str) -> RelayRequest {
     let message = Message {
         id: id.to_owned(),
         method: Method::GET,
@@ -220,10 +221,10 @@
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    Ask {
+    RelayRequest {
         host: HOST.to_owned(),
         message: Arc::new(message),
-        left: Some(Duration::from_secs(2)),
+        remaining: Some(Duration::from_secs(2)),
     }
 }
 
--- a/crates/relay/tests/world/net.rs
+++ b/crates/relay/tests/world/net.rs
@@ -14,7 +14,7 @@
     Batch, Content, Feed, FeedError, FeedService, Freshness, Item, PeerPulse, Probes, RawBatch,
     RawBook,
 };
-use chestnut_relay::FeedPeers;
+use chestnut_relay::PeerFeeds;
 use chestnut_unit::DomainName;
 use futures::{FutureExt, future::BoxFuture};
 use serde::de::DeserializeOwned;
@@ -241,8 +241,8 @@
     }
 }
 
-impl FeedPeers for FakeFeeds {
-    fn pulse(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
+impl PeerFeeds for FakeFeeds {
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
         async move {
             let service = self.service(to).await?;
             let (store, book) = (service.pulse(), service.version());
