--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -11,7 +11,9 @@
 use chestnut_flow::lock;
 use chestnut_port::{Batch, Content, Feed, FeedError, Freshness, Item};
 use chestnut_quarantine::Fingerprint;
-use chestnut_relay::{Advert, Adverts, LeafEntry, LeaseStore, Record, Records};
+use chestnut_relay::{
+    Advert, Adverts, LeafRegistration, LeaseStore, QuarantineRecord, RecordStore,
+};
 use chestnut_unit::{DomainName, LeafId, MemberId};
 use futures::{FutureExt, future::BoxFuture};
 use serde::Serialize;
@@ -42,14 +44,14 @@
 struct State {
     revision: u64,
     book: Option<(u64, RouteBook)>,
-    leafs: BTreeMap<LeafId, (u64, LeafEntry)>,
+    leafs: BTreeMap<LeafId, (u64, LeafRegistration)>,
     deleted: Vec<(u64, LeafId)>,
     /// Leafs whose entries another writer has overwritten with malformed ones.
     malformed: BTreeMap<LeafId, u64>,
     /// Whether each failure domain is evacuated, and the revision of its last change.
     evacuated: BTreeMap<DomainName, (u64, bool)>,
     adverts: BTreeMap<MemberId, Advert>,
-    records: BTreeMap<Fingerprint, Record>,
+    records: BTreeMap<Fingerprint, QuarantineRecord>,
     leases: BTreeMap<LeaseId, LeaseRecord>,
     unresponsive: bool,
     /// Changes of responsiveness so far; a watch from before the last is never answered.
@@ -83,7 +85,7 @@
     }
 
     /// Writes the entry of a leaf.
-    pub fn put_leaf(&self, id: &LeafId, entry: LeafEntry) {
+    pub fn put_leaf(&self, id: &LeafId, entry: LeafRegistration) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -343,9 +345,9 @@
 }
 
 /// An object of the feed of leafs.
-pub type LeafItem = (LeafId, LeafEntry);
+pub type LeafItem = (LeafId, LeafRegistration);
 
-fn leaf_item(id: &LeafId, entry: &LeafEntry) -> Item<LeafItem> {
+fn leaf_item(id: &LeafId, entry: &LeafRegistration) -> Item<LeafItem> {
     Item {
         name: id.to_string(),
         content: Content::Is((id.clone(), entry.clone())),
@@ -510,8 +512,8 @@
     }
 }
 
-impl Records for FakeStore {
-    fn list(&self) -> BoxFuture<'_, Result<Vec<Record>, FeedError>> {
+impl RecordStore for FakeStore {
+    fn list(&self) -> BoxFuture<'_, Result<Vec<QuarantineRecord>, FeedError>> {
         async move {
             self.check().await?;
             Ok(lock(&self.stored).records.values().cloned().collect())
@@ -519,7 +521,7 @@
         .boxed()
     }
 
-    fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>> {
+    fn write(&self, record: QuarantineRecord) -> BoxFuture<'_, Result<(), FeedError>> {
         async move {
             self.check().await?;
             let fingerprint = record.report.what;
