--- a/crates/relay/tests/cold.rs
+++ b/crates/relay/tests/cold_leafs.rs
@@ -11,7 +11,10 @@
 use chestnut_unit::{CallRate, LeafId, Run};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
-use world::{Answers, Manner, Stage, ask, book_of, entry, gather, peers_address, record, rule};
+use world::{
+    Availability, Behaviour, Cluster, book_with_cold, gather, leaf_entry, peer_address, record,
+    request, rule,
+};
 
 const DOMAINS: [&str; 3] = ["dub-a", "dub-b", "kdr-c"];
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
@@ -32,7 +35,7 @@
         span: WARMUP,
     };
     let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
-    book_of(version, rules, Some(cold))
+    book_with_cold(version, rules, Some(cold))
 }
 
 fn leaf_id(shard: &str, domain: &str) -> LeafId {
@@ -40,37 +43,37 @@
 }
 
 /// Adds or replaces a leaf that has just started and is cold for `warmup`.
-fn register(stage: &Stage, shard: &str, domain: &str, warmup: Duration) {
+fn register(cluster: &Cluster, shard: &str, domain: &str, warmup: Duration) {
     let entry = LeafRegistration {
         domain: domain.parse().unwrap(),
         warmup,
-        ..entry(shard, LeafState::Ready)
+        ..leaf_entry(shard, LeafState::Ready)
     };
     let id = leaf_id(shard, domain);
-    stage.store.put_leaf(&id, entry);
-    let answer = Manner::Answers(Duration::from_millis(5), record(shard));
-    stage.leafs.set(&id, answer);
+    cluster.store.put_leaf(&id, entry);
+    let answer = Behaviour::Answers(Duration::from_millis(5), record(shard));
+    cluster.leafs.set_behaviour(&id, answer);
 }
 
 /// Does the same for a leaf of each shard in `domain`.
-fn register_all(stage: &Stage, domain: &str, warmup: Duration) {
+fn register_all(cluster: &Cluster, domain: &str, warmup: Duration) {
     for shard in SHARDS {
-        register(stage, shard, domain, warmup);
+        register(cluster, shard, domain, warmup);
     }
 }
 
-/// A stage with a warm leaf of each shard in each domain.
-fn stage() -> Stage {
-    let stage = Stage {
+/// A cluster with a warm leaf of each shard in each domain.
+fn cluster() -> Cluster {
+    let cluster = Cluster {
         domains: 3,
         seeds: vec![1, 2, 3],
-        ..Stage::default()
+        ..Cluster::default()
     };
     for domain in DOMAINS {
-        register_all(&stage, domain, Duration::ZERO);
+        register_all(&cluster, domain, Duration::ZERO);
     }
-    stage.store.put_book(limited_book(1));
-    stage
+    cluster.store.put_book(limited_book(1));
+    cluster
 }
 
 /// Sends `rate` requests per second for `span`, to the entries in turn.
@@ -79,7 +82,7 @@
     for n in 0..(span.as_secs_f64() * f64::from(rate)) as usize {
         let relay = relays[n % relays.len()].clone();
         sent.push(tokio::spawn(async move {
-            relay.forward(ask(&format!("r{n}"), "/all/x")).await
+            relay.forward(request(&format!("r{n}"), "/all/x")).await
         }));
         sleep(Duration::from_secs(1) / rate).await;
     }
@@ -92,12 +95,12 @@
 
 /// The highest number of calls that one leaf of `domain` got within `WINDOW`, between `from`
 /// and `from + span`.
-fn peak_rate(stage: &Stage, domain: &str, from: Instant, span: Duration) -> usize {
+fn peak_rate(cluster: &Cluster, domain: &str, from: Instant, span: Duration) -> usize {
     let mut calls: BTreeMap<LeafId, Vec<Instant>> = BTreeMap::new();
-    for got in stage.leafs.got() {
-        let in_span = got.at >= from && got.at < from + span;
-        if in_span && got.leaf.as_str().ends_with(domain) {
-            calls.entry(got.leaf).or_default().push(got.at);
+    for call in cluster.leafs.received_calls() {
+        let in_span = call.at >= from && call.at < from + span;
+        if in_span && call.leaf.as_str().ends_with(domain) {
+            calls.entry(call.leaf).or_default().push(call.at);
         }
     }
     let count_from = |times: &[Instant], at: Instant| {
@@ -121,20 +124,20 @@
 #[case(73)]
 #[tokio::test(start_paused = true)]
 async fn cold_leafs_are_used_up_to_their_rate_limit(#[case] entries: u16) {
-    let stage = stage();
-    let relays = stage.serving_all(entries).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(entries).await;
     // Without the other domains, all calls go to the cold one.
     for domain in &DOMAINS[1..] {
         for shard in SHARDS {
-            stage.store.drop_leaf(&leaf_id(shard, domain));
+            cluster.store.delete_leaf(&leaf_id(shard, domain));
         }
     }
-    register_all(&stage, DOMAINS[0], WARMUP);
+    register_all(&cluster, DOMAINS[0], WARMUP);
     sleep(PROPAGATION).await;
     let start = Instant::now();
-    register_all(&stage, DOMAINS[0], WARMUP);
+    register_all(&cluster, DOMAINS[0], WARMUP);
     let replies = send_load(&relays, 200, WARMUP).await;
-    let peak = peak_rate(&stage, DOMAINS[0], start, WARMUP);
+    let peak = peak_rate(&cluster, DOMAINS[0], start, WARMUP);
     assert!(peak <= MAX_RATE, "{peak} calls in a second");
     assert!(peak * 2 >= MAX_RATE, "{peak} calls in a second");
     assert!(served(&replies) >= 12, "{} served", served(&replies));
@@ -144,18 +147,18 @@
 /// refusal as "not run" after a leaf was called.
 #[tokio::test(start_paused = true)]
 async fn requests_beyond_the_cold_rate_limit_are_refused_at_once() {
-    let stage = stage();
-    let relays = stage.serving_all(1).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(1).await;
     for domain in DOMAINS {
-        register_all(&stage, domain, WARMUP);
+        register_all(&cluster, domain, WARMUP);
     }
     sleep(PROPAGATION).await;
-    let calls = stage.leafs.got().len();
+    let calls = cluster.leafs.received_calls().len();
     let mut refused = 0;
     for n in 0..200 {
         let (start, reply) = (
             Instant::now(),
-            relays[0].forward(ask(&format!("n{n}"), "/all/x")).await,
+            relays[0].forward(request(&format!("n{n}"), "/all/x")).await,
         );
         if let Reply::Declined(Declined {
             run, retry_after, ..
@@ -169,7 +172,7 @@
     // A single entry holds one of four leases; each shard has three leafs.
     let max_queries = 3 * MAX_RATE.div_ceil(4);
     assert!(refused >= 200 - max_queries, "{refused}");
-    let calls = stage.leafs.got().len() - calls;
+    let calls = cluster.leafs.received_calls().len() - calls;
     assert!(calls <= max_queries * SHARDS.len(), "{calls}");
 }
 
@@ -177,26 +180,26 @@
 /// entry changed.
 #[tokio::test(start_paused = true)]
 async fn a_leaf_that_becomes_cold_again_is_rate_limited_again() {
-    let stage = stage();
-    let relays = stage.serving_all(9).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(9).await;
     let before = Instant::now();
     send_load(&relays, 200, Duration::from_secs(1)).await;
     let domain = DOMAINS
         .iter()
-        .find(|d| peak_rate(&stage, d, before, WINDOW) > MAX_RATE);
+        .find(|d| peak_rate(&cluster, d, before, WINDOW) > MAX_RATE);
     let domain = domain.expect("no domain is called above the limit");
     for round in 0..2 {
-        register_all(&stage, domain, WARMUP);
+        register_all(&cluster, domain, WARMUP);
         sleep(PROPAGATION).await;
         let start = Instant::now();
         send_load(&relays, 200, WARMUP - PROPAGATION).await;
-        let peak = peak_rate(&stage, domain, start, WARMUP);
+        let peak = peak_rate(&cluster, domain, start, WARMUP);
         assert!(peak <= MAX_RATE, "round {round}: {peak} calls in a second");
-        register_all(&stage, domain, Duration::ZERO);
+        register_all(&cluster, domain, Duration::ZERO);
         sleep(WARMUP).await;
         let start = Instant::now();
         send_load(&relays, 200, Duration::from_secs(1)).await;
-        let peaks = DOMAINS.map(|d| peak_rate(&stage, d, start, WINDOW));
+        let peaks = DOMAINS.map(|d| peak_rate(&cluster, d, start, WINDOW));
         assert!(
             peaks.iter().any(|peak| *peak > MAX_RATE),
             "round {round}: {peaks:?}"
@@ -207,17 +210,17 @@
 /// Guards against a domain that is called at the full rate as soon as its evacuation ends: its
 /// leafs may have become cold, which their entries report only later.
 #[tokio::test(start_paused = true)]
-async fn leafs_of_a_refilled_domain_count_as_cold() {
-    let stage = stage();
-    let relays = stage.serving_all(9).await;
+async fn leafs_count_as_cold_after_an_evacuation() {
+    let cluster = cluster();
+    let relays = cluster.serving_all(9).await;
     for domain in DOMAINS {
-        stage.store.evacuate(domain);
+        cluster.store.evacuate(domain);
     }
     sleep(PROPAGATION).await;
-    stage.store.refill(DOMAINS[1]);
+    cluster.store.end_evacuation(DOMAINS[1]);
     let start = Instant::now();
     let replies = send_load(&relays, 200, WARMUP).await;
-    let peak = peak_rate(&stage, DOMAINS[1], start, WARMUP);
+    let peak = peak_rate(&cluster, DOMAINS[1], start, WARMUP);
     assert!((1..=MAX_RATE).contains(&peak), "{peak} calls in a second");
     assert!(served(&replies) > 0);
     let replies = send_load(&relays, 100, Duration::from_secs(2)).await;
@@ -236,28 +239,28 @@
 #[case(true)]
 #[tokio::test(start_paused = true)]
 async fn cold_leafs_are_rate_limited_after_all_entries_restart(#[case] store_lost: bool) {
-    let stage = stage();
-    let relays = stage.serving_all(9).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(9).await;
     for n in 1..=9 {
-        stage.net.cut(peers_address(n));
-        stage.feeds.cut(peers_address(n));
+        cluster.net.remove(peer_address(n));
+        cluster.feeds.disconnect(peer_address(n));
     }
     drop(relays);
     for domain in DOMAINS {
-        register_all(&stage, domain, WARMUP);
+        register_all(&cluster, domain, WARMUP);
     }
     let start = Instant::now();
     let mut relays = Vec::new();
     for n in 1..=9 {
-        relays.push(stage.spawn(n).await);
+        relays.push(cluster.spawn(n).await);
     }
     if store_lost {
         sleep(Duration::from_millis(300)).await;
-        stage.store.answers(Answers::Never);
+        cluster.store.set_answers(Availability::Unresponsive);
     }
     send_load(&relays, 300, WARMUP).await;
     for domain in DOMAINS {
-        let peak = peak_rate(&stage, domain, start, WARMUP);
+        let peak = peak_rate(&cluster, domain, start, WARMUP);
         assert!(peak <= MAX_RATE, "{domain}: {peak} calls in a second");
     }
     assert!(relays.iter().any(|relay| relay.phase() == Phase::Serving));
@@ -286,15 +289,15 @@
 /// rule for cold leafs.
 #[tokio::test(start_paused = true)]
 async fn cold_leafs_without_a_rule_are_not_rate_limited() {
-    let stage = stage();
+    let cluster = cluster();
     let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
-    stage.store.put_book(book_of(2, rules, None));
-    let relays = stage.serving_all(3).await;
+    cluster.store.put_book(book_with_cold(2, rules, None));
+    let relays = cluster.serving_all(3).await;
     for domain in DOMAINS {
-        register_all(&stage, domain, WARMUP);
+        register_all(&cluster, domain, WARMUP);
     }
     sleep(PROPAGATION).await;
     let replies = send_load(&relays, 100, Duration::from_secs(1)).await;
     assert_eq!(served(&replies), replies.len());
-    assert_eq!(stage.store.leases(), 0);
+    assert_eq!(cluster.store.leases(), 0);
 }
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -19,7 +19,8 @@
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
 use world::{
-    Answers, Manner, Stage, ask, book, entry, gather, missing, name, peers_address, record, rule,
+    Availability, Behaviour, Cluster, book, gather, leaf_entry, missing, peer_address, record,
+    request, rule, service_name,
 };
 
 /// Time in which a request of the operator takes effect at entries that reach the store or an
@@ -33,121 +34,121 @@
 fn entry_in(service: &str, domain: &str) -> LeafRegistration {
     LeafRegistration {
         domain: domain.parse().unwrap(),
-        ..entry(service, LeafState::Ready)
+        ..leaf_entry(service, LeafState::Ready)
     }
 }
 
 /// Adds a leaf of `service` in `domain` that answers.
-fn add_leaf(stage: &Stage, service: &str, domain: &str) -> LeafId {
+fn add_leaf(cluster: &Cluster, service: &str, domain: &str) -> LeafId {
     let id = LeafId::new(format!("{service}-{domain}")).unwrap();
-    stage.store.put_leaf(&id, entry_in(service, domain));
-    let answer = Manner::Answers(Duration::from_millis(5), record(service));
-    stage.leafs.set(&id, answer);
+    cluster.store.put_leaf(&id, entry_in(service, domain));
+    let answer = Behaviour::Answers(Duration::from_millis(5), record(service));
+    cluster.leafs.set_behaviour(&id, answer);
     id
 }
 
 /// A book with one rule, for the `archive` service.
 fn archive_book(version: u64) -> RouteBook {
-    let target = Target::One(name("archive"));
+    let target = Target::One(service_name("archive"));
     book(version, vec![rule("/a/", Kind::Idempotent, target)])
 }
 
-/// A stage with one `archive` leaf in each domain.
-fn stage() -> Stage {
-    let stage = Stage {
+/// A cluster with one `archive` leaf in each domain.
+fn cluster() -> Cluster {
+    let cluster = Cluster {
         domains: 3,
         seeds: vec![1, 2, 3],
-        ..Stage::default()
+        ..Cluster::default()
     };
     for domain in DOMAINS {
-        add_leaf(&stage, "archive", domain);
+        add_leaf(&cluster, "archive", domain);
     }
-    stage.store.put_book(archive_book(1));
-    stage
+    cluster.store.put_book(archive_book(1));
+    cluster
 }
 
 /// Sends requests to all entries at once and counts the calls to leafs in `domain`.
-async fn calls_to(stage: &Stage, relays: &[&Relay], domain: &str) -> usize {
+async fn calls_to(cluster: &Cluster, relays: &[&Relay], domain: &str) -> usize {
     const REQUESTS: usize = 12;
-    let before = stage.leafs.got().len();
-    let asks = relays
+    let before = cluster.leafs.received_calls().len();
+    let requests = relays
         .iter()
-        .flat_map(|relay| (0..REQUESTS).map(move |n| relay.forward(ask(&format!("r{n}"), "/a/x"))));
-    join_all(asks).await;
-    let got = stage.leafs.got();
-    let in_domain = got[before..]
+        .flat_map(|to| (0..REQUESTS).map(move |n| to.forward(request(&format!("r{n}"), "/a/x"))));
+    join_all(requests).await;
+    let received = cluster.leafs.received_calls();
+    let in_domain = received[before..]
         .iter()
-        .filter(|got| got.leaf.as_str().ends_with(domain));
+        .filter(|call| call.leaf.as_str().ends_with(domain));
     in_domain.count()
 }
 
 /// Guards against calls to an evacuated domain, and against a domain that gets no calls after
 /// its evacuation.
 #[tokio::test(start_paused = true)]
-async fn an_evacuated_domain_gets_no_calls_until_it_is_refilled() {
-    let stage = stage();
-    let relays = stage.serving_all(3).await;
+async fn an_evacuated_domain_gets_no_calls_until_its_evacuation_ends() {
+    let cluster = cluster();
+    let relays = cluster.serving_all(3).await;
     let relays: Vec<&Relay> = relays.iter().collect();
-    assert!(calls_to(&stage, &relays, "dub-a").await > 0);
-    stage.store.evacuate("dub-a");
+    assert!(calls_to(&cluster, &relays, "dub-a").await > 0);
+    cluster.store.evacuate("dub-a");
     sleep(PROPAGATION).await;
-    assert_eq!(calls_to(&stage, &relays, "dub-a").await, 0);
-    assert!(calls_to(&stage, &relays, "dub-b").await > 0);
-    stage.store.refill("dub-a");
+    assert_eq!(calls_to(&cluster, &relays, "dub-a").await, 0);
+    assert!(calls_to(&cluster, &relays, "dub-b").await > 0);
+    cluster.store.end_evacuation("dub-a");
     sleep(PROPAGATION).await;
-    assert!(calls_to(&stage, &relays, "dub-a").await > 0);
+    assert!(calls_to(&cluster, &relays, "dub-a").await > 0);
 }
 
 /// Guards against entries that miss an evacuation because the store rejects them.
 #[tokio::test(start_paused = true)]
 async fn entries_rejected_by_the_store_learn_of_evacuations() {
-    let stage = stage();
-    let relays = stage.serving_all(9).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(9).await;
     let all: Vec<&Relay> = relays.iter().collect();
-    stage.store.bar([1, 4, 5, 7, 8].into());
+    cluster.store.reject([1, 4, 5, 7, 8].into());
     sleep(Duration::from_secs(5)).await;
-    stage.store.evacuate("dub-b");
+    cluster.store.evacuate("dub-b");
     sleep(PROPAGATION).await;
-    assert_eq!(calls_to(&stage, &all, "dub-b").await, 0);
-    stage.store.refill("dub-b");
+    assert_eq!(calls_to(&cluster, &all, "dub-b").await, 0);
+    cluster.store.end_evacuation("dub-b");
     sleep(PROPAGATION).await;
-    assert!(calls_to(&stage, &all, "dub-b").await > 0);
+    assert!(calls_to(&cluster, &all, "dub-b").await > 0);
 }
 
 /// Guards against an entry that starts while the store is unresponsive and calls leafs of an
 /// evacuated domain.
 #[tokio::test(start_paused = true)]
 async fn an_entry_started_without_the_store_knows_the_evacuations() {
-    let stage = stage();
-    let _others = stage.serving_all(3).await;
-    stage.store.evacuate("kdr-c");
+    let cluster = cluster();
+    let _others = cluster.serving_all(3).await;
+    cluster.store.evacuate("kdr-c");
     sleep(PROPAGATION).await;
-    stage.store.answers(Answers::Never);
+    cluster.store.set_answers(Availability::Unresponsive);
     sleep(Duration::from_secs(3)).await;
-    let new = stage.serving(4).await;
-    assert_eq!(calls_to(&stage, &[&new], "kdr-c").await, 0);
-    assert!(calls_to(&stage, &[&new], "dub-a").await > 0);
+    let new = cluster.serving(4).await;
+    assert_eq!(calls_to(&cluster, &[&new], "kdr-c").await, 0);
+    assert!(calls_to(&cluster, &[&new], "dub-a").await > 0);
 }
 
 /// Guards against an entry that serves before it knows which domains are evacuated.
 #[tokio::test(start_paused = true)]
 async fn evacuations_survive_a_restart_of_all_entries() {
-    let stage = stage();
-    let relays = stage.serving_all(6).await;
-    stage.store.evacuate("dub-a");
+    let cluster = cluster();
+    let relays = cluster.serving_all(6).await;
+    cluster.store.evacuate("dub-a");
     sleep(PROPAGATION).await;
     for n in 1..=6 {
-        stage.net.cut(peers_address(n));
-        stage.feeds.cut(peers_address(n));
+        cluster.net.remove(peer_address(n));
+        cluster.feeds.disconnect(peer_address(n));
     }
     drop(relays);
     let mut relays = Vec::new();
     for n in 1..=6 {
-        relays.push(stage.spawn(n).await);
+        relays.push(cluster.spawn(n).await);
     }
     for _ in 0..40 {
         let all: Vec<&Relay> = relays.iter().collect();
-        assert_eq!(calls_to(&stage, &all, "dub-a").await, 0);
+        assert_eq!(calls_to(&cluster, &all, "dub-a").await, 0);
         sleep(Duration::from_millis(50)).await;
     }
     assert!(relays.iter().all(|relay| relay.phase() == Phase::Serving));
@@ -157,35 +158,38 @@
 /// leafs which may not be called.
 #[tokio::test(start_paused = true)]
 async fn a_shard_only_in_an_evacuated_domain_is_missing() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     for (shard, domain) in [
         ("s1", "dub-a"),
         ("s2", "dub-b"),
         ("s3", "dub-b"),
         ("s4", "kdr-c"),
     ] {
-        add_leaf(&stage, shard, domain);
+        add_leaf(&cluster, shard, domain);
     }
     let shards = ["s1", "s2", "s3", "s4"];
     let rules = vec![
         rule("/most/", Kind::Idempotent, gather(&shards, 750)),
         rule("/all/", Kind::Idempotent, gather(&shards, 1000)),
     ];
-    stage.store.put_book(book(1, rules));
-    let relay = stage.serving(1).await;
-    stage.store.evacuate("dub-a");
+    cluster.store.put_book(book(1, rules));
+    let relay = cluster.serving(1).await;
+    cluster.store.evacuate("dub-a");
     sleep(PROPAGATION).await;
-    assert_eq!(missing(&relay.forward(ask("m", "/most/x")).await), Some(1));
-    let calls = stage.leafs.got().len();
-    let (start, reply) = (Instant::now(), relay.forward(ask("a", "/all/x")).await);
+    assert_eq!(
+        missing(&relay.forward(request("m", "/most/x")).await),
+        Some(1)
+    );
+    let calls = cluster.leafs.received_calls().len();
+    let (start, reply) = (Instant::now(), relay.forward(request("a", "/all/x")).await);
     assert_refused(&reply, start);
-    stage.store.evacuate("dub-b");
-    stage.store.evacuate("kdr-c");
+    cluster.store.evacuate("dub-b");
+    cluster.store.evacuate("kdr-c");
     sleep(PROPAGATION).await;
-    let (start, reply) = (Instant::now(), relay.forward(ask("n", "/most/x")).await);
+    let (start, reply) = (Instant::now(), relay.forward(request("n", "/most/x")).await);
     assert_refused(&reply, start);
     assert_eq!(
-        stage.leafs.got().len(),
+        cluster.leafs.received_calls().len(),
         calls,
         "a refused query called a leaf"
     );
@@ -203,26 +207,26 @@
     assert_eq!(Instant::now(), start, "the refusal was delayed");
 }
 
-/// Guards against evacuations and refills in quick succession that leave an outdated state.
+/// Guards against an outdated state after evacuations that start and end in quick succession.
 #[tokio::test(start_paused = true)]
 async fn the_last_of_many_rapid_requests_takes_effect() {
-    let stage = stage();
-    let relays = stage.serving_all(6).await;
+    let cluster = cluster();
+    let relays = cluster.serving_all(6).await;
     let all: Vec<&Relay> = relays.iter().collect();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for round in 0..12 {
         for _ in 0..rng.random_range(1..6) {
-            stage.store.evacuate("dub-a");
+            cluster.store.evacuate("dub-a");
             sleep(Duration::from_millis(rng.random_range(0..60))).await;
-            stage.store.refill("dub-a");
+            cluster.store.end_evacuation("dub-a");
             sleep(Duration::from_millis(rng.random_range(0..60))).await;
         }
         let evacuated = round % 2 == 0;
         if evacuated {
-            stage.store.evacuate("dub-a");
+            cluster.store.evacuate("dub-a");
         }
         sleep(PROPAGATION).await;
-        let calls = calls_to(&stage, &all, "dub-a").await;
+        let calls = calls_to(&cluster, &all, "dub-a").await;
         assert_eq!(calls == 0, evacuated, "round {round}: {calls} calls");
     }
 }
@@ -231,15 +235,15 @@
 /// upstreams run a version without evacuations.
 #[tokio::test(start_paused = true)]
 async fn an_entry_whose_peers_run_an_earlier_version_asks_the_store() {
-    let stage = stage();
-    let _others = stage.serving_all(3).await;
-    (1..=3).for_each(|n| stage.feeds.set_earlier(peers_address(n)));
-    stage.store.evacuate("dub-a");
-    let new = stage.spawn(4).await;
+    let cluster = cluster();
+    let _others = cluster.serving_all(3).await;
+    (1..=3).for_each(|n| cluster.feeds.set_legacy(peer_address(n)));
+    cluster.store.evacuate("dub-a");
+    let new = cluster.spawn(4).await;
     sleep(PROPAGATION).await;
     assert_eq!(new.phase(), Phase::Serving);
-    assert_eq!(calls_to(&stage, &[&new], "dub-a").await, 0);
-    assert!(calls_to(&stage, &[&new], "dub-b").await > 0);
+    assert_eq!(calls_to(&cluster, &[&new], "dub-a").await, 0);
+    assert!(calls_to(&cluster, &[&new], "dub-b").await > 0);
 }
 
 fn item(name: &str, content: Content<DomainName>) -> Item<DomainName> {
@@ -277,9 +281,9 @@
 /// Number of faults injected per seed.
 const FAULTS: usize = 8;
 
-/// Entries under random faults while domains are evacuated and refilled.
+/// Entries under random faults while evacuations start and end.
 struct Scenario {
-    stage: Stage,
+    cluster: Cluster,
     rng: ChaCha8Rng,
     relays: BTreeMap<u16, Relay>,
     evacuated: BTreeSet<&'static str>,
@@ -288,9 +292,9 @@
 impl Scenario {
     /// Starts all entries and waits until they know each other.
     async fn start(seed: u64) -> Self {
-        let stage = stage();
+        let cluster = cluster();
         let mut scenario = Self {
-            stage,
+            cluster,
             rng: ChaCha8Rng::seed_from_u64(seed),
             relays: BTreeMap::new(),
             evacuated: BTreeSet::new(),
@@ -304,14 +308,14 @@
 
     /// Starts entry number `n`.
     async fn spawn(&mut self, n: u16) {
-        let relay = self.stage.spawn(n).await;
+        let relay = self.cluster.spawn(n).await;
         self.relays.insert(n, relay);
     }
 
     /// Stops entry number `n` and cuts its connections.
     fn kill(&mut self, n: u16) {
-        self.stage.net.cut(peers_address(n));
-        self.stage.feeds.cut(peers_address(n));
+        self.cluster.net.remove(peer_address(n));
+        self.cluster.feeds.disconnect(peer_address(n));
         self.relays.remove(&n);
     }
 
@@ -320,14 +324,14 @@
         Duration::from_secs_f64(self.rng.random_range(0.0..max))
     }
 
-    /// Evacuates a random domain, or refills it if it is evacuated.
+    /// Evacuates a random domain, or ends its evacuation.
     fn toggle_domain(&mut self) {
         let domain = DOMAINS[self.rng.random_range(0..DOMAINS.len())];
         match self.evacuated.remove(domain) {
-            true => self.stage.store.refill(domain),
+            true => self.cluster.store.end_evacuation(domain),
             false => {
                 self.evacuated.insert(domain);
-                self.stage.store.evacuate(domain);
+                self.cluster.store.evacuate(domain);
             }
         }
     }
@@ -336,13 +340,13 @@
     async fn inject_fault(&mut self) {
         match self.rng.random_range(0..6) {
             0 => {
-                self.stage.store.answers(Answers::Never);
+                self.cluster.store.set_answers(Availability::Unresponsive);
                 sleep(self.random_span(5.0)).await;
-                self.stage.store.answers(Answers::Yes);
+                self.cluster.store.set_answers(Availability::Up);
             }
             1 => {
                 let rejected = (1..=ENTRIES).filter(|_| self.rng.random_bool(0.4));
-                self.stage.store.bar(rejected.collect());
+                self.cluster.store.reject(rejected.collect());
             }
             2 => {
                 let n = self.rng.random_range(1..=ENTRIES);
@@ -357,7 +361,7 @@
                     self.spawn(n).await;
                 }
             }
-            4 => self.stage.store.lose_watches(1),
+            4 => self.cluster.store.drop_watches(1),
             _ => {}
         }
         self.toggle_domain();
@@ -366,16 +370,23 @@
 
     /// Ends all faults and checks that every entry follows the operator's last requests.
     async fn recover(&mut self) {
-        self.stage.store.bar(BTreeSet::new());
+        self.cluster.store.reject(BTreeSet::new());
         sleep(RECOVERY).await;
         self.toggle_domain();
         sleep(PROPAGATION).await;
         let relays: Vec<&Relay> = self.relays.values().collect();
         for domain in &self.evacuated {
-            assert_eq!(calls_to(&self.stage, &relays, domain).await, 0, "{domain}");
+            assert_eq!(
+                calls_to(&self.cluster, &relays, domain).await,
+                0,
+                "{domain}"
+            );
         }
         for domain in DOMAINS.iter().filter(|d| !self.evacuated.contains(**d)) {
-            assert!(calls_to(&self.stage, &relays, domain).await > 0, "{domain}");
+            assert!(
+                calls_to(&self.cluster, &relays, domain).await > 0,
+                "{domain}"
+            );
         }
     }
 }
--- a/crates/relay/tests/feeds_model.rs
+++ b/crates/relay/tests/feeds_model.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use tokio::time::sleep;
-use world::{Answers, Stage, ask, book, name, peers_address, rule};
+use world::{Availability, Cluster, book, peer_address, request, rule, service_name};
 
 const ENTRIES: u16 = 9;
 const DOMAINS: u16 = 3;
@@ -29,17 +29,17 @@
 /// A version whose only rule is found by the version's number.
 fn version(number: u64) -> RouteBook {
     let prefix = format!("/v{number}/");
-    let target = Target::One(name("archive"));
+    let target = Target::One(service_name("archive"));
     book(number, vec![rule(&prefix, Kind::Idempotent, target)])
 }
 
 async fn serves_version(relay: &Relay, number: u64) -> bool {
     let path: &'static str = format!("/v{number}/x").leak();
-    matches!(relay.forward(ask("r", path)).await, Reply::Whole(_))
+    matches!(relay.forward(request("r", path)).await, Reply::Whole(_))
 }
 
 struct Simulation {
-    stage: Stage,
+    cluster: Cluster,
     rng: ChaCha8Rng,
     relays: BTreeMap<u16, Relay>,
     /// The greatest version that each incarnation of an entry was seen with.
@@ -49,15 +49,15 @@
 
 impl Simulation {
     async fn start(seed: u64) -> Self {
-        let stage = Stage {
+        let cluster = Cluster {
             domains: DOMAINS,
             seeds: (1..=DOMAINS).collect(),
-            ..Stage::default()
+            ..Cluster::default()
         };
-        stage.add_leafs("archive", 2, 5);
-        stage.store.put_book(version(1));
+        cluster.add_leafs("archive", 2, 5);
+        cluster.store.put_book(version(1));
         let mut simulation = Self {
-            stage,
+            cluster,
             rng: ChaCha8Rng::seed_from_u64(seed),
             relays: BTreeMap::new(),
             seen: BTreeMap::new(),
@@ -71,13 +71,13 @@
     }
 
     async fn spawn(&mut self, n: u16) {
-        let relay = self.stage.spawn(n).await;
+        let relay = self.cluster.spawn(n).await;
         self.relays.insert(n, relay);
     }
 
     fn kill(&mut self, n: u16) {
-        self.stage.net.cut(peers_address(n));
-        self.stage.feeds.cut(peers_address(n));
+        self.cluster.net.remove(peer_address(n));
+        self.cluster.feeds.disconnect(peer_address(n));
         self.relays.remove(&n);
         self.seen.remove(&n);
     }
@@ -88,20 +88,20 @@
 
     fn publish(&mut self) {
         self.latest += 1;
-        self.stage.store.put_book(version(self.latest));
+        self.cluster.store.put_book(version(self.latest));
     }
 
     async fn fault(&mut self) {
         match self.rng.random_range(0..6) {
             0 => {
-                self.stage.store.answers(Answers::Never);
+                self.cluster.store.set_answers(Availability::Unresponsive);
                 sleep(self.random_span(5.0)).await;
-                self.stage.store.answers(Answers::Yes);
+                self.cluster.store.set_answers(Availability::Up);
             }
             1 => {
                 let excluded = (1..=ENTRIES).filter(|_| self.rng.random_bool(0.4));
                 let excluded: BTreeSet<u16> = excluded.collect();
-                self.stage.store.bar(excluded.clone());
+                self.cluster.store.reject(excluded.clone());
                 if self.rng.random_bool(0.5) {
                     self.check_propagation(&excluded).await;
                 }
@@ -139,7 +139,7 @@
 
     /// Ends all faults and checks that changes are in force everywhere again.
     async fn check_recovery(&mut self) {
-        self.stage.store.bar(BTreeSet::new());
+        self.cluster.store.reject(BTreeSet::new());
         self.check_propagation(&BTreeSet::new()).await;
     }
 
@@ -164,9 +164,9 @@
     /// entries.
     async fn check_calls(&mut self) {
         const SPAN: u16 = 10;
-        let before = self.stage.store.calls();
+        let before = self.cluster.store.calls();
         sleep(Duration::from_secs(u64::from(SPAN))).await;
-        let calls = self.stage.store.calls() - before;
+        let calls = self.cluster.store.calls() - before;
         // A poll a second at three quarters of one at least, two watches, a listing of
         // the adverts; and an entry that takes over.
         let limit = DOMAINS * (SPAN * 4 / 3 + 4) + 4;
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -10,30 +10,35 @@
 use futures::future::join_all;
 use rstest::rstest;
 use tokio::time::{Instant, sleep, timeout};
-use world::{Manner, Stage, ask, book, entry, gather, missing, name, record, rule};
+use world::{
+    Behaviour, Cluster, book, gather, leaf_entry, missing, record, request, rule, service_name,
+};
 
 /// A book with one rule, for the `archive` service.
 fn archive_book(kind: Kind) -> chestnut_book::RouteBook {
-    book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
+    book(
+        1,
+        vec![rule("/a/", kind, Target::One(service_name("archive")))],
+    )
 }
 
 /// Guards against a merged answer that lacks a shard or has records out of order.
 #[tokio::test(start_paused = true)]
 async fn a_gather_merges_every_shard() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     for shard in ["s1", "s2", "s3"] {
-        stage.add_leafs(shard, 3, 10);
+        cluster.add_leafs(shard, 3, 10);
     }
     let target = gather(&["s1", "s2", "s3"], 900);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
+    let relay = cluster.serving(1).await;
     let Reply::Merged {
         signatures,
         missing,
         body,
-    } = relay.forward(ask("r", "/q/x")).await
+    } = relay.forward(request("r", "/q/x")).await
     else {
         panic!("no merge");
     };
@@ -46,21 +51,21 @@
 /// never answers, although the others reach the minimum coverage.
 #[tokio::test(start_paused = true)]
 async fn a_silent_shard_is_left_out_near_the_latency_objective() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in shards {
-        stage.add_leafs(shard, 2, 10);
+        cluster.add_leafs(shard, 2, 10);
     }
-    for leaf in stage.add_leafs("s4", 2, 0) {
-        stage.leafs.set(&leaf, Manner::Silent);
+    for leaf in cluster.add_leafs("s4", 2, 0) {
+        cluster.leafs.set_behaviour(&leaf, Behaviour::Unresponsive);
     }
     let target = gather(&shards, 750);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
+    let relay = cluster.serving(1).await;
     let start = Instant::now();
-    let reply = relay.forward(ask("r", "/q/x")).await;
+    let reply = relay.forward(request("r", "/q/x")).await;
     assert_eq!(missing(&reply), Some(1));
     let span = start.elapsed();
     assert!(
@@ -73,14 +78,14 @@
 /// refused the call as full.
 #[tokio::test(start_paused = true)]
 async fn requests_refused_by_full_leafs_are_reported_as_not_run() {
-    let stage = Stage::default();
-    for leaf in stage.add_leafs("archive", 3, 10) {
-        stage.leafs.set(&leaf, Manner::Full);
+    let cluster = Cluster::default();
+    for leaf in cluster.add_leafs("archive", 3, 10) {
+        cluster.leafs.set_behaviour(&leaf, Behaviour::Sheds);
     }
-    stage.store.put_book(archive_book(Kind::Once));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(archive_book(Kind::Once));
+    let relay = cluster.serving(1).await;
     let start = Instant::now();
-    let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
+    let Reply::Declined(declined) = relay.forward(request("r", "/a/x")).await else {
         panic!("not declined");
     };
     assert_eq!(declined.run, Run::NotRun);
@@ -91,19 +96,19 @@
 /// Guards against a request that runs twice although it must run at most once:
 /// only proof that a call did not run allows a retry.
 #[rstest]
-#[case::lost(Manner::Loses)]
-#[case::silent(Manner::Silent)]
-#[case::failed(Manner::Fails)]
+#[case::lost(Behaviour::DropsConnection)]
+#[case::unresponsive(Behaviour::Unresponsive)]
+#[case::failed(Behaviour::ServerError)]
 #[tokio::test(start_paused = true)]
-async fn once_requests_that_may_have_run_are_not_retried(#[case] manner: Manner) {
-    let stage = Stage::default();
-    for leaf in stage.add_leafs("archive", 3, 10) {
-        stage.leafs.set(&leaf, manner.clone());
+async fn once_requests_that_may_have_run_are_not_retried(#[case] behaviour: Behaviour) {
+    let cluster = Cluster::default();
+    for leaf in cluster.add_leafs("archive", 3, 10) {
+        cluster.leafs.set_behaviour(&leaf, behaviour.clone());
     }
-    stage.store.put_book(archive_book(Kind::Once));
-    let relay = stage.serving(1).await;
-    let reply = relay.forward(ask("r", "/a/x")).await;
-    assert_eq!(stage.leafs.got().len(), 1);
+    cluster.store.put_book(archive_book(Kind::Once));
+    let relay = cluster.serving(1).await;
+    let reply = relay.forward(request("r", "/a/x")).await;
+    assert_eq!(cluster.leafs.received_calls().len(), 1);
     match reply {
         Reply::Declined(declined) => assert_eq!(declined.run, Run::Unknown),
         Reply::Whole(reply) => assert_eq!(reply.answer.status(), 500),
@@ -115,17 +120,17 @@
 /// proves that it did not run, so even an at-most-once request may be retried.
 #[tokio::test(start_paused = true)]
 async fn a_refused_call_is_retried_on_another_leaf() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 3, 10);
-    stage.leafs.set(&leafs[0], Manner::Full);
-    stage.leafs.set(&leafs[1], Manner::Full);
-    stage.store.put_book(archive_book(Kind::Once));
-    let relay = stage.serving(1).await;
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 3, 10);
+    cluster.leafs.set_behaviour(&leafs[0], Behaviour::Sheds);
+    cluster.leafs.set_behaviour(&leafs[1], Behaviour::Sheds);
+    cluster.store.put_book(archive_book(Kind::Once));
+    let relay = cluster.serving(1).await;
     // Retries after refusals count against the budget, which first calls refill.
     let mut answered = 0;
     for _ in 0..60 {
         answered += usize::from(matches!(
-            relay.forward(ask("r", "/a/x")).await,
+            relay.forward(request("r", "/a/x")).await,
             Reply::Whole(_)
         ));
     }
@@ -136,20 +141,26 @@
 /// than the attempts that the rule allows.
 #[tokio::test(start_paused = true)]
 async fn hedges_for_a_silent_leaf_stay_within_the_attempts() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 3, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 3, 10);
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
     for _ in 0..60 {
-        relay.forward(ask("warm", "/a/x")).await;
+        relay.forward(request("warm", "/a/x")).await;
     }
-    stage.leafs.set(&leafs[0], Manner::Silent);
+    cluster
+        .leafs
+        .set_behaviour(&leafs[0], Behaviour::Unresponsive);
     for n in 0..40 {
         let id = format!("r{n}");
-        let reply = timeout(Duration::from_millis(500), relay.forward(ask(&id, "/a/x"))).await;
+        let reply = timeout(
+            Duration::from_millis(500),
+            relay.forward(request(&id, "/a/x")),
+        )
+        .await;
         assert!(matches!(reply, Ok(Reply::Whole(_))), "{id}");
-        let got = stage.leafs.got();
-        let calls = got.iter().filter(|got| got.request == id).count();
+        let received = cluster.leafs.received_calls();
+        let calls = received.iter().filter(|call| call.request == id).count();
         assert!(calls <= 2, "{id}: {calls} leafs");
     }
 }
@@ -157,15 +168,19 @@
 /// Guards against calls that go on after their caller has disconnected.
 #[tokio::test(start_paused = true)]
 async fn calls_are_cancelled_when_the_caller_disconnects() {
-    let stage = Stage::default();
-    for leaf in stage.add_leafs("archive", 1, 10) {
-        stage.leafs.set(&leaf, Manner::Silent);
+    let cluster = Cluster::default();
+    for leaf in cluster.add_leafs("archive", 1, 10) {
+        cluster.leafs.set_behaviour(&leaf, Behaviour::Unresponsive);
     }
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
-    let reply = timeout(Duration::from_millis(30), relay.forward(ask("r", "/a/x"))).await;
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
+    let reply = timeout(
+        Duration::from_millis(30),
+        relay.forward(request("r", "/a/x")),
+    )
+    .await;
     assert!(reply.is_err());
-    assert_eq!(stage.leafs.cancelled(), 1);
+    assert_eq!(cluster.leafs.cancelled(), 1);
     assert_eq!(relay.in_flight(), 0);
 }
 
@@ -173,16 +188,20 @@
 /// calls with a deadline later than that of the request.
 #[tokio::test(start_paused = true)]
 async fn requests_end_at_the_timeout_of_the_rule() {
-    let stage = Stage::default();
-    for leaf in stage.add_leafs("archive", 1, 10) {
-        stage.leafs.set(&leaf, Manner::Silent);
+    let cluster = Cluster::default();
+    for leaf in cluster.add_leafs("archive", 1, 10) {
+        cluster.leafs.set_behaviour(&leaf, Behaviour::Unresponsive);
     }
-    let mut rule = rule("/a/", Kind::Idempotent, Target::One(name("archive")));
+    let mut rule = rule(
+        "/a/",
+        Kind::Idempotent,
+        Target::One(service_name("archive")),
+    );
     rule.timeout = Duration::from_millis(700);
-    stage.store.put_book(book(1, vec![rule]));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(book(1, vec![rule]));
+    let relay = cluster.serving(1).await;
     let start = Instant::now();
-    let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
+    let Reply::Declined(declined) = relay.forward(request("r", "/a/x")).await else {
         panic!("answered");
     };
     assert_eq!(
@@ -190,24 +209,26 @@
         (DeclineReason::Timeout, Run::Unknown)
     );
     assert!(start.elapsed() <= Duration::from_millis(701));
-    assert!(stage.leafs.got()[0].left <= Duration::from_millis(700));
+    assert!(cluster.leafs.received_calls()[0].left <= Duration::from_millis(700));
 }
 
 /// Guards against a retry storm: extra calls stay within a share of the first
 /// calls plus this entry's quota of the slack.
 #[tokio::test(start_paused = true)]
 async fn extra_calls_stay_within_the_budget() {
-    let stage = Stage::default();
-    for leaf in stage.add_leafs("archive", 3, 10) {
-        stage.leafs.set(&leaf, Manner::Loses);
+    let cluster = Cluster::default();
+    for leaf in cluster.add_leafs("archive", 3, 10) {
+        cluster
+            .leafs
+            .set_behaviour(&leaf, Behaviour::DropsConnection);
     }
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
     let requests = 500;
     for n in 0..requests {
-        relay.forward(ask(&format!("r{n}"), "/a/x")).await;
+        relay.forward(request(&format!("r{n}"), "/a/x")).await;
     }
-    let extra = stage.leafs.got().len() - requests;
+    let extra = cluster.leafs.received_calls().len() - requests;
     assert!(extra <= requests / 5 + 52, "{extra}");
     assert!(
         extra >= requests / 10,
@@ -219,22 +240,22 @@
 /// weights.
 #[tokio::test(start_paused = true)]
 async fn a_split_keeps_its_weights() {
-    let stage = Stage::default();
-    stage.add_leafs("old", 2, 5);
-    stage.add_leafs("new", 2, 5);
-    let target = Target::Split(vec![(name("old"), 70), (name("new"), 30)]);
-    stage
+    let cluster = Cluster::default();
+    cluster.add_leafs("old", 2, 5);
+    cluster.add_leafs("new", 2, 5);
+    let target = Target::Split(vec![(service_name("old"), 70), (service_name("new"), 30)]);
+    cluster
         .store
         .put_book(book(1, vec![rule("/a/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
+    let relay = cluster.serving(1).await;
     for n in 0..300 {
-        relay.forward(ask(&format!("r{n}"), "/a/x")).await;
+        relay.forward(request(&format!("r{n}"), "/a/x")).await;
     }
-    let new = stage
+    let new = cluster
         .leafs
-        .got()
+        .received_calls()
         .iter()
-        .filter(|got| got.leaf.as_str().starts_with("new"))
+        .filter(|call| call.leaf.as_str().starts_with("new"))
         .count();
     assert!((87..=93).contains(&new), "{new}");
 }
@@ -243,25 +264,25 @@
 /// one that reports it as not ready.
 #[tokio::test(start_paused = true)]
 async fn an_unknown_path_is_distinguished_from_a_starting_entry() {
-    let stage = Stage::default();
-    let starting = stage.spawn(2).await;
-    let Reply::Declined(declined) = starting.forward(ask("r", "/a/x")).await else {
+    let cluster = Cluster::default();
+    let starting = cluster.spawn(2).await;
+    let Reply::Declined(declined) = starting.forward(request("r", "/a/x")).await else {
         panic!("answered");
     };
     assert_eq!(
         (declined.reason, declined.run),
         (DeclineReason::NotReady, Run::NotRun)
     );
-    stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
-    let Reply::Declined(declined) = relay.forward(ask("r", "/b/x")).await else {
+    cluster.add_leafs("archive", 1, 10);
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
+    let Reply::Declined(declined) = relay.forward(request("r", "/b/x")).await else {
         panic!("answered");
     };
     assert_eq!(declined.reason, DeclineReason::NoRule);
     sleep(Duration::from_millis(1)).await;
     assert!(
-        matches!(relay.forward(ask("r", "/a/x")).await, Reply::Whole(r) if r.answer.body() == &record("archive"))
+        matches!(relay.forward(request("r", "/a/x")).await, Reply::Whole(r) if r.answer.body() == &record("archive"))
     );
 }
 
@@ -269,85 +290,96 @@
 /// load balancing must weigh its failure rate as well as its latency.
 #[tokio::test(start_paused = true)]
 async fn a_leaf_that_refuses_gets_few_calls() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 3, 20);
-    stage.leafs.set(&leafs[0], Manner::Full);
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 3, 20);
+    cluster.leafs.set_behaviour(&leafs[0], Behaviour::Sheds);
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
     let ids: Vec<String> = (0..300).map(|n| format!("r{n}")).collect();
     for group in ids.chunks(3) {
-        join_all(group.iter().map(|id| relay.forward(ask(id, "/a/x")))).await;
+        join_all(group.iter().map(|id| relay.forward(request(id, "/a/x")))).await;
     }
-    let got = stage.leafs.got();
-    let refused = got.iter().filter(|got| got.leaf == leafs[0]).count();
-    assert!(refused <= 60, "{refused} of {} calls", got.len());
+    let received = cluster.leafs.received_calls();
+    let refused = received.iter().filter(|call| call.leaf == leafs[0]).count();
+    assert!(refused <= 60, "{refused} of {} calls", received.len());
 }
 
 /// Guards against queries that keep waiting for a shard whose leafs are all
 /// unresponsive, and against a shard that stays excluded once its leafs answer.
 #[tokio::test(start_paused = true)]
 async fn an_unresponsive_shard_delays_no_query() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in shards {
-        stage.add_leafs(shard, 2, 10);
+        cluster.add_leafs(shard, 2, 10);
     }
     let target = gather(&shards, 750);
     let book = book(1, vec![rule("/q/", Kind::Idempotent, target)]);
-    stage.store.put_book(book);
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(book);
+    let relay = cluster.serving(1).await;
     for n in 0..40 {
-        relay.forward(ask(&format!("warm{n}"), "/q/x")).await;
+        relay.forward(request(&format!("warm{n}"), "/q/x")).await;
     }
-    let unresponsive = stage.add_leafs("s4", 2, 10);
+    let unresponsive = cluster.add_leafs("s4", 2, 10);
     for leaf in &unresponsive {
-        stage.leafs.set(leaf, Manner::Silent);
+        cluster.leafs.set_behaviour(leaf, Behaviour::Unresponsive);
     }
     for n in 0..10 {
-        relay.forward(ask(&format!("dark{n}"), "/q/x")).await;
+        relay.forward(request(&format!("dark{n}"), "/q/x")).await;
     }
     let start = Instant::now();
-    let reply = relay.forward(ask("r", "/q/x")).await;
+    let reply = relay.forward(request("r", "/q/x")).await;
     assert_eq!(missing(&reply), Some(1));
     assert!(
         start.elapsed() <= Duration::from_millis(20),
         "{:?}",
         start.elapsed()
     );
-    let answers = Manner::Answers(Duration::from_millis(5), record("s4"));
-    stage.leafs.set(&unresponsive[0], answers.clone());
-    stage.leafs.set(&unresponsive[1], answers);
+    let answers = Behaviour::Answers(Duration::from_millis(5), record("s4"));
+    cluster
+        .leafs
+        .set_behaviour(&unresponsive[0], answers.clone());
+    cluster.leafs.set_behaviour(&unresponsive[1], answers);
     for n in 0..10 {
-        relay.forward(ask(&format!("back{n}"), "/q/x")).await;
+        relay.forward(request(&format!("back{n}"), "/q/x")).await;
     }
-    assert_eq!(missing(&relay.forward(ask("whole", "/q/x")).await), Some(0));
+    assert_eq!(
+        missing(&relay.forward(request("whole", "/q/x")).await),
+        Some(0)
+    );
 }
 
 /// Guards against a hedge on a slow route that is sent too late for its answer
 /// to meet the latency objective.
 #[tokio::test(start_paused = true)]
 async fn hedges_of_slow_calls_meet_the_latency_objective() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 2, 220);
-    let mut slow = rule("/a/", Kind::Idempotent, Target::One(name("archive")));
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 2, 220);
+    let mut slow = rule(
+        "/a/",
+        Kind::Idempotent,
+        Target::One(service_name("archive")),
+    );
     slow.goal = Duration::from_millis(600);
     slow.timeout = Duration::from_secs(8);
-    stage.store.put_book(book(1, vec![slow]));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(book(1, vec![slow]));
+    let relay = cluster.serving(1).await;
     for n in 0..60 {
         // One call in ten is slow, which raises the hedge delay.
         let span = Duration::from_millis(if n % 10 == 0 { 600 } else { 220 });
         for leaf in &leafs {
-            stage
+            cluster
                 .leafs
-                .set(leaf, Manner::Answers(span, record("archive")));
+                .set_behaviour(leaf, Behaviour::Answers(span, record("archive")));
         }
-        relay.forward(ask(&format!("warm{n}"), "/a/x")).await;
+        relay.forward(request(&format!("warm{n}"), "/a/x")).await;
     }
-    stage.leafs.set(&leafs[0], Manner::Silent);
+    cluster
+        .leafs
+        .set_behaviour(&leafs[0], Behaviour::Unresponsive);
     for n in 0..10 {
         let start = Instant::now();
-        relay.forward(ask(&format!("r{n}"), "/a/x")).await;
+        relay.forward(request(&format!("r{n}"), "/a/x")).await;
         assert!(
             start.elapsed() <= Duration::from_millis(600),
             "{:?}",
@@ -360,44 +392,50 @@
 /// too many shards have no leaf: their work would be wasted.
 #[tokio::test(start_paused = true)]
 async fn queries_that_cannot_reach_minimum_coverage_are_not_started() {
-    let stage = Stage::default();
-    stage.add_leafs("s1", 2, 10);
+    let cluster = Cluster::default();
+    cluster.add_leafs("s1", 2, 10);
     let target = gather(&["s1", "s2", "s3"], 900);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
-    let Reply::Declined(declined) = relay.forward(ask("r", "/q/x")).await else {
+    let relay = cluster.serving(1).await;
+    let Reply::Declined(declined) = relay.forward(request("r", "/q/x")).await else {
         panic!("answered");
     };
     assert_eq!(declined.run, Run::NotRun);
     assert!(declined.retry_after.is_some());
-    assert_eq!(stage.leafs.got().len(), 0);
+    assert_eq!(cluster.leafs.received_calls().len(), 0);
 }
 
 /// Guards against refusals while all leafs of a service are draining and can
 /// still serve, and against calls to leafs that have left.
 #[tokio::test(start_paused = true)]
 async fn draining_leafs_serve_when_no_other_leaf_can() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let relay = stage.serving(1).await;
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 2, 10);
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let relay = cluster.serving(1).await;
     for leaf in &leafs {
-        stage
+        cluster
             .store
-            .put_leaf(leaf, entry("archive", LeafState::Draining));
+            .put_leaf(leaf, leaf_entry("archive", LeafState::Draining));
     }
     sleep(Duration::from_millis(600)).await;
     assert!(matches!(
-        relay.forward(ask("r", "/a/x")).await,
+        relay.forward(request("r", "/a/x")).await,
         Reply::Whole(_)
     ));
     sleep(Duration::from_millis(2000)).await;
     let late = Instant::now();
     assert!(matches!(
-        relay.forward(ask("r", "/a/x")).await,
+        relay.forward(request("r", "/a/x")).await,
         Reply::Declined(_)
     ));
-    assert!(stage.leafs.got().iter().all(|got| got.at < late));
+    assert!(
+        cluster
+            .leafs
+            .received_calls()
+            .iter()
+            .all(|call| call.at < late)
+    );
 }
--- a/crates/relay/tests/large_book.rs
+++ b/crates/relay/tests/large_book.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use tokio::time::sleep;
-use world::{Answers, Stage, ask, book, name, peers_address, rule};
+use world::{Availability, Cluster, book, peer_address, request, rule, service_name};
 
 const ENTRIES: u16 = 24;
 const DOMAINS: u16 = 3;
@@ -24,7 +24,11 @@
 const IN_FORCE: Duration = Duration::from_secs(2);
 
 fn one_rule(prefix: &str) -> Rule {
-    rule(prefix, Kind::Idempotent, Target::One(name("archive")))
+    rule(
+        prefix,
+        Kind::Idempotent,
+        Target::One(service_name("archive")),
+    )
 }
 
 /// A version with many rules, and one that is found by the version's number.
@@ -38,7 +42,7 @@
 
 async fn serves_version(relay: &Relay, number: u64) -> bool {
     let path: &'static str = format!("/v{number}/x").leak();
-    matches!(relay.forward(ask("r", path)).await, Reply::Whole(_))
+    matches!(relay.forward(request("r", path)).await, Reply::Whole(_))
 }
 
 async fn entries_with(relays: &[Relay], number: u64) -> usize {
@@ -49,35 +53,35 @@
     count
 }
 
-async fn start() -> (Stage, Vec<Relay>) {
-    let stage = Stage {
+async fn start() -> (Cluster, Vec<Relay>) {
+    let cluster = Cluster {
         domains: DOMAINS,
         seeds: (1..=DOMAINS).collect(),
-        ..Stage::default()
+        ..Cluster::default()
     };
     for n in 1..=ENTRIES {
         let rate = if n <= DOMAINS { FAST_LINK } else { SLOW_LINK };
-        stage.feeds.1.limit(peers_address(n), rate);
+        cluster.feeds.1.set_bandwidth(peer_address(n), rate);
     }
-    stage.add_leafs("archive", 2, 5);
-    stage.store.put_book(book(1, vec![one_rule("/v1/")]));
+    cluster.add_leafs("archive", 2, 5);
+    cluster.store.put_book(book(1, vec![one_rule("/v1/")]));
     let mut relays = Vec::new();
     for n in 1..=ENTRIES {
-        relays.push(stage.serving(n).await);
+        relays.push(cluster.serving(n).await);
     }
     sleep(Duration::from_secs(8)).await;
-    (stage, relays)
+    (cluster, relays)
 }
 
 /// Reads of a large book are cancelled and started over on another peer, so that links
 /// fill with copies that nobody applies and a confirmed route is refused for seconds.
 #[tokio::test(start_paused = true)]
 async fn a_large_book_is_in_force_everywhere_within_two_seconds() {
-    let (stage, relays) = start().await;
-    stage.store.put_book(large_book(2));
+    let (cluster, relays) = start().await;
+    cluster.store.put_book(large_book(2));
     sleep(IN_FORCE).await;
     assert_eq!(entries_with(&relays, 2).await, relays.len());
-    stage.store.put_book(large_book(3));
+    cluster.store.put_book(large_book(3));
     sleep(IN_FORCE).await;
     assert_eq!(entries_with(&relays, 3).await, relays.len());
 }
@@ -100,20 +104,20 @@
 async fn a_version_that_one_entry_has_reaches_all_without_the_store(
     #[values(Outage::Silent, Outage::Rejects, Outage::Partitioned)] outage: Outage,
 ) {
-    let (stage, mut relays) = start().await;
+    let (cluster, mut relays) = start().await;
     let others = (2..=ENTRIES + 1).collect();
     match outage {
         Outage::Silent => {}
-        Outage::Rejects => stage.store.bar(others),
-        Outage::Partitioned => stage.store.part(others),
+        Outage::Rejects => cluster.store.reject(others),
+        Outage::Partitioned => cluster.store.isolate(others),
     }
-    stage.store.put_book(large_book(2));
+    cluster.store.put_book(large_book(2));
     sleep(Duration::from_millis(100)).await;
     if matches!(outage, Outage::Silent) {
-        stage.store.answers(Answers::Never);
+        cluster.store.set_answers(Availability::Unresponsive);
     }
     sleep(Duration::from_millis(400)).await;
-    relays.push(stage.spawn(ENTRIES + 1).await);
+    relays.push(cluster.spawn(ENTRIES + 1).await);
     sleep(IN_FORCE).await;
     assert_eq!(entries_with(&relays, 2).await, relays.len());
 }
@@ -121,14 +125,14 @@
 /// A change of one rule sends the whole book to every entry.
 #[tokio::test(start_paused = true)]
 async fn a_small_change_of_a_large_book_sends_few_bytes() {
-    let (stage, relays) = start().await;
-    stage.store.put_book(large_book(2));
+    let (cluster, relays) = start().await;
+    cluster.store.put_book(large_book(2));
     sleep(IN_FORCE).await;
-    let carried = stage.feeds.1.carried();
-    stage.store.put_book(large_book(3));
+    let bytes_sent = cluster.feeds.1.bytes_sent();
+    cluster.store.put_book(large_book(3));
     sleep(Duration::from_millis(500)).await;
     assert_eq!(entries_with(&relays, 3).await, relays.len());
-    let each = (stage.feeds.1.carried() - carried) / relays.len();
+    let each = (cluster.feeds.1.bytes_sent() - bytes_sent) / relays.len();
     assert!(each < 2_000, "{each} bytes an entry");
 }
 
@@ -142,18 +146,18 @@
 async fn a_version_that_came_as_all_watchers_were_turned_away_is_in_force_in_time(
     #[values(7, 11, 16, 20, 24)] served: u16,
 ) {
-    let (stage, relays) = start().await;
+    let (cluster, relays) = start().await;
     for number in 2..6 {
-        stage
+        cluster
             .store
-            .bar((1..=ENTRIES).filter(|n| *n != served).collect());
-        stage
+            .reject((1..=ENTRIES).filter(|n| *n != served).collect());
+        cluster
             .store
             .put_book(book(number, vec![one_rule(&format!("/v{number}/"))]));
         sleep(IN_FORCE_DEGRADED).await;
         let with = entries_with(&relays, number).await;
         assert_eq!(with, relays.len(), "version {number}");
-        stage.store.bar(Default::default());
+        cluster.store.reject(Default::default());
         // A different phase each time, so that it falls elsewhere between polls.
         sleep(Duration::from_millis(20_000 + 130 * number)).await;
     }
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/leaf_restart.rs
@@ -9,69 +9,79 @@
 use chestnut_unit::{Incarnation, LeafId};
 use futures::future::join_all;
 use tokio::time::sleep;
-use world::{Manner, Stage, ask, book, entry, name, record, rule};
+use world::{Behaviour, Cluster, book, leaf_entry, record, request, rule, service_name};
 
 /// A book with one rule, for the `archive` service.
 fn archive_book(kind: Kind) -> RouteBook {
-    book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
+    book(
+        1,
+        vec![rule("/a/", kind, Target::One(service_name("archive")))],
+    )
 }
 
 /// The entry of an `archive` leaf in the given incarnation.
 fn incarnation_entry(incarnation: u64, state: LeafState) -> LeafRegistration {
     LeafRegistration {
         incarnation: Some(Incarnation(incarnation)),
-        ..entry("archive", state)
+        ..leaf_entry("archive", state)
     }
 }
 
-/// A stage with leafs in their first incarnation.
-async fn stage(leafs: usize, kind: Kind) -> (Stage, Vec<LeafId>, Relay) {
-    let stage = Stage::default();
-    let ids = stage.add_leafs("archive", leafs, 10);
+/// A cluster with leafs in their first incarnation.
+async fn cluster(leafs: usize, kind: Kind) -> (Cluster, Vec<LeafId>, Relay) {
+    let cluster = Cluster::default();
+    let ids = cluster.add_leafs("archive", leafs, 10);
     for id in &ids {
-        stage
+        cluster
             .store
             .put_leaf(id, incarnation_entry(1, LeafState::Ready));
     }
-    stage.store.put_book(archive_book(kind));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(archive_book(kind));
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    (stage, ids, relay)
+    (cluster, ids, relay)
 }
 
 /// Sends `count` requests at once, enough that every eligible leaf is called, and
 /// counts the calls to `leaf`.
-async fn calls_to(stage: &Stage, relay: &Relay, leaf: &LeafId, count: usize) -> usize {
-    let before = stage.leafs.got().len();
-    let asks: Vec<_> = (0..count).map(|n| ask(&format!("n{n}"), "/a/x")).collect();
-    join_all(asks.into_iter().map(|ask| relay.forward(ask))).await;
-    let got = stage.leafs.got();
-    got[before..].iter().filter(|got| got.leaf == *leaf).count()
+async fn calls_to(cluster: &Cluster, relay: &Relay, leaf: &LeafId, count: usize) -> usize {
+    let before = cluster.leafs.received_calls().len();
+    let requests: Vec<_> = (0..count)
+        .map(|n| request(&format!("n{n}"), "/a/x"))
+        .collect();
+    join_all(requests.into_iter().map(|request| relay.forward(request))).await;
+    let received = cluster.leafs.received_calls();
+    received[before..]
+        .iter()
+        .filter(|call| call.leaf == *leaf)
+        .count()
 }
 
 /// A leaf that answers every call.
-fn healthy() -> Manner {
-    Manner::Answers(Duration::from_millis(10), record("archive"))
+fn healthy() -> Behaviour {
+    Behaviour::Answers(Duration::from_millis(10), record("archive"))
 }
 
 /// Guards against a restarted leaf that gets no calls because its previous
 /// incarnation was evicted.
 #[tokio::test(start_paused = true)]
 async fn an_evicted_leaf_is_called_again_after_a_restart() {
-    let (stage, leafs, relay) = stage(3, Kind::Idempotent).await;
-    stage.leafs.set(&leafs[0], Manner::Loses);
+    let (cluster, leafs, relay) = cluster(3, Kind::Idempotent).await;
+    cluster
+        .leafs
+        .set_behaviour(&leafs[0], Behaviour::DropsConnection);
     for _ in 0..8 {
-        calls_to(&stage, &relay, &leafs[0], 40).await;
+        calls_to(&cluster, &relay, &leafs[0], 40).await;
         sleep(Duration::from_millis(700)).await;
     }
-    calls_to(&stage, &relay, &leafs[0], 40).await;
-    assert_eq!(calls_to(&stage, &relay, &leafs[0], 40).await, 0);
-    stage.leafs.set(&leafs[0], healthy());
-    stage
+    calls_to(&cluster, &relay, &leafs[0], 40).await;
+    assert_eq!(calls_to(&cluster, &relay, &leafs[0], 40).await, 0);
+    cluster.leafs.set_behaviour(&leafs[0], healthy());
+    cluster
         .store
         .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     sleep(Duration::from_millis(500)).await;
-    let calls = calls_to(&stage, &relay, &leafs[0], 30).await;
+    let calls = calls_to(&cluster, &relay, &leafs[0], 30).await;
     assert!(calls > 0, "no call in 30 requests");
 }
 
@@ -79,21 +89,21 @@
 /// incarnation was draining.
 #[tokio::test(start_paused = true)]
 async fn a_draining_leaf_takes_requests_after_a_restart() {
-    let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
-    stage
+    let (cluster, leafs, relay) = cluster(1, Kind::Idempotent).await;
+    cluster
         .store
         .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Draining));
     sleep(Duration::from_secs(3)).await;
     assert!(matches!(
-        relay.forward(ask("r", "/a/x")).await,
+        relay.forward(request("r", "/a/x")).await,
         Reply::Declined(_)
     ));
-    stage
+    cluster
         .store
         .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     sleep(Duration::from_secs(1)).await;
     assert!(matches!(
-        relay.forward(ask("s", "/a/x")).await,
+        relay.forward(request("s", "/a/x")).await,
         Reply::Whole(_)
     ));
 }
@@ -102,21 +112,25 @@
 /// previous incarnation.
 #[tokio::test(start_paused = true)]
 async fn an_earlier_incarnation_is_not_called_again() {
-    let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
+    let (cluster, leafs, relay) = cluster(1, Kind::Idempotent).await;
     let new_address = "10.1.0.2:1".parse().unwrap();
     let restarted = LeafRegistration {
         address: new_address,
         ..incarnation_entry(2, LeafState::Ready)
     };
-    stage.store.put_leaf(&leafs[0], restarted);
+    cluster.store.put_leaf(&leafs[0], restarted);
     sleep(Duration::from_secs(1)).await;
-    stage
+    cluster
         .store
         .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Ready));
     sleep(Duration::from_secs(1)).await;
-    relay.forward(ask("r", "/a/x")).await;
+    relay.forward(request("r", "/a/x")).await;
     assert_eq!(
-        stage.leafs.got().last().map(|got| got.address),
+        cluster
+            .leafs
+            .received_calls()
+            .last()
+            .map(|call| call.address),
         Some(new_address)
     );
 }
@@ -125,24 +139,25 @@
 /// restarted, under the same id, during the call.
 #[tokio::test(start_paused = true)]
 async fn a_once_request_is_not_retried_on_a_restarted_leaf() {
-    let (stage, leafs, relay) = stage(1, Kind::Once).await;
-    stage
-        .leafs
-        .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
+    let (cluster, leafs, relay) = cluster(1, Kind::Once).await;
+    cluster.leafs.set_behaviour(
+        &leafs[0],
+        Behaviour::DropsConnectionAfter(Duration::from_millis(900)),
+    );
     let restart = async {
         sleep(Duration::from_millis(100)).await;
-        stage.leafs.set(&leafs[0], healthy());
-        stage
+        cluster.leafs.set_behaviour(&leafs[0], healthy());
+        cluster
             .store
             .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     };
-    let (reply, ()) = tokio::join!(relay.forward(ask("once", "/a/x")), restart);
+    let (reply, ()) = tokio::join!(relay.forward(request("once", "/a/x")), restart);
     assert!(matches!(reply, Reply::Declined(_)), "{reply:?}");
-    let runs = stage
+    let runs = cluster
         .leafs
-        .got()
+        .received_calls()
         .iter()
-        .filter(|got| got.request == "once")
+        .filter(|call| call.request == "once")
         .count();
     assert_eq!(runs, 1);
 }
@@ -151,23 +166,24 @@
 /// previous incarnation, still in flight at the restart, were lost.
 #[tokio::test(start_paused = true)]
 async fn lost_calls_to_an_earlier_incarnation_do_not_affect_the_new_one() {
-    let (stage, leafs, relay) = stage(2, Kind::Idempotent).await;
-    stage
-        .leafs
-        .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
+    let (cluster, leafs, relay) = cluster(2, Kind::Idempotent).await;
+    cluster.leafs.set_behaviour(
+        &leafs[0],
+        Behaviour::DropsConnectionAfter(Duration::from_millis(900)),
+    );
     let in_flight = (0..40).map(|n| {
         let relay = relay.clone();
-        async move { relay.forward(ask(&format!("r{n}"), "/a/x")).await }
+        async move { relay.forward(request(&format!("r{n}"), "/a/x")).await }
     });
     let restart = async {
         sleep(Duration::from_millis(100)).await;
-        stage.leafs.set(&leafs[0], healthy());
-        stage
+        cluster.leafs.set_behaviour(&leafs[0], healthy());
+        cluster
             .store
             .put_leaf(&leafs[0], incarnation_entry(2, LeafState::Ready));
     };
     tokio::join!(join_all(in_flight), restart);
-    let calls = calls_to(&stage, &relay, &leafs[0], 40).await;
+    let calls = calls_to(&cluster, &relay, &leafs[0], 40).await;
     assert!(calls > 0, "no call in 40 requests");
 }
 
@@ -175,23 +191,23 @@
 /// one, also at entries that receive the change from a peer.
 #[tokio::test(start_paused = true)]
 async fn a_leaf_with_an_unreadable_entry_is_not_called() {
-    let stage = Stage::default();
-    let leafs = stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
-    let entries = [stage.serving(1).await, stage.serving(2).await];
+    let cluster = Cluster::default();
+    let leafs = cluster.add_leafs("archive", 1, 10);
+    cluster.store.put_book(archive_book(Kind::Idempotent));
+    let entries = [cluster.serving(1).await, cluster.serving(2).await];
     sleep(Duration::from_secs(8)).await;
-    stage.store.spoil_leaf(&leafs[0]);
+    cluster.store.corrupt_leaf(&leafs[0]);
     sleep(Duration::from_millis(800)).await;
     for relay in &entries {
-        let reply = relay.forward(ask("r", "/a/x")).await;
+        let reply = relay.forward(request("r", "/a/x")).await;
         assert!(matches!(reply, Reply::Declined(_)), "{reply:?}");
     }
-    stage
+    cluster
         .store
-        .put_leaf(&leafs[0], entry("archive", LeafState::Ready));
+        .put_leaf(&leafs[0], leaf_entry("archive", LeafState::Ready));
     sleep(Duration::from_millis(800)).await;
     for relay in &entries {
-        let reply = relay.forward(ask("s", "/a/x")).await;
+        let reply = relay.forward(request("s", "/a/x")).await;
         assert!(matches!(reply, Reply::Whole(_)), "{reply:?}");
     }
 }
--- a/crates/relay/tests/leafs.rs
+++ b/crates/relay/tests/leafs.rs
@@ -200,7 +200,7 @@
     leafs.changed(id("a"), entry_of(before, "10.1.0.1:1"), at(0), &mut out);
     out.clear();
     leafs.changed(id("a"), entry_of(after, "10.1.0.1:1"), at(1), &mut out);
-    let restarted = |moved: &LeafChange| matches!(moved, LeafChange::Restarted(..));
+    let restarted = |change: &LeafChange| matches!(change, LeafChange::Restarted(..));
     assert!(!out.iter().any(restarted), "{out:?}");
     leafs.changed(id("a"), entry_of(after, "10.1.0.2:1"), at(2), &mut out);
     assert!(out.iter().any(restarted), "{out:?}");
--- a/crates/relay/tests/goals.rs
+++ b/crates/relay/tests/objectives.rs
@@ -7,7 +7,7 @@
 use chestnut_book::Kind;
 use chestnut_relay::{Relay, RelayRequest, Reply};
 use tokio::time::{Instant, sleep};
-use world::{Stage, ask, book, gather, missing, rule};
+use world::{Cluster, book, gather, missing, request, rule};
 
 /// Latency objective of the rule.
 const OBJECTIVE: Duration = Duration::from_millis(50);
@@ -21,42 +21,42 @@
 const SLOW_MS: u64 = 32;
 
 /// Starts an entry whose rule queries four shards with a minimum coverage of three.
-async fn relay() -> (Stage, Relay) {
+async fn relay() -> (Cluster, Relay) {
     relay_with_timeout(Duration::from_secs(2)).await
 }
 
 /// Like [`relay`], with the rule's timeout set.
-async fn relay_with_timeout(timeout: Duration) -> (Stage, Relay) {
-    let stage = Stage::default();
+async fn relay_with_timeout(timeout: Duration) -> (Cluster, Relay) {
+    let cluster = Cluster::default();
     let shards = ["s1", "s2", "s3", "s4"];
     for shard in &shards[..3] {
-        stage.add_leafs(shard, 3, FAST_MS);
+        cluster.add_leafs(shard, 3, FAST_MS);
     }
-    stage.add_leafs(shards[3], 3, FAST_MS);
+    cluster.add_leafs(shards[3], 3, FAST_MS);
     let mut rule = rule("/q/", Kind::Idempotent, gather(&shards, 750));
     rule.goal = OBJECTIVE;
     rule.timeout = timeout;
-    stage.store.put_book(book(1, vec![rule]));
-    let relay = stage.serving(1).await;
+    cluster.store.put_book(book(1, vec![rule]));
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    (stage, relay)
+    (cluster, relay)
 }
 
 /// Sends a request `spent` after its caller began; returns the reply and the time
 /// that it took.
 async fn send(relay: &Relay, spent: Duration) -> (Reply, Duration) {
-    let ask = RelayRequest {
+    let request = RelayRequest {
         remaining: Some(CALLER_TIMEOUT - spent),
-        ..ask("r", "/q/x")
+        ..request("r", "/q/x")
     };
     let start = Instant::now();
-    let reply = relay.forward(ask).await;
+    let reply = relay.forward(request).await;
     (reply, start.elapsed())
 }
 
 /// Makes the fourth shard slow from now on.
-fn slow_fourth_shard(stage: &Stage) {
-    stage.add_leafs("s4", 3, SLOW_MS);
+fn slow_fourth_shard(cluster: &Cluster) {
+    cluster.add_leafs("s4", 3, SLOW_MS);
 }
 
 /// Sends requests over kept connections, and every fourth over a new one.
@@ -75,9 +75,9 @@
 /// also for callers that reuse a connection.
 #[tokio::test(start_paused = true)]
 async fn caller_with_an_open_connection_gets_the_slow_shard_too() {
-    let (stage, relay) = relay().await;
+    let (cluster, relay) = relay().await;
     send_typical_requests(&relay).await;
-    slow_fourth_shard(&stage);
+    slow_fourth_shard(&cluster);
     let (reply, elapsed) = send(&relay, Duration::ZERO).await;
     assert_eq!(missing(&reply), Some(0));
     assert!(elapsed + CONNECT_TIME / 3 <= OBJECTIVE, "{elapsed:?}");
@@ -87,9 +87,9 @@
 /// connect.
 #[tokio::test(start_paused = true)]
 async fn caller_that_has_spent_time_is_answered_within_the_objective() {
-    let (stage, relay) = relay().await;
+    let (cluster, relay) = relay().await;
     send_typical_requests(&relay).await;
-    slow_fourth_shard(&stage);
+    slow_fourth_shard(&cluster);
     let spent = Duration::from_millis(20);
     let (reply, elapsed) = send(&relay, spent).await;
     assert_eq!(missing(&reply), Some(1));
@@ -103,8 +103,8 @@
 /// reserves four round trips of 6 ms for them.
 #[tokio::test(start_paused = true)]
 async fn new_entry_reserves_time_for_unknown_callers() {
-    let (stage, relay) = relay().await;
-    slow_fourth_shard(&stage);
+    let (cluster, relay) = relay().await;
+    slow_fourth_shard(&cluster);
     let (reply, elapsed) = send(&relay, Duration::ZERO).await;
     assert_eq!(missing(&reply), Some(1));
     assert!(
@@ -117,9 +117,9 @@
 /// leaving out a shard can't make them on time.
 #[tokio::test(start_paused = true)]
 async fn caller_past_the_objective_gets_a_complete_answer() {
-    let (stage, relay) = relay().await;
+    let (cluster, relay) = relay().await;
     send_typical_requests(&relay).await;
-    slow_fourth_shard(&stage);
+    slow_fourth_shard(&cluster);
     let (reply, _) = send(&relay, Duration::from_millis(120)).await;
     assert_eq!(missing(&reply), Some(0));
 }
@@ -128,10 +128,10 @@
 /// timeout left: it takes the rule's timeout as the time with which callers begin.
 #[tokio::test(start_paused = true)]
 async fn rule_timeout_is_the_starting_time_of_rare_callers() {
-    let (stage, relay) = relay_with_timeout(CALLER_TIMEOUT).await;
+    let (cluster, relay) = relay_with_timeout(CALLER_TIMEOUT).await;
     let spent = Duration::from_millis(22);
     send(&relay, spent).await;
-    slow_fourth_shard(&stage);
+    slow_fourth_shard(&cluster);
     let (reply, elapsed) = send(&relay, spent).await;
     assert_eq!(missing(&reply), Some(1));
     assert!(
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -9,7 +9,7 @@
 use chestnut_unit::Run;
 use futures::future::join_all;
 use tokio::time::{Instant, sleep};
-use world::{Manner, Stage, ask, book, gather, missing, rule};
+use world::{Behaviour, Cluster, book, gather, missing, request, rule};
 
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 /// Latency objective of the rules.
@@ -19,18 +19,18 @@
 
 /// Four shards, of which the last has a single leaf with five slots that takes `ms`
 /// per call; the others have capacity for every request.
-fn one_limited_shard(coverage: u16, ms: u64) -> Stage {
-    let stage = Stage::default();
+fn one_limited_shard(coverage: u16, ms: u64) -> Cluster {
+    let cluster = Cluster::default();
     for shard in &SHARDS[..3] {
-        stage.add_leafs(shard, 3, 10);
+        cluster.add_leafs(shard, 3, 10);
     }
-    let limited = stage.add_leafs("s4", 1, ms);
-    stage.leafs.set_slots(&limited[0], 5);
+    let limited = cluster.add_leafs("s4", 1, ms);
+    cluster.leafs.set_slots(&limited[0], 5);
     let target = gather(&SHARDS, coverage);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    stage
+    cluster
 }
 
 /// A reply and its latency.
@@ -42,7 +42,7 @@
     let requests = (0..count).zip(&ids).map(|(n, id)| async move {
         sleep(gap * n).await;
         let start = Instant::now();
-        let reply = relay.forward(ask(id, "/q/x")).await;
+        let reply = relay.forward(request(id, "/q/x")).await;
         (reply, start.elapsed())
     });
     join_all(requests).await
@@ -59,8 +59,8 @@
 /// for: it is queued before its first call, or declined as not run.
 #[tokio::test(start_paused = true)]
 async fn request_without_capacity_makes_no_call() {
-    let stage = one_limited_shard(1000, 40);
-    let relay = stage.serving(1).await;
+    let cluster = one_limited_shard(1000, 40);
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     // Twice the rate that the limited leaf can serve.
     let replies = send(&relay, 250, Duration::from_millis(4)).await;
@@ -77,10 +77,10 @@
         }
     }
     assert!(served >= 110, "{served} of the 125 that the leaf can serve");
-    let got = stage.leafs.got();
-    let to_others = got
+    let received = cluster.leafs.received_calls();
+    let to_others = received
         .iter()
-        .filter(|got| !got.leaf.as_str().starts_with("s4"));
+        .filter(|call| !call.leaf.as_str().starts_with("s4"));
     assert_eq!(to_others.count(), served * 3);
 }
 
@@ -88,8 +88,8 @@
 /// those that can't be served within the wait limit are declined at once.
 #[tokio::test(start_paused = true)]
 async fn request_beyond_the_wait_limit_is_declined_at_once() {
-    let stage = one_limited_shard(1000, 40);
-    let relay = stage.serving(1).await;
+    let cluster = one_limited_shard(1000, 40);
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     // Lets the entry learn the latency of calls.
     send(&relay, 40, Duration::from_millis(20)).await;
@@ -105,8 +105,8 @@
 /// for the minimum coverage.
 #[tokio::test(start_paused = true)]
 async fn optional_shard_without_capacity_is_left_out() {
-    let stage = one_limited_shard(750, 40);
-    let relay = stage.serving(1).await;
+    let cluster = one_limited_shard(750, 40);
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     let replies = send(&relay, 250, Duration::from_millis(4)).await;
     assert!(
@@ -127,24 +127,24 @@
 /// call budget is empty: the retry waits for budget until the objective.
 #[tokio::test(start_paused = true)]
 async fn shed_call_waits_for_the_budget() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     for shard in SHARDS {
-        stage.add_leafs(shard, 1, 10);
+        cluster.add_leafs(shard, 1, 10);
     }
-    let shedding = stage.add_leafs("s4", 1, 10);
+    let shedding = cluster.add_leafs("s4", 1, 10);
     let target = gather(&SHARDS, 1000);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
-    stage.leafs.set(&shedding[0], Manner::Full);
+    cluster.leafs.set_behaviour(&shedding[0], Behaviour::Sheds);
     // Exhausts the budget.
     send(&relay, 60, Duration::from_millis(2)).await;
     let last = send(&relay, 1, Duration::ZERO);
     let recovery = async {
         sleep(Duration::from_millis(60)).await;
-        stage.add_leafs("s4", 1, 10);
+        cluster.add_leafs("s4", 1, 10);
     };
     let (replies, ()) = tokio::join!(last, recovery);
     assert_eq!(missing(&replies[0].0), Some(0));
@@ -155,19 +155,19 @@
 /// needs only one of them, and earlier requests take both.
 #[tokio::test(start_paused = true)]
 async fn optional_capacity_is_left_to_requests_that_need_it() {
-    let stage = Stage::default();
+    let cluster = Cluster::default();
     for shard in &SHARDS[..2] {
-        stage.add_leafs(shard, 3, 10);
+        cluster.add_leafs(shard, 3, 10);
     }
     for shard in &SHARDS[2..] {
-        let limited = stage.add_leafs(shard, 1, 40);
-        stage.leafs.set_slots(&limited[0], 5);
+        let limited = cluster.add_leafs(shard, 1, 40);
+        cluster.leafs.set_slots(&limited[0], 5);
     }
     let target = gather(&SHARDS, 750);
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
-    let relay = stage.serving(1).await;
+    let relay = cluster.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     // 167 requests per second; each of the two shards serves 125.
     let replies = send(&relay, 500, Duration::from_millis(6)).await;
--- a/crates/relay/tests/spread.rs
+++ b/crates/relay/tests/propagation.rs
@@ -14,103 +14,103 @@
     SocketAddr::from(([10, 0, 0, n], 4))
 }
 
-fn report(spread: &mut BookPropagation, n: u8, version: u64, distance: Distance) -> bool {
-    spread.reported(peer(n), BookVersion(version), distance, NOW)
+fn report(propagation: &mut BookPropagation, n: u8, version: u64, distance: Distance) -> bool {
+    propagation.reported(peer(n), BookVersion(version), distance, NOW)
 }
 
 /// All entries read a new version from the same peer, whose link then carries the book
 /// for each of them.
 #[test]
 fn entries_updated_together_ask_different_peers() {
-    let mut spread = BookPropagation::default();
-    assert!(report(&mut spread, 1, 5, Distance::Near));
+    let mut propagation = BookPropagation::default();
+    assert!(report(&mut propagation, 1, 5, Distance::Near));
     assert!(
-        !report(&mut spread, 2, 5, Distance::Near),
+        !report(&mut propagation, 2, 5, Distance::Near),
         "already reported"
     );
-    assert_eq!(spread.next(0, NOW), NextRead::From(peer(1)));
-    assert_eq!(spread.next(1, NOW), NextRead::From(peer(2)));
+    assert_eq!(propagation.next(0, NOW), NextRead::From(peer(1)));
+    assert_eq!(propagation.next(1, NOW), NextRead::From(peer(2)));
 }
 
 /// Bytes between domains are paid for, and a peer of the own domain mostly has the
 /// version soon; without one, the version must not wait.
 #[test]
 fn a_remote_peer_is_asked_if_no_local_one_reports_soon() {
-    let mut spread = BookPropagation::default();
-    report(&mut spread, 8, 5, Distance::Far);
-    let NextRead::WaitUntil(until) = spread.next(0, NOW) else {
+    let mut propagation = BookPropagation::default();
+    report(&mut propagation, 8, 5, Distance::Far);
+    let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
     };
     assert!(until.since(NOW) <= Duration::from_millis(200));
-    assert_eq!(spread.next(0, until), NextRead::From(peer(8)));
-    report(&mut spread, 2, 5, Distance::Near);
-    assert_eq!(spread.next(0, until), NextRead::From(peer(2)));
+    assert_eq!(propagation.next(0, until), NextRead::From(peer(8)));
+    report(&mut propagation, 2, 5, Distance::Near);
+    assert_eq!(propagation.next(0, until), NextRead::From(peer(2)));
 }
 
 /// A silent peer is asked for ever while another one has the version, or is never asked
 /// again though it is the only one.
 #[test]
 fn a_peer_that_failed_is_asked_last() {
-    let mut spread = BookPropagation::default();
-    report(&mut spread, 1, 5, Distance::Near);
-    report(&mut spread, 8, 5, Distance::Far);
-    spread.failed(peer(1), NOW);
-    let NextRead::WaitUntil(until) = spread.next(0, NOW) else {
+    let mut propagation = BookPropagation::default();
+    report(&mut propagation, 1, 5, Distance::Near);
+    report(&mut propagation, 8, 5, Distance::Far);
+    propagation.failed(peer(1), NOW);
+    let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
     };
-    assert_eq!(spread.next(0, until), NextRead::From(peer(8)));
-    spread.failed(peer(8), until);
-    let NextRead::WaitUntil(until) = spread.next(0, until) else {
+    assert_eq!(propagation.next(0, until), NextRead::From(peer(8)));
+    propagation.failed(peer(8), until);
+    let NextRead::WaitUntil(until) = propagation.next(0, until) else {
         panic!("asked at once");
     };
-    assert_eq!(spread.next(0, until), NextRead::From(peer(1)));
+    assert_eq!(propagation.next(0, until), NextRead::From(peer(1)));
 }
 
 /// A version is late as the peer that it is read from has a slow link, or too many
 /// peers are read from at once.
 #[test]
 fn a_slow_fetch_is_hedged_once() {
-    let mut spread = BookPropagation::default();
-    report(&mut spread, 1, 5, Distance::Near);
-    spread.read_started(peer(1), NOW);
-    assert_eq!(spread.next(0, NOW), NextRead::Nothing);
-    report(&mut spread, 2, 5, Distance::Near);
-    report(&mut spread, 3, 5, Distance::Near);
-    let NextRead::WaitUntil(until) = spread.next(0, NOW) else {
+    let mut propagation = BookPropagation::default();
+    report(&mut propagation, 1, 5, Distance::Near);
+    propagation.read_started(peer(1), NOW);
+    assert_eq!(propagation.next(0, NOW), NextRead::Nothing);
+    report(&mut propagation, 2, 5, Distance::Near);
+    report(&mut propagation, 3, 5, Distance::Near);
+    let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
     };
     assert!(until.since(NOW) <= Duration::from_millis(500));
-    assert_eq!(spread.next(0, until), NextRead::From(peer(2)));
-    spread.read_started(peer(2), until);
+    assert_eq!(propagation.next(0, until), NextRead::From(peer(2)));
+    propagation.read_started(peer(2), until);
     let later = until + Duration::from_secs(5);
-    assert_eq!(spread.next(0, later), NextRead::Nothing);
-    spread.read_ended(peer(2));
-    spread.failed(peer(2), later);
-    assert_eq!(spread.next(0, later), NextRead::From(peer(3)));
+    assert_eq!(propagation.next(0, later), NextRead::Nothing);
+    propagation.read_ended(peer(2));
+    propagation.failed(peer(2), later);
+    assert_eq!(propagation.next(0, later), NextRead::From(peer(3)));
 }
 
 /// An entry keeps fetching what it has, or counts as behind for good.
 #[test]
 fn versions_in_force_are_not_fetched() {
-    let mut spread = BookPropagation::default();
-    report(&mut spread, 1, 5, Distance::Near);
-    report(&mut spread, 2, 7, Distance::Near);
+    let mut propagation = BookPropagation::default();
+    report(&mut propagation, 1, 5, Distance::Near);
+    report(&mut propagation, 2, 7, Distance::Near);
     let later = NOW + Duration::from_secs(3);
-    assert_eq!(spread.lag(later), Some(Duration::from_secs(3)));
-    spread.installed(BookVersion(5), later);
-    assert_eq!(spread.next(0, later), NextRead::From(peer(2)));
+    assert_eq!(propagation.lag(later), Some(Duration::from_secs(3)));
+    propagation.installed(BookVersion(5), later);
+    assert_eq!(propagation.next(0, later), NextRead::From(peer(2)));
     assert_eq!(
-        spread.installed(BookVersion(7), later),
+        propagation.installed(BookVersion(7), later),
         Some(Duration::from_secs(3))
     );
-    assert_eq!((spread.lag(later), spread.newest()), (None, None));
-    assert!(!report(&mut spread, 1, 7, Distance::Near));
-    assert_eq!(spread.next(0, later), NextRead::Nothing);
+    assert_eq!((propagation.lag(later), propagation.newest()), (None, None));
+    assert!(!report(&mut propagation, 1, 7, Distance::Near));
+    assert_eq!(propagation.next(0, later), NextRead::Nothing);
     // One that has restarted lacks what it had reported.
-    report(&mut spread, 1, 9, Distance::Near);
-    report(&mut spread, 1, 0, Distance::Near);
+    report(&mut propagation, 1, 9, Distance::Near);
+    report(&mut propagation, 1, 0, Distance::Near);
     assert_eq!(
-        (spread.next(0, later), spread.lag(later)),
+        (propagation.next(0, later), propagation.lag(later)),
         (NextRead::Nothing, None)
     );
 }
@@ -118,13 +118,13 @@
 /// The state kept of peers grows with the members that report a version.
 #[test]
 fn state_of_peers_is_bounded() {
-    let mut spread = BookPropagation::default();
+    let mut propagation = BookPropagation::default();
     for n in 0..=u8::MAX {
-        report(&mut spread, n, 5, Distance::Far);
+        report(&mut propagation, n, 5, Distance::Far);
     }
     let later = NOW + Duration::from_secs(1);
     let asked: std::collections::BTreeSet<String> = (0..1000)
-        .map(|draw| format!("{:?}", spread.next(draw, later)))
+        .map(|draw| format!("{:?}", propagation.next(draw, later)))
         .collect();
     assert!(asked.len() <= 64, "{}", asked.len());
 }
--- a/crates/relay/tests/spread_model.rs
+++ b/crates/relay/tests/propagation_model.rs
@@ -36,7 +36,7 @@
 
 struct Simulation {
     domains: usize,
-    spreads: Vec<BookPropagation>,
+    propagations: Vec<BookPropagation>,
     received: Vec<Option<Time>>,
     /// Messages that were sent, and reads that each entry had to serve.
     messages: usize,
@@ -64,7 +64,7 @@
     fn new(entries: usize, domains: usize, seed: u64) -> Self {
         let mut simulation = Self {
             domains,
-            spreads: vec![BookPropagation::default(); entries],
+            propagations: vec![BookPropagation::default(); entries],
             received: vec![None; entries],
             messages: 0,
             asked: vec![0; entries],
@@ -73,9 +73,9 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for n in 0..entries {
-            let pulse = HEARTBEAT_INTERVAL.mul_f64(simulation.rng.random_range(0.0..1.0));
+            let heartbeat = HEARTBEAT_INTERVAL.mul_f64(simulation.rng.random_range(0.0..1.0));
             let probe = PROBE_INTERVAL.mul_f64(simulation.rng.random_range(0.0..1.0));
-            simulation.schedule(Time::ZERO + pulse, Event::Heartbeat(n));
+            simulation.schedule(Time::ZERO + heartbeat, Event::Heartbeat(n));
             simulation.schedule(Time::ZERO + probe, Event::Probe(n));
         }
         simulation
@@ -96,8 +96,8 @@
             return;
         }
         self.received[n] = Some(now);
-        self.spreads[n].installed(NEW, now);
-        let entries = self.spreads.len();
+        self.propagations[n].installed(NEW, now);
+        let entries = self.propagations.len();
         for _ in 0..REPORTS_LOCAL {
             let local = self.rng.random_range(0..entries / self.domains) * self.domains;
             self.send(n, local + n % self.domains, now);
@@ -109,7 +109,7 @@
     }
 
     fn handle(&mut self, event: Event, now: Time) {
-        let entries = self.spreads.len();
+        let entries = self.propagations.len();
         match event {
             Event::Reported(n, from) => {
                 let version = self.received[from].map_or(BookVersion(0), |_| NEW);
@@ -117,16 +117,16 @@
                     true => Distance::Near,
                     false => Distance::Far,
                 };
-                self.spreads[n].reported(address(from), version, distance, now);
+                self.propagations[n].reported(address(from), version, distance, now);
                 self.handle(Event::Decide(n), now);
             }
             Event::Read(n, from) => {
-                self.spreads[n].read_ended(address(from));
+                self.propagations[n].read_ended(address(from));
                 self.receive(n, now);
             }
-            Event::Decide(n) => match self.spreads[n].next(self.rng.random(), now) {
+            Event::Decide(n) => match self.propagations[n].next(self.rng.random(), now) {
                 NextRead::From(peer) => {
-                    self.spreads[n].read_started(peer, now);
+                    self.propagations[n].read_started(peer, now);
                     self.asked[number(peer)] += 1;
                     self.schedule(now + READ_TIME, Event::Read(n, number(peer)));
                 }
--- a/crates/relay/tests/deadly.rs
+++ b/crates/relay/tests/quarantine.rs
@@ -11,8 +11,8 @@
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
 use world::{
-    Answers, CONTACT, ENDED, Ended, Manner, Stage, TRIES, ask, book, gather, name, peers_address,
-    rule,
+    Availability, Behaviour, CRASH_LIMIT, Cluster, Crash, MAX_LATE_TRIES, SYNC_TIME, book, gather,
+    peer_address, request, rule, service_name,
 };
 
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
@@ -20,27 +20,27 @@
 const CRASHING: &str = "/q/deadly";
 
 /// Starts entries and waits until they know each other.
-async fn start_entries(stage: &Stage, count: u16) -> Vec<Relay> {
-    let relays = join_all((1..=count).map(|n| stage.serving(n))).await;
+async fn start_entries(cluster: &Cluster, count: u16) -> Vec<Relay> {
+    let relays = join_all((1..=count).map(|n| cluster.serving(n))).await;
     sleep(Duration::from_secs(5)).await;
     relays
 }
 
-/// A stage with three leafs of each service and one rule, for `target`.
-fn stage(kind: Kind, target: Target) -> Stage {
-    let stage = Stage {
+/// A cluster with three leafs of each service and one rule, for `target`.
+fn cluster(kind: Kind, target: Target) -> Cluster {
+    let cluster = Cluster {
         domains: 3,
         seeds: vec![1, 2, 3],
-        ..Stage::default()
+        ..Cluster::default()
     };
     for service in SHARDS.iter().chain(&["archive"]) {
-        stage.add_leafs(service, 3, 10);
+        cluster.add_leafs(service, 3, 10);
     }
-    stage
+    cluster
         .store
         .put_book(book(1, vec![rule("/q/", kind, target)]));
-    stage.leafs.set_deadly(CRASHING);
-    stage
+    cluster.leafs.set_crashing(CRASHING);
+    cluster
 }
 
 /// A scatter-gather query over all shards.
@@ -49,41 +49,47 @@
 }
 
 /// Counts the requests for `path` that reached leafs after `from`.
-fn count_tries(stage: &Stage, path: &str, from: Instant) -> usize {
-    let got = stage.leafs.got();
-    let later = got.iter().filter(|got| got.path == path && got.at > from);
+fn count_tries(cluster: &Cluster, path: &str, from: Instant) -> usize {
+    let received = cluster.leafs.received_calls();
+    let later = received
+        .iter()
+        .filter(|call| call.path == path && call.at > from);
     later
-        .map(|got| got.request.clone())
+        .map(|call| call.request.clone())
         .collect::<BTreeSet<_>>()
         .len()
 }
 
 /// When the limit on tries takes effect: entries must know of the crashes by then.
-fn limit_start(ended: &[Ended]) -> Instant {
-    ended[ENDED - 1].at + CONTACT
+fn limit_start(crashes: &[Crash]) -> Instant {
+    crashes[CRASH_LIMIT - 1].at + SYNC_TIME
 }
 
 /// Guards against a repeated request that crashes leafs at each try, because entries forget it
 /// after a try or don't share what they know of it.
 #[rstest]
 #[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
+#[case::once(Kind::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
 async fn requests_that_crash_leafs_are_no_longer_forwarded(
     #[case] kind: Kind,
     #[case] target: Target,
 ) {
-    let stage = stage(kind, target);
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(kind, target);
+    let relays = start_entries(&cluster, 6).await;
     for n in 0..40 {
         let relay = &relays[n * 5 % relays.len()];
-        relay.forward(ask(&format!("r{n}"), CRASHING)).await;
+        relay.forward(request(&format!("r{n}"), CRASHING)).await;
         sleep(Duration::from_millis(1300)).await;
     }
-    let ended = stage.leafs.ended();
-    let late = count_tries(&stage, CRASHING, limit_start(&ended));
-    assert!(late <= TRIES, "{late} tries, {} leafs crashed", ended.len());
+    let crashes = cluster.leafs.crashes();
+    let late = count_tries(&cluster, CRASHING, limit_start(&crashes));
+    assert!(
+        late <= MAX_LATE_TRIES,
+        "{late} tries, {} leafs crashed",
+        crashes.len()
+    );
 }
 
 /// Longest refusal of a suspect request while a trial call runs; a quarantine lasts longer.
@@ -138,7 +144,9 @@
     let sent = (0..count).map(|n| async move {
         sleep(gap * n as u32).await;
         let id = format!("{path} {n}");
-        let reply = relays[n * 5 % relays.len()].forward(ask(&id, path)).await;
+        let reply = relays[n * 5 % relays.len()]
+            .forward(request(&id, path))
+            .await;
         (id, reply)
     });
     for (id, reply) in join_all(sent).await {
@@ -148,15 +156,15 @@
 }
 
 /// Checks that no leaf got a request that was reported as not run.
-fn assert_not_run(stage: &Stage, outcomes: &Outcomes) {
-    let got: BTreeSet<String> = stage
+fn assert_not_run(cluster: &Cluster, outcomes: &Outcomes) {
+    let received: BTreeSet<String> = cluster
         .leafs
-        .got()
+        .received_calls()
         .into_iter()
-        .map(|got| got.request)
+        .map(|call| call.request)
         .collect();
     for id in &outcomes.not_run {
-        assert!(!got.contains(id), "{id} was reported as not run");
+        assert!(!received.contains(id), "{id} was reported as not run");
     }
 }
 
@@ -167,10 +175,10 @@
 }
 
 /// Stops the request from crashing leafs, and waits until its quarantine expires.
-async fn fix(stage: &Stage, relays: &[Relay]) {
-    let reply = relays[0].forward(ask("refused", CRASHING)).await;
+async fn fix(cluster: &Cluster, relays: &[Relay]) {
+    let reply = relays[0].forward(request("refused", CRASHING)).await;
     let after = quarantined(&reply).expect("the request is quarantined");
-    stage.leafs.mend(CRASHING);
+    cluster.leafs.clear_crashing(CRASHING);
     sleep(after + Duration::from_millis(10)).await;
 }
 
@@ -178,27 +186,27 @@
 /// the crashing request took down.
 #[rstest]
 #[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
+#[case::once(Kind::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
 async fn other_requests_on_crashing_leafs_are_served(#[case] kind: Kind, #[case] target: Target) {
-    let stage = stage(kind, target);
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(kind, target);
+    let relays = start_entries(&cluster, 6).await;
     let (gap, span) = (Duration::from_millis(1300), Duration::from_secs(40));
     let others = join(
         send(&relays, "/q/popular", Duration::from_millis(20), span),
         send(&relays, "/q/seldom", Duration::from_millis(900), span),
     );
     let (crashing, (popular, seldom)) = join(send(&relays, CRASHING, gap, span), others).await;
-    let late = count_tries(&stage, CRASHING, limit_start(&stage.leafs.ended()));
-    assert!(late <= TRIES, "{late} tries");
+    let late = count_tries(&cluster, CRASHING, limit_start(&cluster.leafs.crashes()));
+    assert!(late <= MAX_LATE_TRIES, "{late} tries");
     assert!(
         crashing
             .refused
             .is_some_and(|refused| refused > MAX_TRIAL_REFUSAL)
     );
     for (what, outcomes) in [("popular", &popular), ("seldom", &seldom)] {
-        assert_not_run(&stage, outcomes);
+        assert_not_run(&cluster, outcomes);
         let refused = outcomes.refused.unwrap_or_default();
         assert!(
             refused <= MAX_TRIAL_REFUSAL,
@@ -211,27 +219,27 @@
             outcomes.served
         );
     }
-    assert_not_run(&stage, &crashing);
+    assert_not_run(&cluster, &crashing);
 }
 
 /// Guards against a quarantine of a harmless popular request that happens to run on leafs
 /// which crash for another reason.
 #[rstest]
 #[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
+#[case::once(Kind::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
 async fn unrelated_leaf_crashes_quarantine_no_request(#[case] kind: Kind, #[case] target: Target) {
-    let stage = stage(kind, target);
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(kind, target);
+    let relays = start_entries(&cluster, 6).await;
     let span = Duration::from_secs(60);
     let crashes = async {
         for round in 0..15 {
             for service in SHARDS.iter().chain(&["archive"]) {
                 for n in (0..3).filter(|n| *n != round % 3) {
-                    stage
+                    cluster
                         .leafs
-                        .end(&LeafId::new(format!("{service}-{n}")).unwrap());
+                        .crash(&LeafId::new(format!("{service}-{n}")).unwrap());
                 }
             }
             sleep(Duration::from_secs(4)).await;
@@ -239,7 +247,7 @@
     };
     let popular = send(&relays, "/q/popular", Duration::from_millis(10), span);
     let (popular, ()) = join(popular, crashes).await;
-    assert_not_run(&stage, &popular);
+    assert_not_run(&cluster, &popular);
     let refused = popular.refused.unwrap_or_default();
     assert!(refused <= MAX_TRIAL_REFUSAL, "refused for {refused:?}");
     // At most one request in a hundred may be refused in favour of a trial call.
@@ -255,11 +263,13 @@
 /// connections has not crashed.
 #[tokio::test(start_paused = true)]
 async fn connection_resets_quarantine_no_request() {
-    let stage = stage(Kind::Once, Target::One(name("archive")));
-    for leaf in stage.add_leafs("archive", 3, 10) {
-        stage.leafs.set(&leaf, Manner::Loses);
+    let cluster = cluster(Kind::Once, Target::One(service_name("archive")));
+    for leaf in cluster.add_leafs("archive", 3, 10) {
+        cluster
+            .leafs
+            .set_behaviour(&leaf, Behaviour::DropsConnection);
     }
-    let relays = start_entries(&stage, 6).await;
+    let relays = start_entries(&cluster, 6).await;
     let span = Duration::from_secs(20);
     let lost = send(&relays, "/q/popular", Duration::from_millis(100), span).await;
     assert!(lost.failed > 100, "{} failed", lost.failed);
@@ -269,12 +279,12 @@
 /// Guards against a new entry that forwards what the others refuse.
 #[tokio::test(start_paused = true)]
 async fn a_new_entry_learns_of_quarantined_requests() {
-    let stage = stage(Kind::Idempotent, search());
-    let mut relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let mut relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
-    relays.push(stage.serving(7).await);
-    sleep(CONTACT).await;
-    let reply = relays[6].forward(ask("late", CRASHING)).await;
+    relays.push(cluster.serving(7).await);
+    sleep(SYNC_TIME).await;
+    let reply = relays[6].forward(request("late", CRASHING)).await;
     assert!(quarantined(&reply).is_some_and(|after| after > MAX_TRIAL_REFUSAL));
 }
 
@@ -282,15 +292,15 @@
 /// was answered.
 #[tokio::test(start_paused = true)]
 async fn a_fixed_request_is_served_again_by_every_entry() {
-    let stage = stage(Kind::Idempotent, search());
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
-    fix(&stage, &relays).await;
-    let first = relays[0].forward(ask("first", CRASHING)).await;
+    fix(&cluster, &relays).await;
+    let first = relays[0].forward(request("first", CRASHING)).await;
     assert!(declined(&first).is_none(), "{first:?}");
-    sleep(CONTACT).await;
+    sleep(SYNC_TIME).await;
     for relay in &relays {
-        let reply = relay.forward(ask("again", CRASHING)).await;
+        let reply = relay.forward(request("again", CRASHING)).await;
         assert!(declined(&reply).is_none(), "{reply:?}");
     }
 }
@@ -298,35 +308,37 @@
 /// Guards against leafs that crash under tries sent to several entries at the same time.
 #[tokio::test(start_paused = true)]
 async fn concurrent_tries_stay_within_the_limit() {
-    let stage = stage(Kind::Idempotent, search());
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let relays = start_entries(&cluster, 6).await;
     for round in 0..40 {
         let tries = relays.iter().enumerate().map(|(n, relay)| async move {
-            relay.forward(ask(&format!("{round} {n}"), CRASHING)).await
+            relay
+                .forward(request(&format!("{round} {n}"), CRASHING))
+                .await
         });
         join_all(tries).await;
         sleep(Duration::from_millis(700)).await;
     }
-    let late = count_tries(&stage, CRASHING, limit_start(&stage.leafs.ended()));
-    assert!(late <= TRIES, "{late} tries");
+    let late = count_tries(&cluster, CRASHING, limit_start(&cluster.leafs.crashes()));
+    assert!(late <= MAX_LATE_TRIES, "{late} tries");
 }
 
 /// Guards against a quarantine that is lost when all entries restart at once: the store keeps
 /// a record of it.
 #[tokio::test(start_paused = true)]
 async fn quarantine_survives_a_restart_of_all_entries() {
-    let stage = stage(Kind::Idempotent, search());
-    let mut relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let mut relays = start_entries(&cluster, 6).await;
     let gap = Duration::from_millis(1300);
     send(&relays, CRASHING, gap, Duration::from_secs(10)).await;
     for _ in 0..2 {
         relays.clear();
         sleep(Duration::from_secs(2)).await;
-        relays = start_entries(&stage, 6).await;
+        relays = start_entries(&cluster, 6).await;
         send(&relays, CRASHING, gap, Duration::from_secs(20)).await;
     }
-    let late = count_tries(&stage, CRASHING, limit_start(&stage.leafs.ended()));
-    assert!(late <= TRIES, "{late} tries");
+    let late = count_tries(&cluster, CRASHING, limit_start(&cluster.leafs.crashes()));
+    assert!(late <= MAX_LATE_TRIES, "{late} tries");
     assert_eq!(late, 0, "the record was stored before the first request");
 }
 
@@ -334,30 +346,30 @@
 /// no other entry.
 #[tokio::test(start_paused = true)]
 async fn entries_that_reach_only_the_store_learn_of_quarantine() {
-    let stage = stage(Kind::Idempotent, search());
-    let relays = start_entries(&stage, 6).await;
-    stage.net.part(&[peers_address(5), peers_address(6)]);
+    let cluster = cluster(Kind::Idempotent, search());
+    let relays = start_entries(&cluster, 6).await;
+    cluster.net.isolate(&[peer_address(5), peer_address(6)]);
     sleep(Duration::from_secs(5)).await;
     let gap = Duration::from_millis(1300);
     send(&relays[..4], CRASHING, gap, Duration::from_secs(10)).await;
     send(&relays, CRASHING, gap, Duration::from_secs(30)).await;
-    let late = count_tries(&stage, CRASHING, limit_start(&stage.leafs.ended()));
-    assert!(late <= TRIES, "{late} tries");
+    let late = count_tries(&cluster, CRASHING, limit_start(&cluster.leafs.crashes()));
+    assert!(late <= MAX_LATE_TRIES, "{late} tries");
 }
 
 /// Guards against a store that fills with records of requests that were fixed or are no longer
 /// sent.
 #[tokio::test(start_paused = true)]
 async fn records_are_removed_when_the_quarantine_ends() {
-    let stage = stage(Kind::Idempotent, search());
-    let relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
-    assert_eq!(stage.store.records(), 1);
-    fix(&stage, &relays).await;
-    relays[0].forward(ask("first", CRASHING)).await;
+    assert_eq!(cluster.store.records(), 1);
+    fix(&cluster, &relays).await;
+    relays[0].forward(request("first", CRASHING)).await;
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(stage.store.records(), 0);
-    stage.leafs.set_deadly("/q/other");
+    assert_eq!(cluster.store.records(), 0);
+    cluster.leafs.set_crashing("/q/other");
     send(
         &relays,
         "/q/other",
@@ -365,40 +377,40 @@
         Duration::from_secs(10),
     )
     .await;
-    assert_eq!(stage.store.records(), 1);
+    assert_eq!(cluster.store.records(), 1);
     sleep(Duration::from_secs(3600)).await;
-    assert_eq!(stage.store.records(), 0);
+    assert_eq!(cluster.store.records(), 0);
 }
 
 /// Guards against a record that is lost because the store did not answer when it was written.
 #[tokio::test(start_paused = true)]
 async fn records_are_written_once_the_store_answers_again() {
-    let stage = stage(Kind::Idempotent, search());
-    let relays = start_entries(&stage, 6).await;
-    stage.store.answers(Answers::Never);
+    let cluster = cluster(Kind::Idempotent, search());
+    let relays = start_entries(&cluster, 6).await;
+    cluster.store.set_answers(Availability::Unresponsive);
     send_crashing(&relays).await;
-    assert_eq!(stage.store.records(), 0);
-    stage.store.answers(Answers::Yes);
+    assert_eq!(cluster.store.records(), 0);
+    cluster.store.set_answers(Availability::Up);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(stage.store.records(), 1);
+    assert_eq!(cluster.store.records(), 1);
 }
 
 /// Guards against a quarantine that remains after an operator stopped all entries and removed
 /// its record from the store.
 #[tokio::test(start_paused = true)]
 async fn an_operator_can_lift_a_quarantine() {
-    let stage = stage(Kind::Idempotent, search());
-    let mut relays = start_entries(&stage, 6).await;
+    let cluster = cluster(Kind::Idempotent, search());
+    let mut relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
-    let refused = relays[0].forward(ask("refused", CRASHING)).await;
+    let refused = relays[0].forward(request("refused", CRASHING)).await;
     assert!(quarantined(&refused).is_some());
-    stage.leafs.mend(CRASHING);
+    cluster.leafs.clear_crashing(CRASHING);
     relays.clear();
-    stage.store.drop_records();
+    cluster.store.drop_records();
     sleep(Duration::from_secs(1)).await;
-    relays = start_entries(&stage, 6).await;
+    relays = start_entries(&cluster, 6).await;
     for relay in &relays {
-        let reply = relay.forward(ask("again", CRASHING)).await;
+        let reply = relay.forward(request("again", CRASHING)).await;
         assert!(declined(&reply).is_none(), "{reply:?}");
     }
 }
--- a/crates/relay/tests/deadly_model.rs
+++ b/crates/relay/tests/quarantine_model.rs
@@ -18,7 +18,10 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use tokio::time::{Instant, sleep, timeout};
-use world::{Answers, CONTACT, ENDED, Stage, TRIES, ask, book, gather, name, peers_address, rule};
+use world::{
+    Availability, CRASH_LIMIT, Cluster, MAX_LATE_TRIES, SYNC_TIME, book, gather, peer_address,
+    request, rule, service_name,
+};
 
 const SHARDS: [&str; 3] = ["s1", "s2", "s3"];
 /// Path of the request that crashes every leaf which runs it.
@@ -36,7 +39,7 @@
 
 /// State that the tasks of one scenario share.
 struct Scenario {
-    stage: Stage,
+    cluster: Cluster,
     entries: u16,
     relays: RefCell<BTreeMap<u16, Relay>>,
     /// When each entry counts as connected to the others and to the store.
@@ -49,26 +52,26 @@
 impl Scenario {
     /// Starts a random number of entries with a random kind of rule.
     async fn start(rng: &mut ChaCha8Rng) -> Rc<Self> {
-        let stage = Stage {
+        let cluster = Cluster {
             domains: 3,
             seeds: vec![1, 2, 3],
-            ..Stage::default()
+            ..Cluster::default()
         };
         for service in SHARDS.iter().chain(&["archive"]) {
-            stage.add_leafs(service, 3, 10);
+            cluster.add_leafs(service, 3, 10);
         }
         let (kind, target) = match rng.random_range(0..3) {
             0 => (Kind::Idempotent, gather(&SHARDS, 600)),
-            1 => (Kind::Idempotent, Target::One(name("archive"))),
-            _ => (Kind::Once, Target::One(name("archive"))),
+            1 => (Kind::Idempotent, Target::One(service_name("archive"))),
+            _ => (Kind::Once, Target::One(service_name("archive"))),
         };
-        stage
+        cluster
             .store
             .put_book(book(1, vec![rule("/q/", kind, target)]));
-        stage.leafs.set_deadly(CRASHING);
+        cluster.leafs.set_crashing(CRASHING);
         let entries = rng.random_range(2..8);
         let scenario = Rc::new(Self {
-            stage,
+            cluster,
             entries,
             relays: RefCell::default(),
             connected_from: RefCell::default(),
@@ -84,7 +87,7 @@
 
     /// Starts entry number `n`, or starts it again.
     async fn spawn(&self, n: u16) {
-        let relay = self.stage.spawn(n).await;
+        let relay = self.cluster.spawn(n).await;
         self.relays.borrow_mut().insert(n, relay);
         self.mark_disconnected(n);
     }
@@ -93,7 +96,7 @@
     fn mark_disconnected(&self, n: u16) {
         self.connected_from
             .borrow_mut()
-            .insert(n, Instant::now() + CONTACT);
+            .insert(n, Instant::now() + SYNC_TIME);
     }
 
     /// Records that every entry needs time to reconnect.
@@ -127,31 +130,31 @@
                 }
             }
             2 => {
-                self.stage.store.answers(Answers::Never);
+                self.cluster.store.set_answers(Availability::Unresponsive);
                 self.mark_all_disconnected();
                 sleep(span).await;
-                self.stage.store.answers(Answers::Yes);
+                self.cluster.store.set_answers(Availability::Up);
                 self.mark_all_disconnected();
             }
             3 => {
-                self.stage.store.bar([n].into());
+                self.cluster.store.reject([n].into());
                 self.mark_disconnected(n);
                 sleep(span).await;
-                self.stage.store.bar(BTreeSet::new());
+                self.cluster.store.reject(BTreeSet::new());
                 self.mark_disconnected(n);
             }
             4 => {
-                self.stage.net.part(&[peers_address(n)]);
+                self.cluster.net.isolate(&[peer_address(n)]);
                 self.mark_disconnected(n);
                 sleep(span).await;
-                self.stage.net.part(&[]);
+                self.cluster.net.isolate(&[]);
                 self.mark_disconnected(n);
             }
             _ => {
                 for service in SHARDS.iter().chain(&["archive"]) {
                     for n in 0..rng.random_range(0..3) {
                         let leaf = LeafId::new(format!("{service}-{n}")).unwrap();
-                        self.stage.leafs.end(&leaf);
+                        self.cluster.leafs.crash(&leaf);
                     }
                 }
             }
@@ -175,7 +178,7 @@
             self.connected_tries.borrow_mut().insert(id.clone());
         }
         // The entry may be killed meanwhile.
-        let reply = relay.forward(ask(&id, path));
+        let reply = relay.forward(request(&id, path));
         timeout(Duration::from_secs(3), reply).await.ok()
     }
 
@@ -217,19 +220,22 @@
 
     /// Crashing requests that connected entries forwarded after the limit took effect.
     fn late_tries(&self) -> BTreeSet<String> {
-        let ended = self.stage.leafs.ended();
-        let last_allowed = ended.iter().filter(|ended| ended.deadly).nth(ENDED - 1);
+        let crashes = self.cluster.leafs.crashes();
+        let last_allowed = crashes
+            .iter()
+            .filter(|crash| crash.by_request)
+            .nth(CRASH_LIMIT - 1);
         let Some(last_allowed) = last_allowed else {
             return BTreeSet::new();
         };
         let connected_tries = self.connected_tries.borrow();
-        let got = self.stage.leafs.got();
-        let late = got.iter().filter(|got| {
-            got.path == CRASHING
-                && got.at > last_allowed.at + CONTACT
-                && connected_tries.contains(&got.request)
+        let received = self.cluster.leafs.received_calls();
+        let late = received.iter().filter(|call| {
+            call.path == CRASHING
+                && call.at > last_allowed.at + SYNC_TIME
+                && connected_tries.contains(&call.request)
         });
-        late.map(|got| got.request.clone()).collect()
+        late.map(|call| call.request.clone()).collect()
     }
 }
 
@@ -252,7 +258,7 @@
     let late = scenario.late_tries();
     let log = scenario.log.borrow().join("\n");
     assert!(
-        late.len() <= TRIES,
+        late.len() <= MAX_LATE_TRIES,
         "scenario {seed}: {late:?} forwarded too late\n{log}"
     );
 }
--- a/crates/relay/tests/world/leafs.rs
+++ b/crates/relay/tests/world/leafs.rs
@@ -22,26 +22,26 @@
 
 /// How a leaf handles calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// Answers with these bytes after a delay.
     Answers(Duration, Bytes),
     /// Runs calls and never answers.
-    Silent,
+    Unresponsive,
     /// Sheds calls before it runs them.
-    Full,
+    Sheds,
     /// Runs calls, then loses the connection without an answer.
-    Loses,
+    DropsConnection,
     /// Loses the connection of each call after a delay.
-    LosesAfter(Duration),
+    DropsConnectionAfter(Duration),
     /// Runs calls and answers with status 500.
-    Fails,
+    ServerError,
     /// Answers with status 404.
-    Rejects,
+    NotFound,
 }
 
 /// A call that a leaf received.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct ReceivedCall {
     /// The leaf that received it.
     pub leaf: LeafId,
     /// Address that the call was sent to.
@@ -60,34 +60,34 @@
 
 #[derive(Default)]
 struct State {
-    behaviours: BTreeMap<LeafId, Manner>,
-    got: Vec<Got>,
+    behaviours: BTreeMap<LeafId, Behaviour>,
+    received_calls: Vec<ReceivedCall>,
     cancelled: usize,
     /// Calls in progress, by leaf.
     in_flight: BTreeMap<LeafId, usize>,
     /// Slots of leafs that run a limited number of calls at once.
     slots: BTreeMap<LeafId, Arc<Semaphore>>,
     /// Paths of requests that crash the leafs which run them.
-    deadly: BTreeSet<String>,
+    crashing_paths: BTreeSet<String>,
     /// When each crashed leaf is up again.
     down_until: BTreeMap<LeafId, Instant>,
     /// Number of crashes of each leaf, watched by the calls that it runs.
     crashes: BTreeMap<LeafId, watch::Sender<usize>>,
-    ended: Vec<Ended>,
+    crash_log: Vec<Crash>,
 }
 
 /// A crash of a leaf.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct Crash {
     /// The leaf that crashed.
     pub leaf: LeafId,
     /// When it crashed.
     pub at: Instant,
-    /// Whether a deadly request crashed it.
-    pub deadly: bool,
+    /// Whether a crashing request caused it.
+    pub by_request: bool,
 }
 
-/// Time that a leaf runs a deadly request before it crashes.
+/// Time that a leaf runs a crashing request before it crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
 /// Time until a crashed leaf is up again.
 const RESTART_TIME: Duration = Duration::from_secs(3);
@@ -98,7 +98,7 @@
 
 impl FakeLeafs {
     /// Sets how a leaf handles calls.
-    pub fn set(&self, leaf: &LeafId, behaviour: Manner) {
+    pub fn set_behaviour(&self, leaf: &LeafId, behaviour: Behaviour) {
         lock(&self.0).behaviours.insert(leaf.clone(), behaviour);
     }
 
@@ -108,32 +108,32 @@
         lock(&self.0).slots.insert(leaf.clone(), slots);
     }
 
-    /// Makes requests for `path` deadly: they crash the leafs that run them.
-    pub fn set_deadly(&self, path: &str) {
-        lock(&self.0).deadly.insert(path.to_owned());
+    /// Makes requests for `path` crashing requests: they crash the leafs that run them.
+    pub fn set_crashing(&self, path: &str) {
+        lock(&self.0).crashing_paths.insert(path.to_owned());
     }
 
     /// Makes requests for `path` harmless again.
-    pub fn mend(&self, path: &str) {
-        lock(&self.0).deadly.remove(path);
+    pub fn clear_crashing(&self, path: &str) {
+        lock(&self.0).crashing_paths.remove(path);
     }
 
     /// Crashes a leaf with all calls that it runs; it is up again after some seconds.
-    pub fn end(&self, leaf: &LeafId) {
-        self.crash(leaf, false);
+    pub fn crash(&self, leaf: &LeafId) {
+        self.record_crash(leaf, false);
     }
 
-    fn crash(&self, leaf: &LeafId, deadly: bool) {
+    fn record_crash(&self, leaf: &LeafId, by_request: bool) {
         let mut state = lock(&self.0);
         let at = Instant::now();
         if state.is_down(leaf) {
             return;
         }
         state.down_until.insert(leaf.clone(), at + RESTART_TIME);
-        state.ended.push(Ended {
+        state.crash_log.push(Crash {
             leaf: leaf.clone(),
             at,
-            deadly,
+            by_request,
         });
         if let Some(crashes) = state.crashes.get(leaf) {
             crashes.send_modify(|crashes| *crashes += 1);
@@ -141,13 +141,13 @@
     }
 
     /// Returns the crashes so far.
-    pub fn ended(&self) -> Vec<Ended> {
-        lock(&self.0).ended.clone()
+    pub fn crashes(&self) -> Vec<Crash> {
+        lock(&self.0).crash_log.clone()
     }
 
     /// Returns the calls that leafs received so far.
-    pub fn got(&self) -> Vec<Got> {
-        lock(&self.0).got.clone()
+    pub fn received_calls(&self) -> Vec<ReceivedCall> {
+        lock(&self.0).received_calls.clone()
     }
 
     /// Returns the number of calls that were cancelled before they completed.
@@ -199,7 +199,7 @@
     fn call(&self, call: LeafCall) -> BoxFuture<'static, Result<LeafReply, LeafFailure>> {
         let this = self.clone();
         async move {
-            let (behaviour, slots, mut crashes, deadly) = {
+            let (behaviour, slots, mut crashes, crashing) = {
                 let mut state = lock(&this.0);
                 if state.is_down(&call.leaf) {
                     return Err(LeafFailure::Unsent);
@@ -209,7 +209,7 @@
                     return Err(LeafFailure::Refused(Refusal::Connections));
                 }
                 *in_flight += 1;
-                state.got.push(Got {
+                state.received_calls.push(ReceivedCall {
                     leaf: call.leaf.clone(),
                     address: call.address,
                     request: call.message.id.clone(),
@@ -220,15 +220,15 @@
                 });
                 let behaviour = state.behaviours.get(&call.leaf).cloned();
                 let slots = state.slots.get(&call.leaf).cloned();
-                let deadly = state.deadly.contains(call.message.target.as_str());
-                (behaviour, slots, state.watch_crashes(&call.leaf), deadly)
+                let crashing = state.crashing_paths.contains(call.message.target.as_str());
+                (behaviour, slots, state.watch_crashes(&call.leaf), crashing)
             };
-            if deadly {
+            if crashing {
                 let (leafs, leaf) = (this.clone(), call.leaf.clone());
                 // The leaf crashes even if the call is cancelled.
                 tokio::spawn(async move {
                     sleep(CRASH_DELAY).await;
-                    leafs.crash(&leaf, true);
+                    leafs.record_crash(&leaf, true);
                 });
             }
             let mut in_flight = InFlight {
@@ -238,7 +238,7 @@
             };
             let answer = async {
                 match behaviour {
-                    Some(Manner::Answers(span, body)) => {
+                    Some(Behaviour::Answers(span, body)) => {
                         let _slot = match &slots {
                             Some(slots) => slots.acquire().await.ok(),
                             None => None,
@@ -246,22 +246,22 @@
                         sleep(span).await;
                         Ok(leaf_reply(&call.leaf, 200, body))
                     }
-                    Some(Manner::Silent) => futures::future::pending().await,
-                    Some(Manner::Full) => Err(LeafFailure::Refused(Refusal::Shed)),
-                    Some(Manner::Loses) => {
+                    Some(Behaviour::Unresponsive) => futures::future::pending().await,
+                    Some(Behaviour::Sheds) => Err(LeafFailure::Refused(Refusal::Shed)),
+                    Some(Behaviour::DropsConnection) => {
                         sleep(Duration::from_millis(5)).await;
                         Err(LeafFailure::Lost)
                     }
-                    Some(Manner::LosesAfter(span)) => {
+                    Some(Behaviour::DropsConnectionAfter(span)) => {
                         sleep(span).await;
                         Err(LeafFailure::Lost)
                     }
-                    Some(Manner::Fails) => {
+                    Some(Behaviour::ServerError) => {
                         sleep(Duration::from_millis(5)).await;
                         let reply = leaf_reply(&call.leaf, 500, Bytes::new());
                         Err(LeafFailure::Failed(reply))
                     }
-                    Some(Manner::Rejects) => {
+                    Some(Behaviour::NotFound) => {
                         let body = Bytes::from_static(b"no such path here");
                         Ok(leaf_reply(&call.leaf, 404, body))
                     }
@@ -271,7 +271,7 @@
             let result = tokio::select! {
                 biased;
                 _ = crashes.changed() => Err(LeafFailure::Lost),
-                answer = answer, if !deadly => answer,
+                answer = answer, if !crashing => answer,
             };
             in_flight.completed = true;
             result
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -7,10 +7,10 @@
 mod store;
 
 #[allow(unused_imports, reason = "each test file uses its own part")]
-pub use leafs::{Ended, FakeLeafs, Got, Manner};
+pub use leafs::{Behaviour, Crash, FakeLeafs, ReceivedCall};
 pub use net::{FakeFeeds, FakeNet};
 #[allow(unused_imports, reason = "each test file uses its own part")]
-pub use store::{Answers, FakeStore};
+pub use store::{Availability, FakeStore};
 
 use std::{net::SocketAddr, path::Path, sync::Arc, time::Duration};
 
@@ -35,15 +35,15 @@
 pub const HOST: &str = "league.example";
 
 /// Leafs that a request may crash before the limit on its probe calls holds.
-pub const ENDED: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 /// Time in which connected entries exchange what they need to enforce that limit.
-pub const CONTACT: Duration = Duration::from_secs(4);
+pub const SYNC_TIME: Duration = Duration::from_secs(4);
 /// Probe calls that may reach leafs after that.
-pub const TRIES: usize = 3;
+pub const MAX_LATE_TRIES: usize = 3;
 
 /// Everything that the entries of one test share.
 #[derive(Clone, Default)]
-pub struct Stage {
+pub struct Cluster {
     /// The store of books, leafs and adverts.
     pub store: FakeStore,
     /// Leafs that requests are forwarded to.
@@ -58,14 +58,14 @@
     pub seeds: Vec<u16>,
 }
 
-impl Stage {
+impl Cluster {
     /// Starts entry number `n` with the settings of a small deployment.
     pub async fn spawn(&self, n: u16) -> Relay {
         let domain = DOMAINS[usize::from(n % self.domains.max(1))];
         let seeds: Vec<String> = self
             .seeds
             .iter()
-            .map(|n| peers_address(*n).to_string())
+            .map(|n| peer_address(*n).to_string())
             .collect();
         let text = format!(
             "seeds = {seeds:?}\n[entry]\nmember = \"entry-{n}\"\ndomain = \"{domain}\"\ncores = 0.25\nlink = 1000\nfiles = 1024\n\
@@ -126,16 +126,17 @@
             .map(|n| LeafId::new(format!("{service}-{n}")).unwrap())
             .collect();
         for id in &ids {
-            self.store.put_leaf(id, entry(service, LeafState::Ready));
-            let answer = Manner::Answers(Duration::from_millis(ms), record(service));
-            self.leafs.set(id, answer);
+            self.store
+                .put_leaf(id, leaf_entry(service, LeafState::Ready));
+            let answer = Behaviour::Answers(Duration::from_millis(ms), record(service));
+            self.leafs.set_behaviour(id, answer);
         }
         ids
     }
 }
 
 /// Returns the address at which entry number `n` listens for peers.
-pub fn peers_address(n: u16) -> SocketAddr {
+pub fn peer_address(n: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8], 4))
 }
 
@@ -147,9 +148,9 @@
 }
 
 /// Returns the store entry of a leaf of `service`.
-pub fn entry(service: &str, state: LeafState) -> LeafRegistration {
+pub fn leaf_entry(service: &str, state: LeafState) -> LeafRegistration {
     LeafRegistration {
-        service: name(service),
+        service: service_name(service),
         address: "10.1.0.1:1".parse().unwrap(),
         domain: "dub-a".parse().unwrap(),
         slots: 5,
@@ -160,7 +161,7 @@
 }
 
 /// Parses a service name.
-pub fn name(service: &str) -> ServiceName {
+pub fn service_name(service: &str) -> ServiceName {
     ServiceName::new(service).unwrap()
 }
 
@@ -182,7 +183,7 @@
 /// Returns a target that queries `shards` and needs `least` permille of them.
 pub fn gather(shards: &[&str], least: u16) -> Target {
     Target::Gather {
-        shards: shards.iter().map(|shard| name(shard)).collect(),
+        shards: shards.iter().map(|shard| service_name(shard)).collect(),
         least: Share::from_permille(least),
         top: 50,
     }
@@ -190,11 +191,11 @@
 
 /// Builds a route book without limits for cold leafs.
 pub fn book(version: u64, rules: Vec<Rule>) -> RouteBook {
-    book_of(version, rules, None)
+    book_with_cold(version, rules, None)
 }
 
 /// Builds a route book whose services limit their cold leafs by `cold`.
-pub fn book_of(version: u64, rules: Vec<Rule>, cold: Option<ColdRule>) -> RouteBook {
+pub fn book_with_cold(version: u64, rules: Vec<Rule>, cold: Option<ColdRule>) -> RouteBook {
     let services: Vec<ServiceName> = rules
         .iter()
         .flat_map(|rule| rule.target.services().cloned())
@@ -213,7 +214,7 @@
 }
 
 /// Returns a request for `path` with two seconds left.
-pub fn ask(id: &str, path: &'static str) -> RelayRequest {
+pub fn request(id: &str, path: &'static str) -> RelayRequest {
     let message = Message {
         id: id.to_owned(),
         method: Method::GET,
--- a/crates/relay/tests/world/net.rs
+++ b/crates/relay/tests/world/net.rs
@@ -48,12 +48,12 @@
 
 impl FakeNet {
     /// Removes an entry from the network.
-    pub fn cut(&self, own: SocketAddr) {
+    pub fn remove(&self, own: SocketAddr) {
         lock(&self.0).remove(&own);
     }
 
     /// Isolates these entries, and no others, from all entries.
-    pub fn part(&self, entries: &[SocketAddr]) {
+    pub fn isolate(&self, entries: &[SocketAddr]) {
         *lock(&self.1) = entries.iter().copied().collect();
     }
 
@@ -110,7 +110,7 @@
     /// Transfers, by sender and receiver.
     transfers: BTreeMap<(SocketAddr, SocketAddr), Vec<Transfer>>,
     /// Total bytes sent between entries.
-    carried: usize,
+    bytes_sent: usize,
 }
 
 /// Start and end of the transfer of one answer.
@@ -127,13 +127,13 @@
 
 impl Links {
     /// Limits the link of an entry to `rate` bytes per second.
-    pub fn limit(&self, entry: SocketAddr, rate: u32) {
+    pub fn set_bandwidth(&self, entry: SocketAddr, rate: u32) {
         lock(&self.0).rates.insert(entry, rate);
     }
 
     /// Returns the total bytes sent between entries.
-    pub fn carried(&self) -> usize {
-        lock(&self.0).carried
+    pub fn bytes_sent(&self) -> usize {
+        lock(&self.0).bytes_sent
     }
 
     /// Transfers `bytes` from the store, without the timeout that applies to peers.
@@ -185,7 +185,7 @@
             let transfers = self.transfers.entry((from, to)).or_default();
             transfers.retain(|(_, end)| *end + IDLE_TIMEOUT > now);
             transfers.push((begins, arrived));
-            self.carried += bytes;
+            self.bytes_sent += bytes;
         }
         arrived
     }
@@ -226,12 +226,12 @@
 
 impl FakeFeeds {
     /// Marks an entry as of an earlier version, which has no feed of evacuations.
-    pub fn set_earlier(&self, entry: SocketAddr) {
+    pub fn set_legacy(&self, entry: SocketAddr) {
         lock(&self.3).insert(entry);
     }
 
     /// Makes an entry answer no further calls.
-    pub fn cut(&self, entry: SocketAddr) {
+    pub fn disconnect(&self, entry: SocketAddr) {
         lock(&self.0).remove(&entry);
     }
 
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! Fake store with injected faults: unresponsiveness, lost_watches watches and rejected entries.
+//! Fake store with injected faults: unresponsiveness, lost watches and rejected entries.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,7 +24,7 @@
 
 use super::{
     net::{ANSWER_OVERHEAD, Links},
-    peers_address,
+    peer_address,
 };
 
 /// Timeout of the adapter for a check.
@@ -32,11 +32,11 @@
 
 /// Whether the store responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
+pub enum Availability {
     /// It answers every call.
-    Yes,
+    Up,
     /// Calls and watches in progress get no answer.
-    Never,
+    Unresponsive,
 }
 
 /// What the store holds, and its faults.
@@ -95,7 +95,7 @@
     }
 
     /// Overwrites the entry of a leaf with a malformed one.
-    pub fn spoil_leaf(&self, id: &LeafId) {
+    pub fn corrupt_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -105,7 +105,7 @@
     }
 
     /// Deletes the entry of a leaf.
-    pub fn drop_leaf(&self, id: &LeafId) {
+    pub fn delete_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -120,7 +120,7 @@
     }
 
     /// Ends the evacuation of a failure domain.
-    pub fn refill(&self, domain: &str) {
+    pub fn end_evacuation(&self, domain: &str) {
         self.set_evacuated(domain, false);
     }
 
@@ -134,15 +134,15 @@
     }
 
     /// Sets whether the store responds; watches in progress are never answered.
-    pub fn answers(&self, answers: Answers) {
+    pub fn set_answers(&self, availability: Availability) {
         let mut stored = lock(&self.stored);
-        stored.unresponsive = answers == Answers::Never;
+        stored.unresponsive = availability == Availability::Unresponsive;
         stored.outages += 1;
         self.changed.notify_waiters();
     }
 
     /// Drops the answers of the next `count` watches while the store responds to all else.
-    pub fn lose_watches(&self, count: usize) {
+    pub fn drop_watches(&self, count: usize) {
         lock(&self.stored).lost_watches = count;
     }
 
@@ -161,19 +161,19 @@
             Content::Deleted | Content::Malformed => 0,
         };
         let bytes = ANSWER_OVERHEAD + batch.items.iter().map(size).sum::<usize>();
-        let to = peers_address(self.caller);
+        let to = peer_address(self.caller);
         self.links.transfer_from_store(to, bytes).await;
         batch
     }
 
     /// Rejects the calls of these entries, and of no others.
-    pub fn bar(&self, entries: BTreeSet<u16>) {
+    pub fn reject(&self, entries: BTreeSet<u16>) {
         lock(&self.stored).rejected = entries;
         self.changed.notify_waiters();
     }
 
     /// Isolates these entries, and no others, from the store: their calls get no answer.
-    pub fn part(&self, entries: BTreeSet<u16>) {
+    pub fn isolate(&self, entries: BTreeSet<u16>) {
         lock(&self.stored).isolated = entries;
         self.changed.notify_waiters();
     }
