--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/leaf_calls.rs
@@ -17,7 +17,7 @@
 use chestnut_unit::LeafId;
 use futures::FutureExt;
 
-use crate::{cold::send_until, ground::Ground, shared::Shared};
+use crate::{cold::send_until, shared::Shared, state::RelayState};
 
 /// Makes the leaf calls of one forwarded request and collects their outcomes.
 pub(crate) struct LeafCalls<'a> {
@@ -51,7 +51,7 @@
 const ONCE_IDLE_MAX: Duration = Duration::from_millis(500);
 
 impl CallTransport for LeafCalls<'_> {
-    type Extra = Ground;
+    type Extra = RelayState;
     type Part = LeafReply;
 
     fn request(&self) -> &dyn Display {
@@ -59,24 +59,24 @@
     }
 
     fn call(&self, request: CallRequest<'_>) -> CallFuture<LeafReply> {
-        let place = {
+        let endpoint = {
             let state = lock(&self.shared.cell.state);
-            let place = state.extra.places.get(&request.to).cloned();
+            let endpoint = state.extra.endpoints.get(&request.to).cloned();
             let until = send_until(self.shared, &state, request.to);
-            place
+            endpoint
                 .zip(until)
-                .map(|(place, until)| (state.extra.connections(&place.service), place, until))
+                .map(|(to, until)| (state.extra.connections(&to.service), to, until))
         };
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
         self.shared.metrics.count_call(request.kind);
-        let Some((connections, place, until)) = place else {
+        let Some((connections, endpoint, until)) = endpoint else {
             return async { Err(Failure::NotSent) }.boxed();
         };
-        let callee = (place.leaf.clone(), place.address);
+        let callee = (endpoint.leaf.clone(), endpoint.address);
         let call = LeafCall {
-            leaf: place.leaf,
-            address: place.address,
-            distance: place.distance,
+            leaf: endpoint.leaf,
+            address: endpoint.address,
+            distance: endpoint.distance,
             message: self.message.clone(),
             left: request.time_left,
             connections,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -24,8 +24,8 @@
 };
 
 use crate::{
-    calls::CallOutcomes,
-    forward::{Declined, Why},
+    forward::{DeclineReason, Declined},
+    leaf_calls::CallOutcomes,
     members::{self, Members},
     shared::Shared,
 };
@@ -49,16 +49,16 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// An attempt that no leaf answered, with the leafs whose connection was lost.
-pub(crate) struct Doubt {
+pub(crate) struct SuspectAttempt {
     fingerprint: Fingerprint,
     leafs: Vec<(LeafId, std::net::SocketAddr)>,
 }
 
 /// The queue of suspect attempts to check.
-pub(crate) type SuspectReceiver = mpsc::Receiver<Doubt>;
+pub(crate) type SuspectReceiver = mpsc::Receiver<SuspectAttempt>;
 
 /// The bounded queue of suspect attempts.
-pub(crate) fn suspect_channel() -> (mpsc::Sender<Doubt>, SuspectReceiver) {
+pub(crate) fn suspect_channel() -> (mpsc::Sender<SuspectAttempt>, SuspectReceiver) {
     mpsc::channel(QUEUE_MAX)
 }
 
@@ -109,11 +109,11 @@
         if outcomes.lost.is_empty() {
             return;
         }
-        let suspect = Doubt {
+        let suspect = SuspectAttempt {
             fingerprint: self.fingerprint,
             leafs: outcomes.lost,
         };
-        match shared.doubts.try_send(suspect) {
+        match shared.suspect_attempts.try_send(suspect) {
             Ok(()) | Err(TrySendError::Closed(_)) => {}
             Err(TrySendError::Full(_)) => {
                 warn!(shared.runtime.log, "quarantine: too many suspect attempts to check, one is dropped"; "asks" => %self.fingerprint);
@@ -132,9 +132,9 @@
         Handling::Free => Ok(Trust::Trusted),
         Handling::Trial => Ok(Trust::Suspected),
         Handling::Refused(after) => Err(Declined {
-            why: Why::Declined(Reason::Quarantined),
+            reason: DeclineReason::Declined(Reason::Quarantined),
             run: Run::NotRun,
-            after: Some(after),
+            retry_after: Some(after),
         }),
     }
 }
@@ -180,8 +180,8 @@
 type CheckCache = Mutex<BTreeMap<LeafId, (Time, Listening)>>;
 
 /// Checks the leafs of a suspect attempt and records those that have crashed.
-async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: Doubt) {
-    let Doubt {
+async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: SuspectAttempt) {
+    let SuspectAttempt {
         fingerprint,
         mut leafs,
     } = suspect;
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! Fake store with injected faults: unresponsiveness, lost_watches watches and rejected entries.
+//! Fake store with injected faults: unresponsiveness, lost watches and rejected entries.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +11,9 @@
 use chestnut_flow::lock;
 use chestnut_port::{Batch, Content, Feed, FeedError, Freshness, Item};
 use chestnut_quarantine::Fingerprint;
-use chestnut_relay::{Advert, Adverts, LeafEntry, LeaseStore, Record, Records};
+use chestnut_relay::{
+    Advert, Adverts, LeafRegistration, LeaseStore, QuarantineRecord, RecordStore,
+};
 use chestnut_unit::{DomainName, LeafId, MemberId};
 use futures::{FutureExt, future::BoxFuture};
 use serde::Serialize;
@@ -22,7 +24,7 @@
 
 use super::{
     net::{ANSWER_OVERHEAD, Links},
-    peers_address,
+    peer_address,
 };
 
 /// Timeout of the adapter for a check.
@@ -30,11 +32,11 @@
 
 /// Whether the store responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
+pub enum Availability {
     /// It answers every call.
-    Yes,
+    Up,
     /// Calls and watches in progress get no answer.
-    Never,
+    Unresponsive,
 }
 
 /// What the store holds, and its faults.
@@ -42,14 +44,14 @@
 struct State {
     revision: u64,
     book: Option<(u64, RouteBook)>,
-    leafs: BTreeMap<LeafId, (u64, LeafEntry)>,
+    leafs: BTreeMap<LeafId, (u64, LeafRegistration)>,
     deleted: Vec<(u64, LeafId)>,
     /// Leafs whose entries another writer has overwritten with malformed ones.
     malformed: BTreeMap<LeafId, u64>,
     /// Whether each failure domain is evacuated, and the revision of its last change.
     evacuated: BTreeMap<DomainName, (u64, bool)>,
     adverts: BTreeMap<MemberId, Advert>,
-    records: BTreeMap<Fingerprint, Record>,
+    records: BTreeMap<Fingerprint, QuarantineRecord>,
     leases: BTreeMap<LeaseId, LeaseRecord>,
     unresponsive: bool,
     /// Changes of responsiveness so far; a watch from before the last is never answered.
@@ -83,7 +85,7 @@
     }
 
     /// Writes the entry of a leaf.
-    pub fn put_leaf(&self, id: &LeafId, entry: LeafEntry) {
+    pub fn put_leaf(&self, id: &LeafId, entry: LeafRegistration) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -93,7 +95,7 @@
     }
 
     /// Overwrites the entry of a leaf with a malformed one.
-    pub fn spoil_leaf(&self, id: &LeafId) {
+    pub fn corrupt_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -103,7 +105,7 @@
     }
 
     /// Deletes the entry of a leaf.
-    pub fn drop_leaf(&self, id: &LeafId) {
+    pub fn delete_leaf(&self, id: &LeafId) {
         let mut stored = lock(&self.stored);
         stored.revision += 1;
         let revision = stored.revision;
@@ -118,7 +120,7 @@
     }
 
     /// Ends the evacuation of a failure domain.
-    pub fn refill(&self, domain: &str) {
+    pub fn end_evacuation(&self, domain: &str) {
         self.set_evacuated(domain, false);
     }
 
@@ -132,15 +134,15 @@
     }
 
     /// Sets whether the store responds; watches in progress are never answered.
-    pub fn answers(&self, answers: Answers) {
+    pub fn set_answers(&self, availability: Availability) {
         let mut stored = lock(&self.stored);
-        stored.unresponsive = answers == Answers::Never;
+        stored.unresponsive = availability == Availability::Unresponsive;
         stored.outages += 1;
         self.changed.notify_waiters();
     }
 
     /// Drops the answers of the next `count` watches while the store responds to all else.
-    pub fn lose_watches(&self, count: usize) {
+    pub fn drop_watches(&self, count: usize) {
         lock(&self.stored).lost_watches = count;
     }
 
@@ -159,19 +161,19 @@
             Content::Deleted | Content::Malformed => 0,
         };
         let bytes = ANSWER_OVERHEAD + batch.items.iter().map(size).sum::<usize>();
-        let to = peers_address(self.caller);
+        let to = peer_address(self.caller);
         self.links.transfer_from_store(to, bytes).await;
         batch
     }
 
     /// Rejects the calls of these entries, and of no others.
-    pub fn bar(&self, entries: BTreeSet<u16>) {
+    pub fn reject(&self, entries: BTreeSet<u16>) {
         lock(&self.stored).rejected = entries;
         self.changed.notify_waiters();
     }
 
     /// Isolates these entries, and no others, from the store: their calls get no answer.
-    pub fn part(&self, entries: BTreeSet<u16>) {
+    pub fn isolate(&self, entries: BTreeSet<u16>) {
         lock(&self.stored).isolated = entries;
         self.changed.notify_waiters();
     }
@@ -343,9 +345,9 @@
 }
 
 /// An object of the feed of leafs.
-pub type LeafItem = (LeafId, LeafEntry);
+pub type LeafItem = (LeafId, LeafRegistration);
 
-fn leaf_item(id: &LeafId, entry: &LeafEntry) -> Item<LeafItem> {
+fn leaf_item(id: &LeafId, entry: &LeafRegistration) -> Item<LeafItem> {
     Item {
         name: id.to_string(),
         content: Content::Is((id.clone(), entry.clone())),
@@ -510,8 +512,8 @@
     }
 }
 
-impl Records for FakeStore {
-    fn list(&self) -> BoxFuture<'_, Result<Vec<Record>, FeedError>> {
+impl RecordStore for FakeStore {
+    fn list(&self) -> BoxFuture<'_, Result<Vec<QuarantineRecord>, FeedError>> {
         async move {
             self.check().await?;
             Ok(lock(&self.stored).records.values().cloned().collect())
@@ -519,7 +521,7 @@
         .boxed()
     }
 
-    fn write(&self, record: Record) -> BoxFuture<'_, Result<(), FeedError>> {
+    fn write(&self, record: QuarantineRecord) -> BoxFuture<'_, Result<(), FeedError>> {
         async move {
             self.check().await?;
             let fingerprint = record.report.fingerprint;
