--- a/crates/fake/src/experiment/condition.rs
+++ b/crates/fake/src/experiment/condition.rs
@@ -1,90 +1,90 @@
-//! The conditions under which policies are compared.
+//! The load and the faults under which policies are compared.
 
 use std::time::Duration;
 
 use chestnut_unit::Urgency;
 
-/// What goes wrong.
+/// A fault injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A share of calls takes a multiple of its time.
+    /// Multiplies the service time of a random share of calls.
     Stragglers {
-        /// Share of calls.
+        /// Share of calls affected, from 0 to 1.
         share: f64,
-        /// Factor on their time.
+        /// Factor on their service time.
         factor: f64,
     },
-    /// One leaf takes a multiple of its time for the middle of the run.
+    /// Multiplies the service time of one leaf in the middle third of the run.
     SlowLeaf {
-        /// Factor on its time.
+        /// Factor on its service time.
         factor: f64,
     },
-    /// Every call to one failure domain takes longer.
+    /// Adds network delay to and from the leafs of one failure domain.
     SlowDomain {
-        /// Time added.
+        /// Delay added in each direction.
         extra: Duration,
     },
-    /// One leaf dies in the middle of the run.
+    /// One leaf crashes a third into the run and stays down.
     LostLeaf,
-    /// All leafs of one failure domain die in the middle of the run.
+    /// All leafs of one failure domain crash a third into the run.
     LostDomain,
-    /// One replica of each shard, a third of the leafs, starts cold in the
-    /// middle of the run.
+    /// One replica of each shard turns cold (slow until warmed up) a third into
+    /// the run.
     ColdLeafs,
-    /// Health and load endpoints tell the opposite of the truth.
+    /// Health and load endpoints report idle leafs as loaded and the reverse.
     LyingHealth,
-    /// Leafs refuse what finds no free slot.
+    /// Leafs refuse calls when all slots are busy instead of queueing them.
     Shedding,
-    /// A new index version with a new layout comes in the middle of the run,
-    /// and the leafs drop the old one half a second later.
+    /// A new index version with another shard layout is published a third into
+    /// the run, and the leafs drop the old version shortly after.
     NewVersion,
-    /// All open connections to a third of the leafs go silent at once.
+    /// All open connections to a third of the leafs stop carrying traffic
+    /// without being closed.
     SilentConnections,
-    /// One entry dies in the middle of the run.
+    /// One entry crashes a third into the run.
     DeadEntry,
-    /// One entry stops for ten seconds and comes back.
+    /// One entry process is suspended for a while and then resumes.
     FrozenEntry,
-    /// Every leaf stops for a quarter of a second each six seconds, each at its
-    /// own time.
+    /// Every leaf pauses periodically, out of phase with the others.
     Pauses,
-    /// Some shards have one leaf left, from the start on.
+    /// Some shards have a single replica from the start of the run.
     Scarce {
-        /// Shards.
+        /// Number of such shards.
         shards: usize,
     },
 }
 
-/// One condition.
+/// The load and the faults of a run.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// Its name in the tables.
+    /// Name in the tables.
     pub name: &'static str,
-    /// Load, as a share of what the slots can serve.
+    /// Arrival rate as a share of [`Shape::capacity`](super::Shape::capacity).
     pub load: f64,
-    /// Share of each urgency among the queries.
+    /// Share of the queries in each urgency class.
     pub mix: [(Urgency, f64); 3],
-    /// What goes wrong.
+    /// Faults injected.
     pub faults: Vec<Fault>,
 }
 
-const NORMAL: [(Urgency, f64); 3] = [
+const NORMAL_MIX: [(Urgency, f64); 3] = [
     (Urgency::Now, 0.2),
     (Urgency::Normal, 0.8),
     (Urgency::Archive, 0.0),
 ];
-const MIXED: [(Urgency, f64); 3] = [
+const ARCHIVE_MIX: [(Urgency, f64); 3] = [
     (Urgency::Now, 0.2),
     (Urgency::Normal, 0.3),
     (Urgency::Archive, 0.5),
 ];
 
-fn at(name: &'static str, load: f64, faults: &[Fault]) -> Condition {
+fn with_faults(name: &'static str, load: f64, faults: &[Fault]) -> Condition {
     Condition {
         name,
         load,
-        mix: NORMAL,
+        mix: NORMAL_MIX,
         faults: faults.to_vec(),
     }
 }
@@ -93,12 +93,12 @@
     Condition {
         name,
         load,
-        mix: MIXED,
+        mix: ARCHIVE_MIX,
         faults: vec![Fault::None],
     }
 }
 
-/// All conditions, the calm ones first.
+/// Returns the conditions of the policy comparison, those without faults first.
 #[must_use]
 pub fn conditions() -> Vec<Condition> {
     let straggle = |share, factor| Fault::Stragglers { share, factor };
@@ -106,32 +106,32 @@
         extra: Duration::from_millis(20),
     };
     vec![
-        at("calm-50", 0.5, &[Fault::None]),
-        at("calm-80", 0.8, &[Fault::None]),
-        at("stragglers-1x10", 0.5, &[straggle(0.01, 10.0)]),
-        at("stragglers-1x30", 0.5, &[straggle(0.01, 30.0)]),
-        at("stragglers-5x10", 0.5, &[straggle(0.05, 10.0)]),
-        at("stragglers-5x30", 0.5, &[straggle(0.05, 30.0)]),
-        at("slow-leaf", 0.5, &[Fault::SlowLeaf { factor: 10.0 }]),
-        at("slow-domain", 0.5, &[slow_domain]),
-        at("lost-leaf", 0.5, &[Fault::LostLeaf]),
-        at("lost-domain", 0.5, &[Fault::LostDomain]),
-        at("cold-leafs", 0.5, &[Fault::ColdLeafs]),
-        at("lying-health", 0.5, &[Fault::LyingHealth]),
-        at("shedding", 0.8, &[Fault::Shedding]),
+        with_faults("calm-50", 0.5, &[Fault::None]),
+        with_faults("calm-80", 0.8, &[Fault::None]),
+        with_faults("stragglers-1x10", 0.5, &[straggle(0.01, 10.0)]),
+        with_faults("stragglers-1x30", 0.5, &[straggle(0.01, 30.0)]),
+        with_faults("stragglers-5x10", 0.5, &[straggle(0.05, 10.0)]),
+        with_faults("stragglers-5x30", 0.5, &[straggle(0.05, 30.0)]),
+        with_faults("slow-leaf", 0.5, &[Fault::SlowLeaf { factor: 10.0 }]),
+        with_faults("slow-domain", 0.5, &[slow_domain]),
+        with_faults("lost-leaf", 0.5, &[Fault::LostLeaf]),
+        with_faults("lost-domain", 0.5, &[Fault::LostDomain]),
+        with_faults("cold-leafs", 0.5, &[Fault::ColdLeafs]),
+        with_faults("lying-health", 0.5, &[Fault::LyingHealth]),
+        with_faults("shedding", 0.8, &[Fault::Shedding]),
         mixed("mixed-50", 0.5),
         mixed("overload-130", 1.3),
         mixed("overload-200", 2.0),
-        at("new-version", 0.5, &[Fault::NewVersion]),
-        at("silent-third", 0.5, &[Fault::SilentConnections]),
-        at("dead-entry", 0.5, &[Fault::DeadEntry]),
-        at("frozen-entry", 0.5, &[Fault::FrozenEntry]),
-        at(
+        with_faults("new-version", 0.5, &[Fault::NewVersion]),
+        with_faults("silent-third", 0.5, &[Fault::SilentConnections]),
+        with_faults("dead-entry", 0.5, &[Fault::DeadEntry]),
+        with_faults("frozen-entry", 0.5, &[Fault::FrozenEntry]),
+        with_faults(
             "silent+lost-leaf",
             0.5,
             &[Fault::SilentConnections, Fault::LostLeaf],
         ),
-        at(
+        with_faults(
             "version+slow-leaf",
             0.5,
             &[Fault::NewVersion, Fault::SlowLeaf { factor: 10.0 }],
@@ -139,21 +139,22 @@
     ]
 }
 
-/// Conditions in which some shards have little room. Loads are shares of what
-/// a shard with one leaf of three can serve.
+/// Returns the conditions in which some shards have little capacity.
+///
+/// Loads are relative to the capacity of a shard with one replica of three.
 #[must_use]
 pub fn room_conditions() -> Vec<Condition> {
     const ONE_OF_THREE: f64 = 1.0 / 3.0;
-    let scarce = |name, load: f64, shards| {
+    let reduced = |name, load: f64, shards| {
         let faults = [Fault::Pauses, Fault::Scarce { shards }];
-        at(name, load * ONE_OF_THREE, &faults)
+        with_faults(name, load * ONE_OF_THREE, &faults)
     };
     vec![
-        at("pauses", 0.85 * ONE_OF_THREE, &[Fault::Pauses]),
-        scarce("1 scarce, 85%", 0.85, 1),
-        scarce("1 scarce, 130%", 1.3, 1),
-        scarce("2 scarce, 85%", 0.85, 2),
-        scarce("2 scarce, 130%", 1.3, 2),
-        scarce("3 scarce, 130%", 1.3, 3),
+        with_faults("pauses", 0.85 * ONE_OF_THREE, &[Fault::Pauses]),
+        reduced("1 scarce, 85%", 0.85, 1),
+        reduced("1 scarce, 130%", 1.3, 1),
+        reduced("2 scarce, 85%", 0.85, 2),
+        reduced("2 scarce, 130%", 1.3, 2),
+        reduced("3 scarce, 130%", 1.3, 3),
     ]
 }
--- a/crates/fake/src/experiment/entry.rs
+++ b/crates/fake/src/experiment/entry.rs
@@ -1,4 +1,5 @@
-//! An entry of an experiment: the daemon's own decision code and its state.
+//! An entry, the process that callers connect to: the daemon's routing code and
+//! its state.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,23 +12,26 @@
 
 use super::{Policy, Shape};
 
-/// A request at an entry, from its arrival on.
+/// A request at an entry, from its arrival to its end.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) urgency: Urgency,
     pub(super) arrived: Time,
     pub(super) deadline: Time,
+    /// When its query first started.
     pub(super) started: Option<Time>,
     pub(super) query: Option<Query<()>>,
+    /// Restarts of its query after a lost snapshot.
     pub(super) restarts: u32,
-    pub(super) ticking: Time,
-    /// Times that its caller will come back if it is refused.
-    pub(super) returns: u32,
+    /// When the timer armed for its query fires.
+    pub(super) timer_at: Time,
+    /// Retries that its caller still makes if it is not served.
+    pub(super) retries_left: u32,
 }
 
-/// A call that waits for a connection.
+/// A call that waits for a connection to its leaf.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingCall {
     pub(super) query: u64,
     pub(super) call: CallId,
     pub(super) shards: Vec<usize>,
@@ -38,36 +42,44 @@
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) pool: Pool,
+    /// Connections that carry no traffic but are not yet closed.
     pub(super) silent: Vec<ConnId>,
-    pub(super) waiting: Vec<Waiting>,
-    pub(super) flying: BTreeMap<(u64, CallId), ConnId>,
+    /// Calls that wait for a connection.
+    pub(super) pending: Vec<PendingCall>,
+    /// Connection of each call that has been sent, by query and call.
+    pub(super) in_flight: BTreeMap<(u64, CallId), ConnId>,
 }
 
-/// An entry.
+/// A modelled entry.
 pub(super) struct Entry {
     pub(super) domain: usize,
     pub(super) table: Table,
     pub(super) versions: Versions,
     pub(super) admission: Admission,
     pub(super) requests: BTreeMap<u64, Request>,
+    /// Connections by leaf.
     pub(super) links: Vec<Link>,
-    pub(super) ixs: Vec<Ix>,
+    /// Index in the routing table of each leaf.
+    pub(super) backends: Vec<Ix>,
     pub(super) rng: ChaCha8Rng,
-    pub(super) dead: bool,
-    pub(super) frozen: Option<Time>,
+    pub(super) crashed: bool,
+    /// Time until which the process is suspended.
+    pub(super) frozen_until: Option<Time>,
+    /// Connections opened after the warm-up.
     pub(super) opened: u64,
 }
 
 impl Entry {
+    /// Creates an entry that knows the first index version.
     pub(super) fn new(domain: usize, shape: &Shape, policy: &Policy, rng: ChaCha8Rng) -> Self {
         let mut table = Table::new(policy.table.clone());
         let add = |leaf: usize| {
             let id = LeafId::new(format!("l{leaf}")).expect("a legal name");
             table.add(Backend::Leaf(id), shape.slots as u32, Time::ZERO)
         };
-        let ixs: Vec<Ix> = (0..shape.leafs).map(add).collect();
+        let backends: Vec<Ix> = (0..shape.leafs).map(add).collect();
         if let Some(bounds) = policy.rooms.bounds(shape) {
-            for ix in &ixs {
+            for ix in &backends {
                 table.set_bounds(*ix, bounds);
             }
         }
@@ -77,8 +89,8 @@
         let link = || Link {
             pool: Pool::new(shape.pool, shape.spare),
             silent: Vec::new(),
-            waiting: Vec::new(),
-            flying: BTreeMap::new(),
+            pending: Vec::new(),
+            in_flight: BTreeMap::new(),
         };
         let mut entry = Self {
             domain,
@@ -87,22 +99,22 @@
             admission: Admission::new(policy.admit),
             requests: BTreeMap::new(),
             links: (0..shape.leafs).map(|_| link()).collect(),
-            ixs,
+            backends,
             rng,
-            dead: false,
-            frozen: None,
+            crashed: false,
+            frozen_until: None,
             opened: 0,
         };
         entry.add_version(shape, IndexVersion(1), 0);
         entry
     }
 
-    /// Learns of an index version whose shards start at leaf `shift`.
+    /// Adds an index version whose first replica is at leaf `shift`.
     pub(super) fn add_version(&mut self, shape: &Shape, version: IndexVersion, shift: usize) {
         let shard = |s: usize| Route {
             name: ShardName::new(format!("s{s}")).expect("a legal name"),
             replicas: (0..shape.replicas)
-                .map(|r| self.ixs[(s * shape.replicas + r + shift) % shape.leafs])
+                .map(|r| self.backends[(s * shape.replicas + r + shift) % shape.leafs])
                 .collect(),
             budget: BudgetId::default(),
         };
@@ -116,10 +128,12 @@
         self.versions.insert(routes);
     }
 
+    /// Returns the routes of the index version for a new query.
     pub(super) fn pin(&self, now: Time) -> Option<Arc<Routes>> {
         self.versions.pin(&self.table, now)
     }
 
+    /// Returns the leaf at an index of the routing table.
     pub(super) fn leaf_of(&self, ix: Ix) -> usize {
         ix.index()
     }
--- a/crates/fake/src/experiment/faults.rs
+++ b/crates/fake/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as they start and end.
+//! Injection of faults, and their end.
 
 use std::time::Duration;
 
@@ -10,39 +10,40 @@
     sim::{Event, Sim},
 };
 
-/// Time in which a connection's pings find that it is silent.
-const PING_FINDS: Duration = Duration::from_millis(1500);
-/// How long the leafs keep the old index version beside the new one.
-const OLD_KEPT: Duration = Duration::from_millis(500);
-/// How long a frozen entry stops.
-const FREEZE: Duration = Duration::from_secs(10);
+/// Time after which pings detect a silent connection.
+const PING_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long the leafs keep the old index version after a new one appears.
+const OLD_VERSION_RETENTION: Duration = Duration::from_millis(500);
+/// How long a frozen entry is suspended.
+const FREEZE_DURATION: Duration = Duration::from_secs(10);
 
 impl Sim<'_> {
-    pub(super) fn fault(&mut self, number: usize) {
+    /// Applies the fault of this number.
+    pub(super) fn start_fault(&mut self, number: usize) {
         match self.condition.faults[number] {
-            Fault::SlowLeaf { factor } => self.leafs[0].slow = factor,
-            Fault::SlowDomain { extra } => self.extra[0] = extra,
-            Fault::LostLeaf => self.lose_leaf(0),
+            Fault::SlowLeaf { factor } => self.leafs[0].fault_factor = factor,
+            Fault::SlowDomain { extra } => self.extra_latency[0] = extra,
+            Fault::LostLeaf => self.crash_leaf(0),
             Fault::LostDomain => {
                 for leaf in 0..self.leafs.len() {
                     if self.leafs[leaf].domain == 0 {
-                        self.lose_leaf(leaf);
+                        self.crash_leaf(leaf);
                     }
                 }
             }
             Fault::ColdLeafs => {
                 for leaf in (0..self.leafs.len()).step_by(self.shape.replicas) {
-                    self.leafs[leaf].cold = Some(self.now);
+                    self.leafs[leaf].cold_since = Some(self.now);
                 }
             }
             Fault::NewVersion => self.new_version(),
-            Fault::SilentConnections => self.silence(),
+            Fault::SilentConnections => self.silence_connections(),
             Fault::DeadEntry => {
-                self.entries[0].dead = true;
+                self.entries[0].crashed = true;
                 self.entries[0].requests.clear();
             }
-            Fault::FrozenEntry => self.entries[0].frozen = Some(self.now + FREEZE),
-            Fault::Scarce { shards } => self.scarce(shards),
+            Fault::FrozenEntry => self.entries[0].frozen_until = Some(self.now + FREEZE_DURATION),
+            Fault::Scarce { shards } => self.remove_replicas(shards),
             Fault::None
             | Fault::Stragglers { .. }
             | Fault::LyingHealth
@@ -51,18 +52,20 @@
         }
     }
 
-    pub(super) fn fault_ends(&mut self, number: usize) {
+    /// Reverts the fault of this number.
+    pub(super) fn end_fault(&mut self, number: usize) {
         match self.condition.faults[number] {
-            Fault::SlowLeaf { .. } => self.leafs[0].slow = 1.0,
-            Fault::FrozenEntry => self.entries[0].frozen = None,
+            Fault::SlowLeaf { .. } => self.leafs[0].fault_factor = 1.0,
+            Fault::FrozenEntry => self.entries[0].frozen_until = None,
             _ => {}
         }
     }
 
-    pub(super) fn lose_leaf(&mut self, leaf: usize) {
-        self.leafs[leaf].dead = true;
+    /// Crashes a leaf: fails its calls and resets the connection pools to it.
+    pub(super) fn crash_leaf(&mut self, leaf: usize) {
+        self.leafs[leaf].crashed = true;
         for job in self.leafs[leaf].drop_all() {
-            self.answer(leaf, job, Err(Failure::Lost));
+            self.send_reply(leaf, job, Err(Failure::Lost));
         }
         self.leafs[leaf].connections = 0;
         for entry in &mut self.entries {
@@ -70,19 +73,23 @@
         }
     }
 
-    /// Takes all leafs but one of some shards away; the entries are told.
-    fn scarce(&mut self, shards: usize) {
+    /// Removes all replicas but one of some shards, and marks them as leaving at
+    /// the entries.
+    fn remove_replicas(&mut self, shards: usize) {
         for shard in 0..shards {
             for replica in 1..self.shape.replicas {
                 let leaf = shard * self.shape.replicas + replica;
-                self.lose_leaf(leaf);
+                self.crash_leaf(leaf);
                 for entry in &mut self.entries {
-                    entry.table.set_leaving(entry.ixs[leaf], true, self.now);
+                    entry
+                        .table
+                        .set_leaving(entry.backends[leaf], true, self.now);
                 }
             }
         }
     }
 
+    /// Publishes a new index version, with each shard moved by one leaf.
     pub(super) fn new_version(&mut self) {
         let version = IndexVersion(2);
         for leaf in &mut self.leafs {
@@ -91,18 +98,19 @@
         for entry in &mut self.entries {
             entry.add_version(self.shape, version, 1);
         }
-        self.after(OLD_KEPT, Event::DropOld);
+        self.schedule(OLD_VERSION_RETENTION, Event::DropOldVersion);
     }
 
-    pub(super) fn silence(&mut self) {
+    /// Makes the open connections to a third of the leafs silent.
+    pub(super) fn silence_connections(&mut self) {
         for at in 0..self.entries.len() {
             for leaf in 0..self.leafs.len() / 3 {
                 let silent = self.entries[at].links[leaf].pool.ids();
                 self.entries[at].links[leaf].silent = silent.clone();
                 for conn in silent {
-                    self.after(
-                        PING_FINDS,
-                        Event::Silent {
+                    self.schedule(
+                        PING_TIMEOUT,
+                        Event::SilenceFound {
                             entry: at,
                             leaf,
                             conn,
@@ -114,12 +122,12 @@
     }
 }
 
-/// When a fault starts and ends in a run of `span`.
+/// Returns when a fault starts, and when it ends if it does, in a run of `span`.
 pub(super) fn fault_times(fault: &Fault, span: Duration) -> (Duration, Option<Duration>) {
     let third = span / 3;
     match fault {
         Fault::SlowLeaf { .. } => (third, Some(third * 2)),
-        Fault::FrozenEntry => (third, Some(third + FREEZE)),
+        Fault::FrozenEntry => (third, Some(third + FREEZE_DURATION)),
         Fault::SlowDomain { .. } | Fault::Scarce { .. } => (Duration::ZERO, None),
         _ => (third, None),
     }
--- a/crates/fake/src/experiment/leaf.rs
+++ b/crates/fake/src/experiment/leaf.rs
@@ -1,4 +1,5 @@
-//! The model of a leaf: slots, a queue, and what can go wrong with it.
+//! The model of a leaf, a server of shards: slots, a bounded queue, slowdowns
+//! and crashes.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,7 +7,7 @@
 use chestnut_unit::{IndexVersion, Time};
 use rand::Rng;
 
-/// A call at a leaf.
+/// A call as a leaf sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Job {
     pub(super) entry: usize,
@@ -17,82 +18,90 @@
     pub(super) shards: Vec<usize>,
 }
 
-/// A leaf.
+/// A modelled leaf.
 #[derive(Debug)]
 pub(super) struct Leaf {
     pub(super) domain: usize,
     pub(super) slots: usize,
+    /// Capacity of the queue.
     pub(super) queue_max: usize,
-    pub(super) slow: f64,
-    pub(super) cold: Option<Time>,
-    pub(super) dead: bool,
+    /// Factor on service times from an injected fault.
+    pub(super) fault_factor: f64,
+    /// When the leaf turned cold.
+    pub(super) cold_since: Option<Time>,
+    pub(super) crashed: bool,
+    /// Index versions that the leaf serves.
     pub(super) versions: Vec<IndexVersion>,
     pub(super) connections: usize,
-    pub(super) connections_peak: usize,
+    pub(super) peak_connections: usize,
     running: Vec<(u64, Job)>,
     queue: VecDeque<Job>,
-    next: u64,
+    next_number: u64,
 }
 
-/// What a leaf does with a new call.
-pub(super) enum Taken {
-    /// It starts; this is its number.
-    Runs(u64),
-    /// It waits for a slot.
-    Waits,
-    /// It is shed.
+/// How a leaf handles a new call.
+pub(super) enum Placement {
+    /// The call runs in a slot under this number.
+    Started(u64),
+    /// The call waits for a slot.
+    Queued,
+    /// The queue is full and the call is rejected.
     Shed,
 }
 
-/// Time in which a cold leaf comes to its full speed.
+/// Time that a cold leaf takes to reach its full speed.
 const WARM_UP: Duration = Duration::from_secs(5);
-/// Factor on the time of a call to a leaf that has just started.
-const COLD: f64 = 8.0;
-/// Spread of service times: the standard deviation of their logarithm.
-const SPREAD: f64 = 0.25;
+/// Factor on service times at a leaf that has just started.
+const COLD_SLOWDOWN: f64 = 8.0;
+/// Standard deviation of the logarithm of service times.
+const LOG_STDDEV: f64 = 0.25;
 
 impl Leaf {
+    /// Creates an idle leaf.
     pub(super) fn new(domain: usize, slots: usize, queue_max: usize) -> Self {
         Self {
             domain,
             slots,
             queue_max,
-            slow: 1.0,
-            cold: None,
-            dead: false,
+            fault_factor: 1.0,
+            cold_since: None,
+            crashed: false,
             versions: vec![IndexVersion(1)],
             connections: 0,
-            connections_peak: 0,
+            peak_connections: 0,
             running: Vec::new(),
             queue: VecDeque::new(),
-            next: 0,
+            next_number: 0,
         }
     }
 
+    /// Counts a new connection.
     pub(super) fn connect(&mut self) {
         self.connections += 1;
-        self.connections_peak = self.connections_peak.max(self.connections);
+        self.peak_connections = self.peak_connections.max(self.connections);
     }
 
-    pub(super) fn take(&mut self, job: Job) -> Taken {
+    /// Starts a call, queues it, or sheds it.
+    pub(super) fn accept(&mut self, job: Job) -> Placement {
         if self.running.len() < self.slots {
-            return Taken::Runs(self.start(job));
+            return Placement::Started(self.start(job));
         }
         if self.queue.len() >= self.queue_max {
-            return Taken::Shed;
+            return Placement::Shed;
         }
         self.queue.push_back(job);
-        Taken::Waits
+        Placement::Queued
     }
 
-    /// A call is done; returns it and the number of the one that starts now.
-    pub(super) fn done(&mut self, number: u64) -> Option<(Job, Option<u64>)> {
+    /// Ends a running call; returns it and the number of the call started in its
+    /// slot.
+    pub(super) fn complete(&mut self, number: u64) -> Option<(Job, Option<u64>)> {
         let at = self.running.iter().position(|(n, _)| *n == number)?;
         let (_, job) = self.running.swap_remove(at);
-        Some((job, self.refill()))
+        Some((job, self.start_next()))
     }
 
-    /// A call is cancelled; returns the number of the one that starts now.
+    /// Cancels a call; returns the number of the call started in its slot.
     pub(super) fn cancel(&mut self, entry: usize, query: u64, call: CallId) -> Option<u64> {
         let same = |job: &Job| job.entry == entry && job.query == query && job.call == call;
         if let Some(at) = self.queue.iter().position(same) {
@@ -101,53 +110,54 @@
         }
         let at = self.running.iter().position(|(_, job)| same(job))?;
         self.running.swap_remove(at);
-        self.refill()
+        self.start_next()
     }
 
-    /// Ends every call, as when the leaf dies.
+    /// Removes and returns all running and queued calls.
     pub(super) fn drop_all(&mut self) -> Vec<Job> {
         let running = self.running.drain(..).map(|(_, job)| job);
         running.chain(self.queue.drain(..)).collect()
     }
 
+    /// Returns running and queued calls per slot.
     pub(super) fn load(&self) -> f64 {
         (self.running.len() + self.queue.len()) as f64 / self.slots as f64
     }
 
-    /// Factor on service times now.
-    pub(super) fn factor(&self, now: Time) -> f64 {
-        let Some(since) = self.cold else {
-            return self.slow;
+    /// Returns the current factor on service times.
+    pub(super) fn service_factor(&self, now: Time) -> f64 {
+        let Some(since) = self.cold_since else {
+            return self.fault_factor;
         };
         let age = (now.since(since).as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
-        self.slow * (COLD - (COLD - 1.0) * age)
+        self.fault_factor * (COLD_SLOWDOWN - (COLD_SLOWDOWN - 1.0) * age)
     }
 
-    fn refill(&mut self) -> Option<u64> {
+    fn start_next(&mut self) -> Option<u64> {
         let job = self.queue.pop_front()?;
         Some(self.start(job))
     }
 
     fn start(&mut self, job: Job) -> u64 {
-        self.next += 1;
-        self.running.push((self.next, job));
-        self.next
+        self.next_number += 1;
+        self.running.push((self.next_number, job));
+        self.next_number
     }
 }
 
-/// A draw from 0 to 1.
-pub(super) fn unit(rng: &mut dyn Rng) -> f64 {
+/// Draws uniformly from 0 (included) to 1 (excluded).
+pub(super) fn uniform(rng: &mut dyn Rng) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A service time around `median`.
+/// Draws a log-normal service time with this median.
 pub(super) fn service_time(median: Duration, rng: &mut dyn Rng) -> Duration {
-    let radius = (-2.0 * (1.0 - unit(rng)).ln()).sqrt();
-    let normal = radius * (std::f64::consts::TAU * unit(rng)).cos();
-    median.mul_f64((SPREAD * normal).exp())
+    let radius = (-2.0 * (1.0 - uniform(rng)).ln()).sqrt();
+    let normal = radius * (std::f64::consts::TAU * uniform(rng)).cos();
+    median.mul_f64((LOG_STDDEV * normal).exp())
 }
 
-/// Mean of [`service_time`] as a multiple of the median.
-pub(super) fn mean_factor() -> f64 {
-    (SPREAD * SPREAD / 2.0).exp()
+/// Returns the ratio of mean to median of [`service_time`].
+pub(super) fn mean_to_median() -> f64 {
+    (LOG_STDDEV * LOG_STDDEV / 2.0).exp()
 }
--- a/crates/fake/src/experiment/mod.rs
+++ b/crates/fake/src/experiment/mod.rs
@@ -1,9 +1,10 @@
 //! Experiments: the routing decisions over modelled leafs and connections, in
 //! virtual time with fixed seeds.
 //!
-//! A plain event queue drives the very code that the daemon runs: admission,
-//! choice, hedges, retries, pools. Networks, leafs and connections are small
-//! models of the brief's deployments. The same seed gives the same figures.
+//! An event queue drives the code that the daemon runs: admission control,
+//! replica choice, hedges, retries and connection pools. Only the network, the
+//! leafs (servers that each hold replicas of some shards) and the connections
+//! are modelled. The same seed gives the same figures.
 
 mod condition;
 mod entry;
--- a/crates/fake/src/experiment/policy.rs
+++ b/crates/fake/src/experiment/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The routing policies that are compared.
 
 use std::time::Duration;
 
@@ -7,34 +7,34 @@
 
 use super::Shape;
 
-/// One way to decide.
+/// A configuration of routing and admission.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// Its name in the tables.
+    /// Name in the tables.
     pub name: &'static str,
-    /// Choice, hedges, retries, guard.
+    /// Replica choice, hedging, retries and outlier guard.
     pub table: TableConfig,
-    /// Admission.
+    /// Admission control.
     pub admit: AdmitConfig,
-    /// How many calls are kept under way at a leaf.
+    /// Limit on concurrent calls to a leaf.
     pub rooms: Rooms,
 }
 
-/// How many calls an entry keeps under way at a leaf.
+/// Limit on the calls that an entry has in flight at a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rooms {
-    /// Any number.
+    /// No limit.
     Any,
-    /// Its share of the connections.
+    /// The entry's share of the leaf's connections.
     Connections,
-    /// Its share of the slots.
+    /// The entry's share of the leaf's slots.
     Slots,
-    /// A window between the two.
+    /// An adaptive concurrency window between the two shares.
     Windows,
 }
 
 impl Rooms {
-    /// The bounds that make it so for an entry of `shape`.
+    /// Returns the concurrency bounds of an entry; none if unlimited.
     pub(super) fn bounds(self, shape: &Shape) -> Option<Bounds> {
         let connections = shape.connections / shape.entries;
         let share = Bounds::share(shape.slots as u32, shape.entries, connections);
@@ -53,14 +53,14 @@
     }
 }
 
-/// Requests at once that no run reaches: no limit.
+/// Concurrency limit that no run reaches.
 const UNLIMITED: u32 = 4096;
-/// Length of a pause of a leaf, as on the users' platform.
-pub(super) const PAUSE: Duration = Duration::from_millis(250);
-/// Delay of the fixed hedge: about the 97th percentile of a call at half load.
-const FIXED_DELAY: Duration = Duration::from_millis(12);
+/// Length of a pause of a leaf.
+pub(super) const PAUSE_DURATION: Duration = Duration::from_millis(250);
+/// Delay of the fixed hedge, a high quantile of call latency at half load.
+const FIXED_HEDGE_DELAY: Duration = Duration::from_millis(12);
 
-fn without_limits() -> AdmitConfig {
+fn unlimited() -> AdmitConfig {
     AdmitConfig {
         initial_limit: UNLIMITED,
         queue_capacity: 256,
@@ -68,7 +68,7 @@
     }
 }
 
-fn choice_only(name: &'static str, choice: Choice) -> Policy {
+fn unhedged(name: &'static str, choice: Choice) -> Policy {
     Policy {
         name,
         table: TableConfig {
@@ -94,10 +94,10 @@
     }
 }
 
-/// What the daemon runs, the candidates, and the baselines.
+/// Returns the daemon's default policy, the baselines and the alternatives.
 #[must_use]
 pub fn policies() -> Vec<Policy> {
-    let late = TableConfig::default().hedge;
+    let default_hedge = TableConfig::default().hedge;
     let naive = Policy {
         name: "naive",
         table: TableConfig {
@@ -107,7 +107,7 @@
             guard: Guard::Off,
             ..TableConfig::default()
         },
-        admit: without_limits(),
+        admit: unlimited(),
         rooms: Rooms::Any,
     };
     vec![
@@ -118,23 +118,27 @@
             rooms: Rooms::Any,
         },
         naive,
-        choice_only("least-outstanding", Choice::LeastOutstanding),
-        choice_only("power-of-two", Choice::PowerOfTwo),
-        choice_only("peak-ewma", Choice::PeakEwma),
-        choice_only("predicted", Choice::Predicted),
-        hedged("fixed-hedge", Choice::PeakEwma, Hedge::Fixed(FIXED_DELAY)),
-        hedged("predicted-hedged", Choice::Predicted, late),
-        hedged("damped", Choice::Damped, late),
+        unhedged("least-outstanding", Choice::LeastOutstanding),
+        unhedged("power-of-two", Choice::PowerOfTwo),
+        unhedged("peak-ewma", Choice::PeakEwma),
+        unhedged("predicted", Choice::Predicted),
+        hedged(
+            "fixed-hedge",
+            Choice::PeakEwma,
+            Hedge::Fixed(FIXED_HEDGE_DELAY),
+        ),
+        hedged("predicted-hedged", Choice::Predicted, default_hedge),
+        hedged("damped", Choice::Damped, default_hedge),
     ]
 }
 
-/// Ways to keep requests off shards that have little room: by the service's
-/// mean run time, by the fullest shard, not at all.
+/// Returns the policies that limit load on shards with little capacity: none, a
+/// limit from the service's mean run time, and limits for each leaf.
 #[must_use]
 pub fn room_policies() -> Vec<Policy> {
     let table = TableConfig {
         choice: Choice::Predicted,
-        stall_backoff: PAUSE,
+        stall_backoff: PAUSE_DURATION,
         ..TableConfig::default()
     };
     let policy = |name, admit, rooms| Policy {
@@ -144,10 +148,10 @@
         rooms,
     };
     vec![
-        policy("none", without_limits(), Rooms::Any),
+        policy("none", unlimited(), Rooms::Any),
         policy("mean run time", AdmitConfig::default(), Rooms::Any),
-        policy("connections", without_limits(), Rooms::Connections),
-        policy("slots", without_limits(), Rooms::Slots),
-        policy("windows", without_limits(), Rooms::Windows),
+        policy("connections", unlimited(), Rooms::Connections),
+        policy("slots", unlimited(), Rooms::Slots),
+        policy("windows", unlimited(), Rooms::Windows),
     ]
 }
--- a/crates/fake/src/experiment/report.rs
+++ b/crates/fake/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment found, as tables and plots.
+//! Results of experiments, as tables and plots.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -8,72 +8,74 @@
 use super::{Condition, Policy, Shape, simulate};
 use crate::{Series, plot_lines};
 
-/// What came of the queries of one urgency.
+/// Results of the queries of one urgency.
 #[derive(Clone, Debug)]
 pub struct UrgencyOutcome {
     /// Queries that arrived.
     pub arrived: u64,
-    /// Whole answers.
+    /// Queries answered by all shards.
     pub whole: u64,
-    /// Microseconds of whole answers.
+    /// Latency of complete answers, in microseconds.
     pub latency: Histogram<u32>,
 }
 
-/// What came of one run.
+/// Results of one run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// By urgency.
+    /// Results by urgency.
     pub urgencies: BTreeMap<Urgency, UrgencyOutcome>,
-    /// Microseconds of all whole answers.
+    /// Latency of all complete answers, in microseconds.
     pub latency: Histogram<u32>,
     /// Queries that arrived.
     pub arrived: u64,
-    /// Whole answers.
+    /// Queries answered by all shards.
     pub whole: u64,
-    /// Answers or refusals of which some shards were missing.
+    /// Queries that ran and ended without some shards.
     pub short: u64,
-    /// Sum over queries that ran of the share of shards that answered.
+    /// Sum of coverage (share of shards that answered) over queries that ran.
     pub covered: f64,
     /// Queries that ran.
     pub ran: u64,
     /// Refusals by reason.
     pub refused: BTreeMap<Reason, u64>,
-    /// Microseconds from arrival to refusal of refused queries.
+    /// Time from arrival to refusal, in microseconds.
     pub refusal: Histogram<u32>,
-    /// First calls, and extra ones, to leafs.
+    /// First calls of shards to leafs.
     pub first: u64,
-    /// Hedges.
+    /// Hedged calls.
     pub hedges: u64,
-    /// Retries.
+    /// Retried calls.
     pub retries: u64,
-    /// Shards asked.
+    /// Shards queried, summed over queries.
     pub shards: u64,
-    /// Connections opened after the start.
+    /// Connections opened after the warm-up.
     pub opened: u64,
-    /// Most connections of all entries to one leaf.
+    /// Peak number of connections from all entries to one leaf.
     pub peak: usize,
-    /// Connections that a leaf accepts.
+    /// Limit of connections to a leaf.
     pub limit: usize,
-    /// Evictions.
+    /// Outlier ejections of leafs.
     pub evictions: u64,
-    /// Answers that cover the least share, where that is asked for.
+    /// Answers with at least the minimum coverage; counted only if the shape has
+    /// a latency objective.
     pub served: u64,
-    /// Those that came within the goal.
+    /// Served answers within the latency objective.
     pub in_time: u64,
-    /// What all answers are worth together: of each the square of the share of
-    /// shards that are in, and a part of that if it is late.
+    /// Utility of all served answers: the square of each answer's coverage,
+    /// discounted if it is late.
     pub credit: f64,
-    /// Calls of requests that were served.
+    /// Calls made by attempts that were served.
     pub useful: u64,
-    /// Calls of attempts that were not served.
+    /// Calls made by attempts that were not served.
     pub wasted: u64,
-    /// Queries answered per second, as a share of what the slots can serve.
+    /// Complete answers per second as a share of the capacity.
     pub goodput: f64,
 }
 
 impl Outcome {
+    /// Returns empty results for leafs that accept `limit` connections.
     pub(super) fn new(limit: usize) -> Self {
-        let empty = || Histogram::new_with_max(MAX_US, 3).expect("constant bounds");
+        let empty = || Histogram::new_with_max(MAX_LATENCY_US, 3).expect("constant bounds");
         let of = |urgency| {
             let outcome = UrgencyOutcome {
                 arrived: 0,
@@ -109,41 +111,43 @@
         }
     }
 
-    /// Milliseconds of whole answers at a quantile.
+    /// Returns the latency of complete answers at a quantile, in milliseconds.
     #[must_use]
     pub fn ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Milliseconds of whole answers of one urgency at a quantile.
+    /// Returns the latency at a quantile for one urgency, in milliseconds.
     #[must_use]
     pub fn urgency_ms(&self, urgency: Urgency, quantile: f64) -> f64 {
         self.urgencies[&urgency].latency.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Share of the queries of one urgency that got a whole answer.
+    /// Returns the share of the queries of one urgency answered by all shards.
     #[must_use]
     pub fn urgency_whole(&self, urgency: Urgency) -> f64 {
         let outcome = &self.urgencies[&urgency];
         outcome.whole as f64 / outcome.arrived.max(1) as f64
     }
 
-    /// Extra leaf calls for each shard asked.
+    /// Returns the extra calls (hedges and retries) per shard queried.
     #[must_use]
     pub fn extra(&self) -> f64 {
         (self.hedges + self.retries) as f64 / self.shards.max(1) as f64
     }
 
-    /// Share of queries with a whole answer.
+    /// Returns the share of queries answered by all shards.
     #[must_use]
     pub fn complete(&self) -> f64 {
         self.whole as f64 / self.arrived.max(1) as f64
     }
 }
 
-pub(super) const MAX_US: u64 = 60_000_000;
+/// Largest latency recorded, in microseconds.
+pub(super) const MAX_LATENCY_US: u64 = 60_000_000;
 
-fn row(policy: &str, condition: &str, o: &Outcome) -> String {
+/// Formats the results of one run as a row of the table.
+fn table_row(policy: &str, condition: &str, o: &Outcome) -> String {
     let refused: u64 = o.refused.values().sum();
     format!(
         "| {condition} | {policy} | {:.1} | {:.1} | {:.1} | {:.1} | {:.2} | {:.2} | {:.2} | {:.2} | \
@@ -164,12 +168,12 @@
     )
 }
 
-const HEAD: &str = "| condition | policy | p50 ms | p99 | p99.9 | p99 now | now % | complete % | \
+const HEADER: &str = "| condition | policy | p50 ms | p99 | p99.9 | p99 now | now % | complete % | \
                     coverage % | extra % | refused | opened | peak conns | evicted | goodput |\n\
                     |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
-/// Runs every policy under every condition that `only` names (all if it names
-/// none), prints the table, and plots the 99th percentiles.
+/// Runs every policy under every condition, prints the table, and plots the 99th
+/// percentiles if `plot` names a file.
 ///
 /// # Errors
 ///
@@ -181,13 +185,13 @@
     seed: u64,
     plot: Option<&Path>,
 ) -> Result<(), String> {
-    println!("{HEAD}");
+    println!("{HEADER}");
     let mut series: Vec<Series> = Vec::new();
     for policy in policies {
         let mut points = Vec::new();
         for (number, condition) in conditions.iter().enumerate() {
             let outcome = simulate(shape, policy, condition, seed);
-            println!("{}", row(policy.name, condition.name, &outcome));
+            println!("{}", table_row(policy.name, condition.name, &outcome));
             points.push((number as f64, outcome.ms(0.99)));
         }
         series.push(Series {
--- a/crates/fake/src/experiment/requests.rs
+++ b/crates/fake/src/experiment/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: arrival, admission, the query, and how it ended.
+//! Requests: arrival, admission, the query, its end, and retries by callers.
 
 use std::time::Duration;
 
@@ -10,34 +10,35 @@
 use rand::Rng;
 
 use super::{
-    entry::{Request, Waiting},
-    leaf::unit,
-    report::MAX_US,
-    sim::{ARCHIVE_DEADLINE, DEADLINE, Event, Sim, WARM},
+    entry::{PendingCall, Request},
+    leaf::uniform,
+    report::MAX_LATENCY_US,
+    sim::{ARCHIVE_DEADLINE, DEADLINE, Event, MEASURE_START, Sim},
 };
 
-/// Times that a query may start over, as in the daemon.
-const RESTARTS: u32 = 3;
+/// Maximum restarts of a query that lost its snapshot, as in the daemon.
+const MAX_RESTARTS: u32 = 3;
 
-/// Part of its time after which a refused caller comes back, as entries say.
-const RETURN_PART: u32 = 4;
-/// What a late answer is worth of one in time, to the users.
-const LATE_WORTH: f64 = 0.1;
+/// A refused caller retries after about this fraction (1/n) of its time limit.
+const RETRY_DIVISOR: u32 = 4;
+/// Utility of a late answer, relative to one in time.
+const LATE_CREDIT: f64 = 0.1;
 
-/// How a request was not served.
+/// Why a request was not served.
 enum Unserved {
-    /// Its caller was told that nothing ran.
+    /// It was refused before any call was made.
     Refused,
     /// Its calls failed.
     Failed,
 }
 
 impl Sim<'_> {
+    /// Schedules the next arrival, and offers a new request to an entry.
     pub(super) fn arrive(&mut self) {
         let rate = self.shape.capacity() * self.condition.load;
-        let gap = -(1.0 - unit(&mut self.arrivals)).ln() / rate;
+        let gap = -(1.0 - uniform(&mut self.arrival_rng)).ln() / rate;
         if self.now < Time::ZERO + self.shape.span {
-            self.after(Duration::from_secs_f64(gap), Event::Arrive);
+            self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
         } else {
             return;
         }
@@ -56,10 +57,10 @@
             started: None,
             query: None,
             restarts: 0,
-            ticking: Time::MAX,
-            returns: u32::from(self.shape.goal.is_some()),
+            timer_at: Time::MAX,
+            retries_left: u32::from(self.shape.goal.is_some()),
         };
-        if self.counted(&request) {
+        if self.is_measured(&request) {
             self.outcome.arrived += 1;
             if let Some(outcome) = self.outcome.urgencies.get_mut(&urgency) {
                 outcome.arrived += 1;
@@ -68,8 +69,9 @@
         self.offer(entry, id, request);
     }
 
+    /// Draws an urgency by the shares of the condition.
     pub(super) fn draw_urgency(&mut self) -> Urgency {
-        let mut draw = unit(&mut self.arrivals);
+        let mut draw = uniform(&mut self.arrival_rng);
         for (urgency, share) in self.condition.mix {
             draw -= share;
             if draw < 0.0 {
@@ -79,16 +81,17 @@
         Urgency::Normal
     }
 
-    /// Callers use live entries; one that is frozen is noticed by nobody.
+    /// Draws an entry that has not crashed; callers don't detect a frozen one.
     pub(super) fn draw_entry(&mut self) -> usize {
         loop {
-            let entry = (self.arrivals.next_u64() % self.entries.len() as u64) as usize;
-            if !self.entries[entry].dead {
+            let entry = (self.arrival_rng.next_u64() % self.entries.len() as u64) as usize;
+            if !self.entries[entry].crashed {
                 return entry;
             }
         }
     }
 
+    /// Offers a request to the admission control of an entry.
     pub(super) fn offer(&mut self, at: usize, id: u64, request: Request) {
         let admit_request = AdmitRequest {
             id: RequestId(id),
@@ -105,38 +108,42 @@
         let decision = entry
             .admission
             .offer(admit_request, self.now, &mut entry.rng, &mut out);
-        self.decided(at, id, decision);
+        self.apply_decision(at, id, decision);
         self.release(at, out);
         self.arm_expiry(at);
     }
 
+    /// Schedules the next expiry in the admission queue.
     pub(super) fn arm_expiry(&mut self, at: usize) {
         if let Some(next_expiry) = self.entries[at].admission.next_expiry() {
             let least = self.now + Duration::from_millis(1);
-            self.at(next_expiry.max(least), Event::Expire { entry: at });
+            self.schedule_at(next_expiry.max(least), Event::Expire { entry: at });
         }
     }
 
-    pub(super) fn expire(&mut self, at: usize) {
+    /// Expires requests in the admission queue.
+    pub(super) fn expire_admission(&mut self, at: usize) {
         let mut out = Vec::new();
         let entry = &mut self.entries[at];
         entry.admission.expire(self.now, &mut entry.rng, &mut out);
         self.release(at, out);
     }
 
+    /// Applies decisions on requests that left the admission queue.
     pub(super) fn release(&mut self, at: usize, out: Vec<Release>) {
         for release in out {
-            self.decided(at, release.id.0, release.decision);
+            self.apply_decision(at, release.id.0, release.decision);
         }
     }
 
-    pub(super) fn decided(&mut self, at: usize, id: u64, decision: Decision) {
+    /// Starts or refuses a request as admission decided.
+    pub(super) fn apply_decision(&mut self, at: usize, id: u64, decision: Decision) {
         match decision {
-            Decision::Run => self.start(at, id),
+            Decision::Run => self.start_query(at, id),
             Decision::Wait => {}
             Decision::Refuse { reason, .. } => {
                 if let Some(request) = self.entries[at].requests.remove(&id)
-                    && !self.comes_back(&request, Unserved::Refused)
+                    && !self.schedule_retry(&request, Unserved::Refused)
                 {
                     self.count_refusal(&request, reason);
                 }
@@ -144,7 +151,8 @@
         }
     }
 
-    pub(super) fn start(&mut self, at: usize, id: u64) {
+    /// Starts the query of an admitted request, or restarts it.
+    pub(super) fn start_query(&mut self, at: usize, id: u64) {
         let now = self.now;
         let Some(request) = self.entries[at].requests.get_mut(&id) else {
             return;
@@ -152,7 +160,7 @@
         request.started.get_or_insert(now);
         let deadline = request.deadline;
         let Some(routes) = self.entries[at].pin(now) else {
-            self.end_unserved(at, id);
+            self.fail_unrouted(at, id);
             return;
         };
         let config = QueryConfig {
@@ -171,10 +179,11 @@
         if let Some(request) = entry.requests.get_mut(&id) {
             request.query = Some(query);
         }
-        self.act(at, id, actions);
+        self.apply_actions(at, id, actions);
     }
 
-    pub(super) fn end_unserved(&mut self, at: usize, id: u64) {
+    /// Ends a request for which no index version is available.
+    pub(super) fn fail_unrouted(&mut self, at: usize, id: u64) {
         let Some(request) = self.entries[at].requests.remove(&id) else {
             return;
         };
@@ -182,8 +191,8 @@
         self.admission_done(at, RequestStats::default());
     }
 
-    /// Passes an event to a query and does what it asks for.
-    pub(super) fn event(
+    /// Passes an event to a query and carries out the resulting actions.
+    pub(super) fn update_query(
         &mut self,
         at: usize,
         id: u64,
@@ -201,10 +210,11 @@
             actions: &mut actions,
         };
         event(query, &mut cx);
-        self.act(at, id, actions);
+        self.apply_actions(at, id, actions);
     }
 
-    pub(super) fn act(&mut self, at: usize, id: u64, actions: Vec<Action>) {
+    /// Makes and cancels calls as a query asks.
+    pub(super) fn apply_actions(&mut self, at: usize, id: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Call {
@@ -212,20 +222,21 @@
                 } => {
                     let leaf = self.entries[at].leaf_of(to);
                     let version = self.version_of(at, id);
-                    let waiting = Waiting {
+                    let pending = PendingCall {
                         query: id,
                         call,
                         shards,
                         version,
                     };
-                    self.send(at, leaf, waiting);
+                    self.send(at, leaf, pending);
                 }
-                Action::Cancel(call) => self.cancel(at, id, call),
+                Action::Cancel(call) => self.cancel_call(at, id, call),
             }
         }
-        self.follow(at, id);
+        self.finish_or_arm(at, id);
     }
 
+    /// Returns the index version of a query, 0 if it is gone.
     pub(super) fn version_of(&self, at: usize, id: u64) -> IndexVersion {
         let query = self.entries[at]
             .requests
@@ -234,8 +245,8 @@
         query.map_or(IndexVersion(0), |q| q.routes().snapshot.version)
     }
 
-    /// Finishes a query that has ended, or arms its timer.
-    pub(super) fn follow(&mut self, at: usize, id: u64) {
+    /// Finishes or restarts a query that has ended; otherwise arms its timer.
+    pub(super) fn finish_or_arm(&mut self, at: usize, id: u64) {
         let Some(request) = self.entries[at].requests.get_mut(&id) else {
             return;
         };
@@ -244,9 +255,9 @@
         };
         let Some(end) = query.end() else {
             let next_tick = query.next_tick();
-            if next_tick < request.ticking || request.ticking <= self.now {
-                request.ticking = next_tick;
-                self.at(
+            if next_tick < request.timer_at || request.timer_at <= self.now {
+                request.timer_at = next_tick;
+                self.schedule_at(
                     next_tick,
                     Event::Tick {
                         entry: at,
@@ -256,16 +267,17 @@
             }
             return;
         };
-        if end == End::Partial(PartialReason::SnapshotLost) && request.restarts < RESTARTS {
+        if end == End::Partial(PartialReason::SnapshotLost) && request.restarts < MAX_RESTARTS {
             request.restarts += 1;
-            request.ticking = Time::MAX;
-            self.start(at, id);
+            request.timer_at = Time::MAX;
+            self.start_query(at, id);
             return;
         }
-        self.end(at, id, end);
+        self.finish_request(at, id, end);
     }
 
-    pub(super) fn end(&mut self, at: usize, id: u64, end: End) {
+    /// Ends a request and records its results.
+    pub(super) fn finish_request(&mut self, at: usize, id: u64, end: End) {
         let Some(request) = self.entries[at].requests.remove(&id) else {
             return;
         };
@@ -289,69 +301,74 @@
                 self.count_served(&request, share, goal, stats.calls);
             } else {
                 self.count_unserved(&request, stats.calls);
-                if self.comes_back(&request, how) {
+                if self.schedule_retry(&request, how) {
                     self.admission_done(at, stats);
                     return;
                 }
             }
         }
-        if self.counted(&request) {
+        if self.is_measured(&request) {
             self.outcome.ran += 1;
             self.outcome.covered += coverage.answered as f64 / coverage.asked.max(1) as f64;
             match end {
-                End::Complete => self.count_whole(&request),
+                End::Complete => self.count_complete(&request),
                 End::Partial(_) => self.outcome.short += 1,
             }
         }
         self.admission_done(at, stats);
     }
 
-    /// Whether the caller of a request that was not served comes back: at once
-    /// after a failure, after a while if it was told that nothing ran.
-    fn comes_back(&mut self, request: &Request, how: Unserved) -> bool {
-        if request.returns == 0 || self.shape.goal.is_none() {
+    /// Schedules the caller's retry of a request that was not served: at once
+    /// after a failure, after a delay with jitter if it was refused. Returns
+    /// whether there is a retry.
+    fn schedule_retry(&mut self, request: &Request, how: Unserved) -> bool {
+        if request.retries_left == 0 || self.shape.goal.is_none() {
             return false;
         }
-        let span = request.deadline.since(request.arrived) / RETURN_PART;
+        let span = request.deadline.since(request.arrived) / RETRY_DIVISOR;
         let after = match how {
             Unserved::Failed => Duration::ZERO,
-            Unserved::Refused => span.mul_f64(0.5 + unit(&mut self.arrivals)),
+            Unserved::Refused => span.mul_f64(0.5 + uniform(&mut self.arrival_rng)),
         };
         let request = Request {
             query: None,
             started: None,
-            returns: request.returns - 1,
-            ticking: Time::MAX,
+            retries_left: request.retries_left - 1,
+            timer_at: Time::MAX,
             ..*request
         };
-        self.after(after, Event::Return(Box::new(request)));
+        self.schedule(after, Event::Retry(Box::new(request)));
         true
     }
 
-    pub(super) fn returned(&mut self, request: Request) {
+    /// Offers the retry of a request to a random entry.
+    pub(super) fn on_retry(&mut self, request: Request) {
         let entry = self.draw_entry();
         let id = self.next_query;
         self.next_query += 1;
         self.offer(entry, id, request);
     }
 
+    /// Counts an answer with the minimum coverage, its utility and its calls.
     fn count_served(&mut self, request: &Request, share: f64, goal: Duration, calls: u32) {
-        if !self.counted(request) {
+        if !self.is_measured(request) {
             return;
         }
         let in_time = self.now.since(request.arrived) <= goal;
         self.outcome.served += 1;
         self.outcome.in_time += u64::from(in_time);
-        self.outcome.credit += share * share * if in_time { 1.0 } else { LATE_WORTH };
+        self.outcome.credit += share * share * if in_time { 1.0 } else { LATE_CREDIT };
         self.outcome.useful += u64::from(calls);
     }
 
+    /// Counts the calls of an attempt that was not served as wasted.
     fn count_unserved(&mut self, request: &Request, calls: u32) {
-        if self.counted(request) {
+        if self.is_measured(request) {
             self.outcome.wasted += u64::from(calls);
         }
     }
 
+    /// Reports the end of a request to admission control.
     pub(super) fn admission_done(&mut self, at: usize, stats: RequestStats) {
         let mut out = Vec::new();
         let entry = &mut self.entries[at];
@@ -362,13 +379,15 @@
         self.release(at, out);
     }
 
-    pub(super) fn counted(&self, request: &Request) -> bool {
-        request.arrived >= Time::ZERO + WARM
+    /// Returns whether a request arrived after the warm-up.
+    pub(super) fn is_measured(&self, request: &Request) -> bool {
+        request.arrived >= Time::ZERO + MEASURE_START
     }
 
-    pub(super) fn count_whole(&mut self, request: &Request) {
+    /// Counts an answer of all shards and its latency.
+    pub(super) fn count_complete(&mut self, request: &Request) {
         let us = self.now.since(request.arrived).as_micros() as u64;
-        let us = us.clamp(1, MAX_US);
+        let us = us.clamp(1, MAX_LATENCY_US);
         self.outcome.whole += 1;
         self.outcome.latency.saturating_record(us);
         if let Some(outcome) = self.outcome.urgencies.get_mut(&request.urgency) {
@@ -377,12 +396,15 @@
         }
     }
 
+    /// Counts a refusal and the time until it.
     pub(super) fn count_refusal(&mut self, request: &Request, reason: Reason) {
-        if !self.counted(request) {
+        if !self.is_measured(request) {
             return;
         }
         *self.outcome.refused.entry(reason).or_default() += 1;
         let us = self.now.since(request.arrived).as_micros() as u64;
-        self.outcome.refusal.saturating_record(us.clamp(1, MAX_US));
+        self.outcome
+            .refusal
+            .saturating_record(us.clamp(1, MAX_LATENCY_US));
     }
 }
--- a/crates/fake/src/experiment/rooms.rs
+++ b/crates/fake/src/experiment/rooms.rs
@@ -1,29 +1,29 @@
-//! Shards that have little room: a table and a plot of what callers get.
+//! Comparison of concurrency limits where some shards have little capacity.
 
 use std::path::Path;
 
 use super::{Shape, room_conditions, room_policies, simulate};
 use crate::{Series, plot_lines};
 
-/// What one policy brought under one condition, over some seeds.
+/// Results of one policy under one condition, over several seeds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoomRow {
-    /// The condition.
+    /// Name of the condition.
     pub condition: &'static str,
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// What the answers are worth, as a share of what they could be; the least
-    /// and the greatest of the seeds beside the mean.
+    /// Utility per arrived request, from 0 to 1: minimum, mean and maximum over
+    /// the seeds.
     pub credit: (f64, f64, f64),
-    /// Share of the requests that were answered in time.
+    /// Share of the requests answered within the latency objective.
     pub in_time: f64,
-    /// Share of them that were answered at all.
+    /// Share of the requests answered with the minimum coverage.
     pub served: f64,
-    /// Share of the calls that were for nothing.
+    /// Share of the calls made by attempts that were not served.
     pub wasted: f64,
 }
 
-/// Plays every policy under every condition with `seeds` seeds.
+/// Simulates every policy under every condition, with seeds 1 to `seeds`.
 #[must_use]
 pub fn run_rooms(shape: &Shape, seeds: u64) -> Vec<RoomRow> {
     let mut rows = Vec::new();
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 ///
-/// The file can't be written.
+/// The file can't be written, or there are no rows.
 pub fn plot_rooms(path: &Path, rows: &[RoomRow]) -> Result<(), String> {
     let conditions: Vec<&str> = room_conditions().iter().map(|c| c.name).collect();
     let number = |name: &str| conditions.iter().position(|c| *c == name).unwrap_or(0);
--- a/crates/fake/src/experiment/shape.rs
+++ b/crates/fake/src/experiment/shape.rs
@@ -1,55 +1,55 @@
-//! The deployments that are modelled.
+//! The deployments that are modelled: their size, capacity and latencies.
 
 use std::time::Duration;
 
 use chestnut_unit::{ServiceName, Share};
 
-use super::leaf::mean_factor;
+use super::leaf::mean_to_median;
 
-/// A deployment to experiment with: one service and its entries.
+/// A modelled deployment: one service, its leafs and its entries.
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// Name of the service.
     pub service: ServiceName,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Shards.
+    /// Number of shards.
     pub shards: usize,
     /// Replicas of each shard.
     pub replicas: usize,
-    /// Leafs.
+    /// Number of leafs.
     pub leafs: usize,
-    /// Slots of a leaf.
+    /// Calls that a leaf runs concurrently.
     pub slots: usize,
     /// Connections that a leaf accepts.
     pub connections: usize,
-    /// Connections that an entry opens to a leaf.
+    /// Maximum pool size of an entry for a leaf.
     pub pool: usize,
-    /// Connections more while some are quiet.
+    /// Additional connections allowed while some are quiet.
     pub spare: usize,
     /// Time to open a connection.
     pub open: Duration,
-    /// Median time of a call.
+    /// Median service time of a call.
     pub median: Duration,
     /// One-way latency within a failure domain.
     pub near: Duration,
     /// One-way latency between failure domains.
     pub far: Duration,
-    /// Length of a run.
+    /// Duration of a run.
     pub span: Duration,
-    /// Calls that a leaf queues.
+    /// Capacity of a leaf's queue, in calls.
     pub queue: usize,
-    /// Within what time callers want their answers, if they take answers that
-    /// lack shards and come back once when refused.
+    /// Latency objective of callers. If set, they accept partial answers and
+    /// retry once when not served.
     pub goal: Option<Duration>,
-    /// Least share of shards that an answer covers.
+    /// Minimum coverage of an answer.
     pub least: Share,
 }
 
 impl Shape {
-    /// Ladder of Flipperhouse League Search, with seven entries.
+    /// Returns the ladder service of Flipperhouse League Search.
     #[must_use]
     pub fn ladder() -> Self {
         Self {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Standings search on the users' platform, with six entries: longer calls,
-    /// answers that may lack one shard of ten, 200 ms to be in time.
+    /// Returns a standings search with longer calls, partial answers and a
+    /// latency objective, which leaves out the network delay to the caller.
     #[must_use]
     pub fn search() -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Archive-reader of Hangin Pollen, with seven entries.
+    /// Returns the archive-reader service of Hangin Pollen.
     #[must_use]
     pub fn archive() -> Self {
         Self {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A wide fan-out, towards the size to design for: 300 shards.
+    /// Returns a service with a wide fan-out.
     #[must_use]
     pub fn wide() -> Self {
         Self {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Queries a second that the slots can serve.
+    /// Returns the queries per second that the slots of all leafs can serve.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let slots = (self.leafs * self.slots) as f64;
-        slots / (self.shards as f64 * self.median.as_secs_f64() * mean_factor())
+        slots / (self.shards as f64 * self.median.as_secs_f64() * mean_to_median())
     }
 }
--- a/crates/fake/src/experiment/sim.rs
+++ b/crates/fake/src/experiment/sim.rs
@@ -1,4 +1,4 @@
-//! The event queue.
+//! The simulation: its state and its event loop.
 
 use std::time::Duration;
 
@@ -13,90 +13,96 @@
     faults::fault_times,
     leaf::{Job, Leaf},
 };
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 
-/// What happens in a run.
+/// An event of a run.
 #[derive(Debug)]
 pub(super) enum Event {
+    /// A new request arrives.
     Arrive,
-    /// A caller that was not served comes back.
-    Return(Box<Request>),
-    AtLeaf {
-        leaf: usize,
-        job: Job,
-    },
-    LeafDone {
-        leaf: usize,
-        number: u64,
-    },
-    Reply {
+    /// A caller that was not served retries.
+    Retry(Box<Request>),
+    /// A call reaches its leaf.
+    CallArrives { leaf: usize, job: Job },
+    /// A leaf completes a call.
+    CallDone { leaf: usize, number: u64 },
+    /// A reply or failure reaches the entry.
+    ReplyArrives {
         job: Job,
         leaf: usize,
         result: Result<(), Failure>,
     },
-    CancelAt {
+    /// A cancellation reaches the leaf.
+    CancelArrives {
         leaf: usize,
         entry: usize,
         query: u64,
         call: CallId,
     },
-    Opened {
+    /// A connection attempt ends.
+    ConnOpened {
         entry: usize,
         leaf: usize,
         conn: ConnId,
     },
-    Silent {
+    /// Pings detect a silent connection.
+    SilenceFound {
         entry: usize,
         leaf: usize,
         conn: ConnId,
     },
-    Probed {
+    /// The probe of a quiet connection is answered or times out.
+    ProbeResult {
         entry: usize,
         leaf: usize,
         conn: ConnId,
     },
-    Check {
-        entry: usize,
-        leaf: usize,
-    },
-    Tick {
-        entry: usize,
-        query: u64,
-    },
-    Expire {
-        entry: usize,
-    },
-    Hints,
-    Fault(usize),
-    FaultEnds(usize),
-    DropOld,
+    /// An entry checks the connections to a leaf for quiet ones.
+    CheckQuiet { entry: usize, leaf: usize },
+    /// The timer of a query fires.
+    Tick { entry: usize, query: u64 },
+    /// Requests in the admission queue of an entry expire.
+    Expire { entry: usize },
+    /// The entries poll the load of the leafs.
+    UpdateHints,
+    /// The fault of this number starts.
+    FaultStart(usize),
+    /// The fault of this number ends.
+    FaultEnd(usize),
+    /// The leafs drop the first index version.
+    DropOldVersion,
 }
 
-/// Time from which latencies count, so that the start of the run doesn't.
-pub(super) const WARM: Duration = Duration::from_secs(2);
-/// Deadline of a query.
+/// Time from which requests are counted; the run warms up before.
+pub(super) const MEASURE_START: Duration = Duration::from_secs(2);
+/// Time from the arrival of a query to its deadline.
 pub(super) const DEADLINE: Duration = Duration::from_secs(1);
-/// Deadline of an archive query.
+/// Time from the arrival of an archive query to its deadline.
 pub(super) const ARCHIVE_DEADLINE: Duration = Duration::from_secs(10);
-/// Time between two readings of the health and load endpoints.
-const HINTS: Duration = Duration::from_secs(1);
+/// Interval between polls of the health and load endpoints.
+const HINT_INTERVAL: Duration = Duration::from_secs(1);
 
+/// The state of a run.
 pub(super) struct Sim<'a> {
     pub(super) shape: &'a Shape,
     pub(super) condition: &'a Condition,
     pub(super) now: Time,
-    pub(super) events: Queue<Event>,
+    pub(super) events: EventQueue<Event>,
     pub(super) entries: Vec<Entry>,
     pub(super) leafs: Vec<Leaf>,
-    pub(super) arrivals: ChaCha8Rng,
-    pub(super) services: ChaCha8Rng,
+    /// Draws arrivals, urgencies, entries and retry delays.
+    pub(super) arrival_rng: ChaCha8Rng,
+    /// Draws service times and stragglers.
+    pub(super) service_rng: ChaCha8Rng,
     pub(super) next_query: u64,
     pub(super) outcome: Outcome,
-    pub(super) extra: Vec<Duration>,
-    pub(super) lying: bool,
+    /// Added one-way latency, by failure domain.
+    pub(super) extra_latency: Vec<Duration>,
+    /// Whether the load endpoints report the reverse of the load.
+    pub(super) inverted_hints: bool,
 }
 
-/// Runs one policy under one condition.
+/// Simulates one policy under one condition and returns its results.
 #[must_use]
 pub fn simulate(shape: &Shape, policy: &Policy, condition: &Condition, seed: u64) -> Outcome {
     let rng = |stream: u64| ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1000) + stream);
@@ -107,17 +113,17 @@
         shape,
         condition,
         now: Time::ZERO,
-        events: Queue::default(),
+        events: EventQueue::default(),
         entries: (0..shape.entries).map(entry).collect(),
         leafs: (0..shape.leafs)
             .map(|n| Leaf::new(n % shape.domains, shape.slots, queue))
             .collect(),
-        arrivals: rng(1),
-        services: rng(2),
+        arrival_rng: rng(1),
+        service_rng: rng(2),
         next_query: 0,
         outcome: Outcome::new(shape.connections),
-        extra: vec![Duration::ZERO; shape.domains],
-        lying: condition.faults.contains(&Fault::LyingHealth),
+        extra_latency: vec![Duration::ZERO; shape.domains],
+        inverted_hints: condition.faults.contains(&Fault::LyingHealth),
     };
     sim.run();
     sim.finish()
@@ -126,13 +132,13 @@
 impl Sim<'_> {
     fn run(&mut self) {
         let end = Time::ZERO + self.shape.span;
-        self.after(Duration::ZERO, Event::Arrive);
-        self.after(HINTS, Event::Hints);
+        self.schedule(Duration::ZERO, Event::Arrive);
+        self.schedule(HINT_INTERVAL, Event::UpdateHints);
         for (number, fault) in self.condition.faults.iter().enumerate() {
             let (from, until) = fault_times(fault, self.shape.span);
-            self.after(from, Event::Fault(number));
+            self.schedule(from, Event::FaultStart(number));
             if let Some(until) = until {
-                self.after(until, Event::FaultEnds(number));
+                self.schedule(until, Event::FaultEnd(number));
             }
         }
         while let Some((at, event)) = self.events.pop() {
@@ -144,48 +150,50 @@
         }
     }
 
-    pub(super) fn after(&mut self, span: Duration, event: Event) {
-        self.at(self.now + span, event);
+    /// Schedules an event after a delay.
+    pub(super) fn schedule(&mut self, span: Duration, event: Event) {
+        self.schedule_at(self.now + span, event);
     }
 
-    pub(super) fn at(&mut self, at: Time, event: Event) {
+    /// Schedules an event at a time.
+    pub(super) fn schedule_at(&mut self, at: Time, event: Event) {
         self.events.push(at, event);
     }
 
     fn handle(&mut self, event: Event) {
         if let Some(entry) = entry_of(&event)
-            && let Some(until) = self.entries[entry].frozen
+            && let Some(until) = self.entries[entry].frozen_until
         {
-            // A stopped process takes up what came meanwhile when it wakes.
-            self.at(until, event);
+            // A suspended process handles its pending events when it resumes.
+            self.schedule_at(until, event);
             return;
         }
         match event {
             Event::Arrive => self.arrive(),
-            Event::Return(request) => self.returned(*request),
-            Event::AtLeaf { leaf, job } => self.at_leaf(leaf, job),
-            Event::LeafDone { leaf, number } => self.leaf_done(leaf, number),
-            Event::Reply { job, leaf, result } => self.reply(&job, leaf, result),
-            Event::CancelAt {
+            Event::Retry(request) => self.on_retry(*request),
+            Event::CallArrives { leaf, job } => self.on_call(leaf, job),
+            Event::CallDone { leaf, number } => self.on_call_done(leaf, number),
+            Event::ReplyArrives { job, leaf, result } => self.on_reply(&job, leaf, result),
+            Event::CancelArrives {
                 leaf,
                 entry,
                 query,
                 call,
             } => {
                 if let Some(number) = self.leafs[leaf].cancel(entry, query, call) {
-                    self.serve(leaf, number);
+                    self.run_call(leaf, number);
                 }
             }
-            Event::Opened { entry, leaf, conn } => self.opened(entry, leaf, conn),
-            Event::Silent { entry, leaf, conn } => self.found_silent(entry, leaf, conn),
-            Event::Probed { entry, leaf, conn } => self.probed(entry, leaf, conn),
-            Event::Check { entry, leaf } => self.check(entry, leaf),
-            Event::Tick { entry, query } => self.tick(entry, query),
-            Event::Expire { entry } => self.expire(entry),
-            Event::Hints => self.hints(),
-            Event::Fault(number) => self.fault(number),
-            Event::FaultEnds(number) => self.fault_ends(number),
-            Event::DropOld => {
+            Event::ConnOpened { entry, leaf, conn } => self.on_opened(entry, leaf, conn),
+            Event::SilenceFound { entry, leaf, conn } => self.on_silent(entry, leaf, conn),
+            Event::ProbeResult { entry, leaf, conn } => self.on_probe_result(entry, leaf, conn),
+            Event::CheckQuiet { entry, leaf } => self.check_quiet(entry, leaf),
+            Event::Tick { entry, query } => self.tick_query(entry, query),
+            Event::Expire { entry } => self.expire_admission(entry),
+            Event::UpdateHints => self.update_hints(),
+            Event::FaultStart(number) => self.start_fault(number),
+            Event::FaultEnd(number) => self.end_fault(number),
+            Event::DropOldVersion => {
                 for leaf in &mut self.leafs {
                     leaf.versions.retain(|v| *v != IndexVersion(1));
                 }
@@ -193,13 +201,17 @@
         }
     }
 
-    fn hints(&mut self) {
-        self.after(HINTS, Event::Hints);
+    fn update_hints(&mut self) {
+        self.schedule(HINT_INTERVAL, Event::UpdateHints);
         for entry in &mut self.entries {
             for (number, leaf) in self.leafs.iter().enumerate() {
                 let load = leaf.load().min(1.0);
-                let factor = if self.lying { 2.0 - load } else { 1.0 + load };
-                entry.table.set_hint(entry.ixs[number], factor);
+                let factor = if self.inverted_hints {
+                    2.0 - load
+                } else {
+                    1.0 + load
+                };
+                entry.table.set_hint(entry.backends[number], factor);
             }
         }
     }
@@ -214,22 +226,22 @@
             self.outcome.evictions += counts.evictions;
             self.outcome.opened += entry.opened;
         }
-        let peaks = self.leafs.iter().map(|leaf| leaf.connections_peak);
+        let peaks = self.leafs.iter().map(|leaf| leaf.peak_connections);
         self.outcome.peak = peaks.max().unwrap_or(0);
-        let span = (self.shape.span - WARM).as_secs_f64();
+        let span = (self.shape.span - MEASURE_START).as_secs_f64();
         self.outcome.goodput = self.outcome.whole as f64 / span / self.shape.capacity();
         self.outcome
     }
 }
 
-/// The entry that an event happens at, if it does at one.
+/// Returns the entry that handles an event, if one does.
 fn entry_of(event: &Event) -> Option<usize> {
     match event {
-        Event::Reply { job, .. } => Some(job.entry),
-        Event::Opened { entry, .. }
-        | Event::Silent { entry, .. }
-        | Event::Probed { entry, .. }
-        | Event::Check { entry, .. }
+        Event::ReplyArrives { job, .. } => Some(job.entry),
+        Event::ConnOpened { entry, .. }
+        | Event::SilenceFound { entry, .. }
+        | Event::ProbeResult { entry, .. }
+        | Event::CheckQuiet { entry, .. }
         | Event::Tick { entry, .. }
         | Event::Expire { entry } => Some(*entry),
         _ => None,
--- a/crates/fake/src/experiment/wires.rs
+++ b/crates/fake/src/experiment/wires.rs
@@ -1,4 +1,4 @@
-//! Connections, and calls on their way to leafs and back.
+//! Connections, and the delivery of calls and replies over them.
 
 use std::time::Duration;
 
@@ -7,41 +7,44 @@
 
 use super::{
     Fault,
-    entry::Waiting,
-    leaf::{Job, Taken, service_time, unit},
-    policy::PAUSE,
-    sim::{Event, Sim, WARM},
+    entry::PendingCall,
+    leaf::{Job, Placement, service_time, uniform},
+    policy::PAUSE_DURATION,
+    sim::{Event, MEASURE_START, Sim},
 };
 
-/// Longest wait for the answer to a probe of a quiet connection.
-const PROBE_WAIT: Duration = Duration::from_millis(50);
+/// Timeout of the probe of a quiet connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Sim<'_> {
-    pub(super) fn send(&mut self, at: usize, leaf: usize, call: Waiting) {
+    /// Sends a call over a connection of the pool, or queues it for one.
+    pub(super) fn send(&mut self, at: usize, leaf: usize, call: PendingCall) {
         let now = self.now;
         let link = &mut self.entries[at].links[leaf];
         match link.pool.pick(now) {
             Pick::Use(conn) => self.transmit(at, leaf, conn, call),
             Pick::Open(conn) => {
-                link.waiting.push(call);
-                self.open(at, leaf, conn);
+                link.pending.push(call);
+                self.open_connection(at, leaf, conn);
             }
-            Pick::Wait => link.waiting.push(call),
-            Pick::Cooldown => self.fail(at, &call, Failure::NotSent),
+            Pick::Wait => link.pending.push(call),
+            Pick::Cooldown => self.fail_call(at, &call, Failure::NotSent),
         }
     }
 
-    pub(super) fn fail(&mut self, at: usize, call: &Waiting, failure: Failure) {
+    /// Reports the failure of a call to its query.
+    pub(super) fn fail_call(&mut self, at: usize, call: &PendingCall, failure: Failure) {
         let id = call.call;
-        self.event(at, call.query, |query, cx| query.fail(id, failure, cx));
+        self.update_query(at, call.query, |query, cx| query.fail(id, failure, cx));
     }
 
-    pub(super) fn open(&mut self, at: usize, leaf: usize, conn: ConnId) {
+    /// Starts to open a connection.
+    pub(super) fn open_connection(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let round = self.latency(at, leaf) * 2;
         let span = self.shape.open + round;
-        self.after(
+        self.schedule(
             span,
-            Event::Opened {
+            Event::ConnOpened {
                 entry: at,
                 leaf,
                 conn,
@@ -49,44 +52,45 @@
         );
     }
 
-    pub(super) fn opened(&mut self, at: usize, leaf: usize, conn: ConnId) {
+    /// Handles the end of a connection attempt, and sends the pending calls.
+    pub(super) fn on_opened(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let now = self.now;
         let refused =
-            self.leafs[leaf].dead || self.leafs[leaf].connections >= self.shape.connections;
+            self.leafs[leaf].crashed || self.leafs[leaf].connections >= self.shape.connections;
         let link = &mut self.entries[at].links[leaf];
-        let waiting = std::mem::take(&mut link.waiting);
+        let pending = std::mem::take(&mut link.pending);
         if refused {
             link.pool.refused(conn, now);
-            for call in waiting {
-                self.fail(at, &call, Failure::NotSent);
+            for call in pending {
+                self.fail_call(at, &call, Failure::NotSent);
             }
             return;
         }
         link.pool.opened(conn);
         let quiet = link.pool.quiet(now);
         self.leafs[leaf].connect();
-        if now > Time::ZERO + WARM {
+        if now > Time::ZERO + MEASURE_START {
             self.entries[at].opened += 1;
         }
         for conn in quiet {
             self.probe(at, leaf, conn);
         }
-        for call in waiting {
+        for call in pending {
             self.send(at, leaf, call);
         }
     }
 
-    /// Asks a quiet connection for a small answer.
+    /// Probes a quiet connection, which times out if it is silent.
     pub(super) fn probe(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let silent = self.entries[at].links[leaf].silent.contains(&conn);
         let span = if silent {
-            PROBE_WAIT
+            PROBE_TIMEOUT
         } else {
             self.latency(at, leaf) * 2
         };
-        self.after(
+        self.schedule(
             span,
-            Event::Probed {
+            Event::ProbeResult {
                 entry: at,
                 leaf,
                 conn,
@@ -94,30 +98,33 @@
         );
     }
 
-    pub(super) fn probed(&mut self, at: usize, leaf: usize, conn: ConnId) {
+    /// Handles the answer or the timeout of a probe.
+    pub(super) fn on_probe_result(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let now = self.now;
         let link = &mut self.entries[at].links[leaf];
         if link.silent.contains(&conn) {
-            self.found_silent(at, leaf, conn);
+            self.on_silent(at, leaf, conn);
         } else {
             link.pool.probe_answered(conn, now);
         }
     }
 
-    pub(super) fn check(&mut self, at: usize, leaf: usize) {
+    /// Opens another connection to a leaf if the pool asks for one.
+    pub(super) fn check_quiet(&mut self, at: usize, leaf: usize) {
         let now = self.now;
         if let Some(conn) = self.entries[at].links[leaf].pool.check(now) {
-            self.open(at, leaf, conn);
+            self.open_connection(at, leaf, conn);
         }
     }
 
-    pub(super) fn transmit(&mut self, at: usize, leaf: usize, conn: ConnId, call: Waiting) {
+    /// Sends a call over this connection.
+    pub(super) fn transmit(&mut self, at: usize, leaf: usize, conn: ConnId, call: PendingCall) {
         let span = self.latency(at, leaf);
         let link = &mut self.entries[at].links[leaf];
         link.pool.sent(conn, self.now);
-        link.flying.insert((call.query, call.call), conn);
-        let looks = QUIET_TIMEOUT + Duration::from_millis(1);
-        self.after(looks, Event::Check { entry: at, leaf });
+        link.in_flight.insert((call.query, call.call), conn);
+        let check_after = QUIET_TIMEOUT + Duration::from_millis(1);
+        self.schedule(check_after, Event::CheckQuiet { entry: at, leaf });
         let link = &self.entries[at].links[leaf];
         if link.silent.contains(&conn) {
             return;
@@ -130,9 +137,10 @@
             version: call.version,
             shards: call.shards,
         };
-        self.after(span, Event::AtLeaf { leaf, job });
+        self.schedule(span, Event::CallArrives { leaf, job });
     }
 
+    /// Returns the one-way latency between an entry and a leaf.
     pub(super) fn latency(&self, at: usize, leaf: usize) -> Duration {
         let (a, b) = (self.entries[at].domain, self.leafs[leaf].domain);
         let base = if a == b {
@@ -140,66 +148,71 @@
         } else {
             self.shape.far
         };
-        base + self.extra[b]
+        base + self.extra_latency[b]
     }
 
-    pub(super) fn at_leaf(&mut self, leaf: usize, job: Job) {
-        if self.leafs[leaf].dead {
-            self.answer(leaf, job, Err(Failure::Lost));
+    /// Handles a call that reaches a leaf.
+    pub(super) fn on_call(&mut self, leaf: usize, job: Job) {
+        if self.leafs[leaf].crashed {
+            self.send_reply(leaf, job, Err(Failure::Lost));
             return;
         }
         if !self.leafs[leaf].versions.contains(&job.version) {
-            self.answer(leaf, job, Err(Failure::Refused(Refusal::NoSnapshot)));
+            self.send_reply(leaf, job, Err(Failure::Refused(Refusal::NoSnapshot)));
             return;
         }
-        match self.leafs[leaf].take(job.clone()) {
-            Taken::Runs(number) => self.serve(leaf, number),
-            Taken::Waits => {}
-            Taken::Shed => self.answer(leaf, job, Err(Failure::Refused(Refusal::Shed))),
+        match self.leafs[leaf].accept(job.clone()) {
+            Placement::Started(number) => self.run_call(leaf, number),
+            Placement::Queued => {}
+            Placement::Shed => self.send_reply(leaf, job, Err(Failure::Refused(Refusal::Shed))),
         }
     }
 
-    pub(super) fn serve(&mut self, leaf: usize, number: u64) {
-        let mut span = service_time(self.shape.median, &mut self.services);
-        span = span.mul_f64(self.leafs[leaf].factor(self.now));
+    /// Draws the service time of a started call and schedules its end.
+    pub(super) fn run_call(&mut self, leaf: usize, number: u64) {
+        let mut span = service_time(self.shape.median, &mut self.service_rng);
+        span = span.mul_f64(self.leafs[leaf].service_factor(self.now));
         for fault in &self.condition.faults {
             if let Fault::Stragglers { share, factor } = fault
-                && unit(&mut self.services) < *share
+                && uniform(&mut self.service_rng) < *share
             {
                 span = span.mul_f64(*factor);
             }
         }
         if self.condition.faults.contains(&Fault::Pauses) {
-            span += paused(leaf, self.now, span);
+            span += pause_delay(leaf, self.now, span);
         }
-        self.after(span, Event::LeafDone { leaf, number });
+        self.schedule(span, Event::CallDone { leaf, number });
     }
 
-    pub(super) fn leaf_done(&mut self, leaf: usize, number: u64) {
-        let Some((job, next)) = self.leafs[leaf].done(number) else {
+    /// Ends a call at a leaf, and starts the next in the queue.
+    pub(super) fn on_call_done(&mut self, leaf: usize, number: u64) {
+        let Some((job, next)) = self.leafs[leaf].complete(number) else {
             return;
         };
         if let Some(next) = next {
-            self.serve(leaf, next);
+            self.run_call(leaf, next);
         }
-        self.answer(leaf, job, Ok(()));
+        self.send_reply(leaf, job, Ok(()));
     }
 
-    pub(super) fn answer(&mut self, leaf: usize, job: Job, result: Result<(), Failure>) {
+    /// Sends a reply or failure to the entry.
+    pub(super) fn send_reply(&mut self, leaf: usize, job: Job, result: Result<(), Failure>) {
         let span = self.latency(job.entry, leaf);
-        self.after(span, Event::Reply { job, leaf, result });
+        self.schedule(span, Event::ReplyArrives { job, leaf, result });
     }
 
-    pub(super) fn reply(&mut self, job: &Job, leaf: usize, result: Result<(), Failure>) {
+    /// Passes a reply to its query, unless its call is no longer in flight.
+    pub(super) fn on_reply(&mut self, job: &Job, leaf: usize, result: Result<(), Failure>) {
         let (at, now) = (job.entry, self.now);
-        if self.entries[at].dead {
+        if self.entries[at].crashed {
             return;
         }
         let link = &mut self.entries[at].links[leaf];
         if link.silent.contains(&job.conn) {
             return;
         }
-        if link.flying.remove(&(job.query, job.call)).is_none() {
+        if link.in_flight.remove(&(job.query, job.call)).is_none() {
             return;
         }
         match result {
@@ -211,24 +224,25 @@
             Ok(()) => {
                 let parts = job.shards.iter().map(|shard| (*shard, ())).collect();
                 let version = job.version;
-                self.event(at, job.query, |q, cx| q.answer(call, version, parts, cx));
+                self.update_query(at, job.query, |q, cx| q.answer(call, version, parts, cx));
             }
-            Err(failure) => self.event(at, job.query, |q, cx| q.fail(call, failure, cx)),
+            Err(failure) => self.update_query(at, job.query, |q, cx| q.fail(call, failure, cx)),
         }
     }
 
-    pub(super) fn cancel(&mut self, at: usize, query: u64, call: CallId) {
+    /// Withdraws a pending call, or cancels a call in flight at its leaf.
+    pub(super) fn cancel_call(&mut self, at: usize, query: u64, call: CallId) {
         for leaf in 0..self.leafs.len() {
             let link = &mut self.entries[at].links[leaf];
-            link.waiting.retain(|w| (w.query, w.call) != (query, call));
-            let Some(conn) = link.flying.remove(&(query, call)) else {
+            link.pending.retain(|p| (p.query, p.call) != (query, call));
+            let Some(conn) = link.in_flight.remove(&(query, call)) else {
                 continue;
             };
             link.pool.abandoned(conn);
             let span = self.latency(at, leaf);
-            self.after(
+            self.schedule(
                 span,
-                Event::CancelAt {
+                Event::CancelArrives {
                     leaf,
                     entry: at,
                     query,
@@ -239,56 +253,58 @@
         }
     }
 
-    /// The pings of a connection found that it is silent: it closes, and the
-    /// calls on it are lost.
-    pub(super) fn found_silent(&mut self, at: usize, leaf: usize, conn: ConnId) {
+    /// Closes a connection that was found silent, and fails its calls.
+    pub(super) fn on_silent(&mut self, at: usize, leaf: usize, conn: ConnId) {
         if self.entries[at].links[leaf].silent.contains(&conn) {
             self.entries[at].links[leaf].pool.closed(conn);
-            self.close(at, leaf, conn);
+            self.close_silent(at, leaf, conn);
         }
     }
 
-    /// Closes a silent connection; the calls on it are cut off.
-    pub(super) fn close(&mut self, at: usize, leaf: usize, conn: ConnId) {
+    /// Frees a silent connection at the leaf and fails the calls on it.
+    pub(super) fn close_silent(&mut self, at: usize, leaf: usize, conn: ConnId) {
         self.leafs[leaf].connections = self.leafs[leaf].connections.saturating_sub(1);
         let link = &mut self.entries[at].links[leaf];
         link.silent.retain(|c| *c != conn);
         let lost: Vec<(u64, CallId)> = link
-            .flying
+            .in_flight
             .iter()
             .filter(|(_, c)| **c == conn)
             .map(|(key, _)| *key)
             .collect();
         for (query, call) in lost {
-            self.entries[at].links[leaf].flying.remove(&(query, call));
-            self.event(at, query, |q, c| q.fail(call, Failure::ConnectionSilent, c));
+            self.entries[at].links[leaf]
+                .in_flight
+                .remove(&(query, call));
+            self.update_query(at, query, |q, c| q.fail(call, Failure::ConnectionSilent, c));
         }
     }
 
-    pub(super) fn tick(&mut self, at: usize, id: u64) {
+    /// Passes a timer event to a query.
+    pub(super) fn tick_query(&mut self, at: usize, id: u64) {
         if let Some(request) = self.entries[at].requests.get_mut(&id) {
-            request.ticking = Time::MAX;
+            request.timer_at = Time::MAX;
         }
-        self.event(at, id, |query, cx| query.tick(cx));
+        self.update_query(at, id, |query, cx| query.tick(cx));
     }
 }
 
-/// Time between two pauses of a leaf.
-const PAUSE_EVERY: Duration = Duration::from_secs(6);
-/// Share of that by which the pauses of one leaf follow those of the one before:
-/// the golden section, which spreads any number of them.
-const PAUSE_SHIFT: f64 = 0.618;
+/// Interval between the starts of two pauses of a leaf.
+const PAUSE_INTERVAL: Duration = Duration::from_secs(6);
+/// Offset between the pauses of consecutive leafs, as a share of the interval;
+/// the golden ratio spreads any number of leafs evenly.
+const PAUSE_STAGGER: f64 = 0.618;
 
-/// The time by which pauses of `leaf` delay a call that would run for `span`.
-fn paused(leaf: usize, now: Time, span: Duration) -> Duration {
-    let every = PAUSE_EVERY.as_secs_f64();
-    let phase = (leaf as f64 * PAUSE_SHIFT).fract() * every;
+/// Returns the delay that pauses of `leaf` add to a call of length `span`.
+fn pause_delay(leaf: usize, now: Time, span: Duration) -> Duration {
+    let every = PAUSE_INTERVAL.as_secs_f64();
+    let phase = (leaf as f64 * PAUSE_STAGGER).fract() * every;
     let since = (now.since(Time::ZERO).as_secs_f64() + every - phase) % every;
     let since = Duration::from_secs_f64(since);
-    if since < PAUSE {
-        PAUSE - since
-    } else if since + span > PAUSE_EVERY {
-        PAUSE
+    if since < PAUSE_DURATION {
+        PAUSE_DURATION - since
+    } else if since + span > PAUSE_INTERVAL {
+        PAUSE_DURATION
     } else {
         Duration::ZERO
     }
--- a/crates/fake/src/membership.rs
+++ b/crates/fake/src/membership.rs
@@ -1,4 +1,5 @@
-//! The failure detector of many members over a lossy network, in virtual time.
+//! Simulation of the gossip failure detector over a lossy network, in virtual
+//! time.
 
 use std::{
     collections::BTreeMap,
@@ -12,73 +13,79 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipConfig {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Share of datagrams lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Whether a member dies a third into the run.
+    /// Whether a member crashes a third into the run.
     pub death: bool,
-    /// Whether a member stops for five seconds a third into the run.
+    /// Whether a member is suspended for five seconds a third into the run.
     pub freeze: bool,
-    /// Seed.
+    /// Seed of losses, delays and probe targets.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MembershipReport {
-    /// Datagrams sent by a member, a second.
+    /// Datagrams sent per member and second.
     pub messages: f64,
-    /// Bytes sent by a member, a second, headers of IP and UDP included.
+    /// Bytes sent per member and second, including IP and UDP headers.
     pub bytes: f64,
-    /// Largest datagram.
+    /// Size of the largest datagram in bytes, including headers.
     pub largest: usize,
-    /// Seconds until every member knew of the death.
+    /// Seconds from the crash until every other member had detected it.
     pub known: Option<f64>,
-    /// Members that some member took for gone though they ran.
+    /// Removals of members that had not crashed, summed over all observers.
     pub false_deaths: usize,
-    /// Of those, pairs that still stood at the end.
+    /// Pairs of observer and wrongly removed member left at the end.
     pub lasting: usize,
-    /// Microseconds of processor time for a member and second.
+    /// Wall-clock microseconds of computation per member and simulated second.
     pub cpu_us: f64,
 }
 
-/// Bytes of the headers of a datagram.
-const HEADERS: usize = 28;
-/// Length of a run.
-const SPAN: Duration = Duration::from_secs(60);
-/// When the death or the freeze comes.
-const FAULT: Duration = Duration::from_secs(20);
-/// How long a frozen member stops.
-const FREEZE: Duration = Duration::from_secs(5);
-/// Least one-way time between members; half as much again at most.
-const LATENCY: Duration = Duration::from_micros(1500);
+/// Size of the IP and UDP headers of a datagram, in bytes.
+const HEADER_BYTES: usize = 28;
+/// Duration of a run.
+const RUN_DURATION: Duration = Duration::from_secs(60);
+/// When the crash or the freeze starts.
+const FAULT_START: Duration = Duration::from_secs(20);
+/// How long a frozen member is suspended.
+const FREEZE_DURATION: Duration = Duration::from_secs(5);
+/// Minimum one-way latency between members; jitter adds up to half of it.
+const MIN_LATENCY: Duration = Duration::from_micros(1500);
 
+/// An event at a member, given by its number.
 enum Event {
-    Wake(usize),
+    /// The timer of its failure detector fires.
+    Timer(usize),
+    /// A datagram from this address arrives.
     Deliver(usize, SocketAddr, Box<Message>),
 }
 
-struct Net {
+/// The members, the network between them, and what has been counted.
+struct Network {
     config: MembershipConfig,
-    swims: Vec<Swim>,
-    numbers: BTreeMap<SocketAddr, usize>,
-    events: Queue<Event>,
+    detectors: Vec<Swim>,
+    by_address: BTreeMap<SocketAddr, usize>,
+    events: EventQueue<Event>,
     rng: ChaCha8Rng,
     messages: u64,
     bytes: u64,
     report: MembershipReport,
-    gone: BTreeMap<(usize, MemberId), ()>,
-    told: usize,
+    /// Pairs of observer and member wrongly removed and not yet seen again.
+    removed: BTreeMap<(usize, MemberId), ()>,
+    /// Members that have detected the crash.
+    informed: usize,
 }
 
-/// The member that dies or stops.
-const VICTIM: usize = 1;
+/// The member that crashes or freezes.
+const FAULTY_MEMBER: usize = 1;
 
 fn member(number: usize) -> Member {
     let at =
@@ -93,67 +100,70 @@
     Member::starting(id, domain, addresses, Incarnation(1_800_000_000_000))
 }
 
-/// Runs members over a lossy network.
+/// Simulates members over a lossy network.
 #[must_use]
 pub fn measure(config: MembershipConfig) -> MembershipReport {
     let members: Vec<Member> = (0..config.members).map(member).collect();
-    let swim_config = SwimConfig {
+    let detector_config = SwimConfig {
         interval: Duration::from_millis(500),
         ..SwimConfig::default()
     };
-    let mut net = Net {
+    let mut network = Network {
         config,
-        swims: Vec::new(),
-        numbers: BTreeMap::new(),
-        events: Queue::default(),
+        detectors: Vec::new(),
+        by_address: BTreeMap::new(),
+        events: EventQueue::default(),
         rng: ChaCha8Rng::seed_from_u64(config.seed),
         messages: 0,
         bytes: 0,
         report: MembershipReport::default(),
-        gone: BTreeMap::new(),
-        told: 0,
+        removed: BTreeMap::new(),
+        informed: 0,
     };
     for (number, own) in members.iter().enumerate() {
-        net.numbers.insert(own.addresses.peers, number);
-        let mut swim = Swim::new(swim_config, own.clone(), Time::ZERO);
-        swim.merge_members(&members, Time::ZERO);
-        swim.take_changes();
-        net.swims.push(swim);
-        let offset = Duration::from_micros(net.rng.next_u64() % 1_000_000);
-        net.events.push(Time::ZERO + offset, Event::Wake(number));
+        network.by_address.insert(own.addresses.peers, number);
+        let mut detector = Swim::new(detector_config, own.clone(), Time::ZERO);
+        detector.merge_members(&members, Time::ZERO);
+        detector.take_changes();
+        network.detectors.push(detector);
+        let offset = Duration::from_micros(network.rng.next_u64() % 1_000_000);
+        network
+            .events
+            .push(Time::ZERO + offset, Event::Timer(number));
     }
     let start = Instant::now();
-    net.run();
-    let seconds = SPAN.as_secs_f64() * config.members as f64;
-    net.report.cpu_us = start.elapsed().as_secs_f64() * 1e6 / seconds;
-    net.report.messages = net.messages as f64 / seconds;
-    net.report.bytes = net.bytes as f64 / seconds;
-    net.report.lasting = net.gone.len();
-    net.report
+    network.run();
+    let seconds = RUN_DURATION.as_secs_f64() * config.members as f64;
+    network.report.cpu_us = start.elapsed().as_secs_f64() * 1e6 / seconds;
+    network.report.messages = network.messages as f64 / seconds;
+    network.report.bytes = network.bytes as f64 / seconds;
+    network.report.lasting = network.removed.len();
+    network.report
 }
 
-impl Net {
-    fn stopped(&self, number: usize, now: Time) -> Option<Time> {
-        let fault = Time::ZERO + FAULT;
-        if number != VICTIM || now < fault {
+impl Network {
+    /// Returns until when a member is stopped, `Time::MAX` after a crash.
+    fn stopped_until(&self, number: usize, now: Time) -> Option<Time> {
+        let fault = Time::ZERO + FAULT_START;
+        if number != FAULTY_MEMBER || now < fault {
             return None;
         }
         if self.config.death {
             return Some(Time::MAX);
         }
-        let until = fault + FREEZE;
+        let until = fault + FREEZE_DURATION;
         (self.config.freeze && now < until).then_some(until)
     }
 
     fn run(&mut self) {
         while let Some((now, event)) = self.events.pop() {
-            if now >= Time::ZERO + SPAN {
+            if now >= Time::ZERO + RUN_DURATION {
                 return;
             }
             let number = match &event {
-                Event::Wake(number) | Event::Deliver(number, ..) => *number,
+                Event::Timer(number) | Event::Deliver(number, ..) => *number,
             };
-            if let Some(until) = self.stopped(number, now) {
+            if let Some(until) = self.stopped_until(number, now) {
                 if until < Time::MAX {
                     self.events.push(until, event);
                 }
@@ -166,49 +176,51 @@
     fn handle(&mut self, number: usize, event: Event, now: Time) {
         let mut out = Vec::new();
         let status = Status::default();
-        let swim = &mut self.swims[number];
+        let detector = &mut self.detectors[number];
         match event {
-            Event::Wake(_) => {
-                swim.tick(status, now, &mut self.rng, &mut out);
-                let wake = swim.wake().max(now + Duration::from_millis(1));
-                self.events.push(wake, Event::Wake(number));
+            Event::Timer(_) => {
+                detector.tick(status, now, &mut self.rng, &mut out);
+                let wake = detector.wake().max(now + Duration::from_millis(1));
+                self.events.push(wake, Event::Timer(number));
             }
             Event::Deliver(_, from, message) => {
-                swim.receive(&message, from, status, now, &mut out);
+                detector.receive(&message, from, status, now, &mut out);
             }
         }
-        for (id, change) in self.swims[number].take_changes() {
-            self.note(number, id, change, now);
+        for (id, change) in self.detectors[number].take_changes() {
+            self.record_change(number, id, change, now);
         }
-        let from = self.swims[number].view.own().addresses.peers;
+        let from = self.detectors[number].view.own().addresses.peers;
         for Outgoing { to, message } in out {
             self.send(from, to, message, now);
         }
     }
 
-    fn note(&mut self, number: usize, id: MemberId, change: Change, now: Time) {
-        let victim = self.config.death && id == self.swims[VICTIM].view.own().id;
+    /// Counts a membership change that a member has observed.
+    fn record_change(&mut self, number: usize, id: MemberId, change: Change, now: Time) {
+        let is_faulty = self.config.death && id == self.detectors[FAULTY_MEMBER].view.own().id;
         match change {
-            Change::Gone if victim => {
-                self.told += 1;
-                if self.told == self.config.members - 1 {
-                    let since = now.since(Time::ZERO + FAULT);
+            Change::Gone if is_faulty => {
+                self.informed += 1;
+                if self.informed == self.config.members - 1 {
+                    let since = now.since(Time::ZERO + FAULT_START);
                     self.report.known = Some(since.as_secs_f64());
                 }
             }
             Change::Gone => {
                 self.report.false_deaths += 1;
-                self.gone.insert((number, id), ());
+                self.removed.insert((number, id), ());
             }
             Change::Joined => {
-                self.gone.remove(&(number, id));
+                self.removed.remove(&(number, id));
             }
             _ => {}
         }
     }
 
+    /// Counts a datagram, and delivers it unless it is lost.
     fn send(&mut self, from: SocketAddr, to: SocketAddr, message: Message, now: Time) {
-        let size = probe_size(&message) + HEADERS;
+        let size = probe_size(&message) + HEADER_BYTES;
         self.messages += 1;
         self.bytes += size as u64;
         self.report.largest = self.report.largest.max(size);
@@ -216,16 +228,16 @@
         if draw < self.config.loss {
             return;
         }
-        let Some(number) = self.numbers.get(&to).copied() else {
+        let Some(number) = self.by_address.get(&to).copied() else {
             return;
         };
         let jitter = Duration::from_micros(self.rng.next_u64() % 750);
         let event = Event::Deliver(number, from, Box::new(message));
-        self.events.push(now + LATENCY + jitter, event);
+        self.events.push(now + MIN_LATENCY + jitter, event);
     }
 }
 
-/// Prints a table of runs.
+/// Prints a table of runs for each number of members.
 pub fn run_table(members: &[usize], seed: u64) {
     println!(
         "| members | condition | messages/s | bytes/s | largest | death known s | false deaths | \
--- a/crates/fake/src/plot.rs
+++ b/crates/fake/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots for reports.
+//! Line plots of experiment results.
 
 use std::path::Path;
 
@@ -6,22 +6,22 @@
     ChartBuilder, Color, IntoDrawingArea, LineSeries, Palette, Palette99, SVGBackend, WHITE,
 };
 
-/// One line of a plot.
+/// A line of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-const SIZE: (u32, u32) = (900, 540);
+const SIZE_PX: (u32, u32) = (900, 540);
 
-/// Writes a plot of lines as SVG. SVG needs no font of the machine.
+/// Writes a line plot as SVG, which needs no installed fonts.
 ///
 /// # Errors
 ///
-/// The file can't be written, or there is nothing to plot.
+/// Fails if the file can't be written or no series has a point.
 pub fn plot_lines(
     path: &Path,
     title: &str,
@@ -30,15 +30,15 @@
 ) -> Result<(), String> {
     let points = || series.iter().flat_map(|s| &s.points);
     if points().next().is_none() {
-        return Err("there is nothing to plot".to_owned());
+        return Err("no series has any points".to_owned());
     }
-    let bound = |of: fn(&(f64, f64)) -> f64| {
+    let range = |of: fn(&(f64, f64)) -> f64| {
         let low = points().map(of).fold(f64::INFINITY, f64::min);
         let high = points().map(of).fold(f64::NEG_INFINITY, f64::max);
         (low.min(0.0), (high * 1.05).max(low + 1e-6))
     };
-    let (x, y) = (bound(|p| p.0), bound(|p| p.1));
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let (x, y) = (range(|p| p.0), range(|p| p.1));
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     let fail = |e: &dyn std::fmt::Display| e.to_string();
     root.fill(&WHITE).map_err(|e| fail(&e))?;
     let mut chart = ChartBuilder::on(&root)
--- a/crates/fake/src/queue.rs
+++ b/crates/fake/src/queue.rs
@@ -1,4 +1,4 @@
-//! A queue of events in virtual time.
+//! The event queue of the simulations.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -7,40 +7,40 @@
 
 use chestnut_unit::Time;
 
-struct Item<E> {
+struct Scheduled<E> {
     at: Time,
     seq: u64,
     event: E,
 }
 
-impl<E> PartialEq for Item<E> {
+impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Item<E> {}
+impl<E> Eq for Scheduled<E> {}
 
-impl<E> PartialOrd for Item<E> {
+impl<E> PartialOrd for Scheduled<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Item<E> {
+impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         (self.at, self.seq).cmp(&(other.at, other.seq))
     }
 }
 
-/// Events by time; those of the same time in the order in which they came, so
-/// that a run repeats itself.
-pub(crate) struct Queue<E> {
-    heap: BinaryHeap<Reverse<Item<E>>>,
+/// Events ordered by virtual time. Events of the same time keep their insertion
+/// order, so that runs are reproducible.
+pub(crate) struct EventQueue<E> {
+    heap: BinaryHeap<Reverse<Scheduled<E>>>,
     seq: u64,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -49,15 +49,15 @@
     }
 }
 
-impl<E> Queue<E> {
-    /// Adds an event.
+impl<E> EventQueue<E> {
+    /// Schedules an event at a time.
     pub(crate) fn push(&mut self, at: Time, event: E) {
         self.seq += 1;
         let seq = self.seq;
-        self.heap.push(Reverse(Item { at, seq, event }));
+        self.heap.push(Reverse(Scheduled { at, seq, event }));
     }
 
-    /// The next event and its time.
+    /// Removes and returns the earliest event and its time.
     pub(crate) fn pop(&mut self) -> Option<(Time, E)> {
         let Reverse(item) = self.heap.pop()?;
         Some((item.at, item.event))
