--- a/crates/scene/src/command.rs
+++ b/crates/scene/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the scenario language.
+//! Syntax of the scenario language: the commands and their parser.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::parse::{Words, words};
 
-/// The deployment that a scenario runs on.
+/// Deployment that a scenario runs on, as its `world` line states it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setup {
-    /// Entries, spread over three failure domains.
+    /// Number of entries, distributed over three failure domains.
     pub entries: usize,
-    /// Shards of the service.
+    /// Number of shards of the service.
     pub shards: u32,
-    /// Replicas of each shard.
+    /// Number of replicas of each shard.
     pub replicas: u32,
-    /// Connections that a leaf accepts.
+    /// Maximum number of connections that a leaf accepts from all entries.
     pub connections: u32,
-    /// Connections that one entry may keep to a leaf.
+    /// Maximum number of connections that one entry keeps to a leaf.
     pub share: u32,
-    /// Leafs in a group.
+    /// Number of leafs in a group.
     pub group: u32,
-    /// How long unconfirmed settings may be served.
+    /// How long an entry may serve settings that it can't confirm as current.
     pub unconfirmed: Duration,
 }
 
@@ -39,171 +39,174 @@
     }
 }
 
-/// A change of the platform's behaviour.
+/// Fault of the platform, or its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformChange {
     /// Every call fails.
     Down,
-    /// It works.
+    /// All faults of the platform end.
     Up,
-    /// Calls take longer.
+    /// Each call takes this much longer.
     Slow(Duration),
-    /// That many writes take effect and lose their answer.
+    /// This many of the next writes take effect but lose their answers.
     LoseAnswers(u32),
-    /// Reads show the state of that many revisions ago.
+    /// Reads return the state of this many revisions ago.
     Stale(u64),
-    /// The list of VMs lags.
+    /// Reads of the list of VMs return the state of this long ago.
     Lag(Duration),
 }
 
-/// A change of a leaf.
+/// Fault of a leaf, or its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeafFault {
-    /// It dies.
+    /// The leaf crashes.
     Kill,
-    /// It runs, as at first.
+    /// The leaf runs again; ends its faults, except `List`, `Freeze`, `Silence`
+    /// and `Repeat`.
     Revive,
-    /// It says that it is leaving.
+    /// The leaf itself reports that it is draining.
     Drain,
-    /// The platform's list says that it is leaving; it does not.
+    /// The platform's list of VMs marks the leaf as leaving; the leaf itself
+    /// doesn't report it.
     List,
-    /// It answers nothing for a while.
+    /// The leaf answers no call for this long.
     Freeze(Duration),
-    /// Its calls take a multiple of their time.
+    /// Its calls take this multiple of their usual time.
     Slow(u32),
-    /// Its open connections go silent.
+    /// Its open connections become unresponsive without being closed.
     Silence,
-    /// Submissions take effect and their answers are lost.
+    /// Submissions take effect but their answers are lost.
     LoseAnswers,
-    /// It answers each query call twice.
+    /// Each answer to a query call contains its rows twice.
     Repeat,
-    /// It answers from another index version than it was asked for.
+    /// Query calls are answered from another index version than requested.
     Stray,
 }
 
-/// What an answer to a query must be.
+/// Expected outcome of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Want {
-    /// Whole.
+    /// An answer from all shards.
     Complete,
-    /// A part, labelled as such.
+    /// An answer whose coverage says that shards are missing.
     Partial,
-    /// Refused, for this reason if one is given.
+    /// A refusal, with this reason code if one is given.
     Refused(Option<String>),
-    /// Anything true.
+    /// Any outcome that violates no invariant.
     Any,
 }
 
-/// One command.
+/// A command of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Let time pass up to this point since the start.
+    /// Sleep until this time since the start of the scenario.
     At(Duration),
-    /// Let time pass.
+    /// Sleep.
     Wait(Duration),
     /// Start an entry.
     Start(usize),
     /// Kill an entry.
     Kill(usize),
-    /// Stop an entry in the planned way, in the background.
+    /// Shut an entry down gracefully and wait until it has stopped.
     Stop(usize),
-    /// Freeze an entry for a while, in the background.
+    /// Suspend an entry's process for a while, without waiting for its end.
     Freeze(usize, Duration),
-    /// Cut two entries off from each other.
+    /// Block the network between two entries.
     Cut(usize, usize),
-    /// Undo a cut.
+    /// Restore the network between two entries.
     Heal(usize, usize),
-    /// Cut an entry off from the platform.
+    /// Block the network between an entry and the platform.
     CutPlatform(usize),
-    /// Undo that.
+    /// Restore the network between an entry and the platform.
     HealPlatform(usize),
-    /// Change the platform.
+    /// Set or end a fault of the platform.
     Platform(PlatformChange),
-    /// Change a leaf.
+    /// Set or end a fault of a leaf.
     Leaf(u32, LeafFault),
-    /// Publish an index version whose shards start at another leaf.
+    /// Publish an index version whose shards are shifted by a number of leafs.
     Repartition(u64, u32),
-    /// Leafs drop an index version, and the platform its layout.
+    /// Remove an index version from the leafs and from the service's versions.
     DropVersion(u64),
-    /// Edit the organisation at an entry; the number tells edits apart.
+    /// Edit the organisation's settings through an entry.
     Edit {
         /// The entry.
         entry: usize,
-        /// Requests a second, by which edits differ.
+        /// Rate limit to set, in requests per second; distinguishes edits.
         rate: u64,
-        /// The version that the operator read.
+        /// Version that the edit replaces, for optimistic concurrency control.
         expected: Option<u64>,
-        /// `accepted`, `conflict`, `outage` or `any`.
+        /// `accepted`, `conflict`, `outage`, `unsettled`, `wrong` or `any`.
         want: String,
     },
-    /// Two operators edit at the same moment; one must win.
+    /// Two concurrent edits through two entries; exactly one must succeed.
     Race(usize, usize),
-    /// Send queries, one after the other.
+    /// Send queries sequentially.
     Query {
         /// The entry.
         entry: usize,
-        /// Call type.
+        /// Call type of the organisation's template.
         call: String,
-        /// How many.
+        /// Number of queries.
         times: u32,
         /// What each answer must be.
         want: Want,
     },
     /// Send queries in the background.
     Load {
-        /// The entries, in turn.
+        /// Entries that receive the queries, round-robin.
         entries: Vec<usize>,
-        /// Time between two.
+        /// Interval between queries.
         every: Duration,
-        /// How long.
+        /// Duration of the load.
         span: Duration,
         /// What each answer must be.
         want: Want,
     },
-    /// Wait for all loads.
+    /// Wait for all loads and submissions in the background.
     Join,
-    /// Mint a ticket under a name.
+    /// Obtain a ticket, a permit for one submission, and store it under a name.
     Ticket(String, usize),
-    /// Submit with a ticket.
+    /// Send a submission, a call that must take effect at most once.
     Submit {
-        /// The ticket.
+        /// Name of the ticket.
         ticket: String,
         /// The entry.
         entry: usize,
-        /// Name of the submission.
+        /// Identifier of the submission, counted by the leafs.
         body: String,
         /// `done`, `unknown`, `not_run` or `any`.
         want: String,
-        /// Whether to go on without waiting for the answer.
+        /// Whether to run the submission in the background.
         later: bool,
     },
-    /// How often a submission took effect: exactly, or at most.
+    /// A submission must have taken effect this many times, or at most this
+    /// many if the flag is set.
     Applied(String, u64, bool),
-    /// The entries must have this version of the organisation in force.
+    /// The entries must serve this version of the organisation's settings.
     InForce(u64, Vec<usize>),
-    /// All entries that run must have the same version in force.
+    /// All running entries must serve the newest version of the settings.
     Converged,
-    /// Every refusal told so far must be on record in the platform.
+    /// The platform must have a record of every refusal returned so far.
     Recorded,
-    /// An entry must know that many working members, itself included.
+    /// An entry must list this many healthy members, itself included.
     Members(usize, usize),
 }
 
-/// A scenario.
+/// A parsed scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario {
-    /// What it runs on.
+    /// Deployment that it runs on.
     pub setup: Setup,
-    /// Its commands, with their line numbers.
+    /// Commands, with their line numbers from 1.
     pub commands: Vec<(usize, Command)>,
 }
 
 /// line {line}: {problem}
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub struct ScenarioError {
-    /// The line, from 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub problem: String,
 }
 
@@ -214,7 +217,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first line that is wrong.
+    /// Returns the first line that is not valid.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let mut scenario = Scenario {
             setup: Setup::default(),
@@ -227,9 +230,9 @@
                 continue;
             }
             if words.take("world") {
-                scenario.setup = setup(&mut words).map_err(fail)?;
+                scenario.setup = parse_setup(&mut words).map_err(fail)?;
             } else {
-                let command = command(&mut words).map_err(fail)?;
+                let command = parse_command(&mut words).map_err(fail)?;
                 scenario.commands.push((line, command));
             }
             words.done().map_err(fail)?;
@@ -238,7 +241,7 @@
     }
 }
 
-fn setup(words: &mut Words) -> Result<Setup, String> {
+fn parse_setup(words: &mut Words) -> Result<Setup, String> {
     let default = Setup::default();
     Ok(Setup {
         entries: words.pair_or("entries", default.entries)?,
@@ -251,7 +254,7 @@
     })
 }
 
-fn command(words: &mut Words) -> Result<Command, String> {
+fn parse_command(words: &mut Words) -> Result<Command, String> {
     let verb = words.next("a command")?;
     Ok(match verb.as_str() {
         "at" => Command::At(words.span("a time")?),
@@ -260,26 +263,26 @@
         "kill" => Command::Kill(words.parse("an entry")?),
         "stop" => Command::Stop(words.parse("an entry")?),
         "freeze" => Command::Freeze(words.parse("an entry")?, words.span("a span")?),
-        "cut" | "heal" => link(&verb, words)?,
-        "platform" => Command::Platform(platform(words)?),
-        "leaf" => Command::Leaf(words.parse("a leaf")?, leaf(words)?),
+        "cut" | "heal" => parse_link(&verb, words)?,
+        "platform" => Command::Platform(parse_platform(words)?),
+        "leaf" => Command::Leaf(words.parse("a leaf")?, parse_leaf(words)?),
         "repartition" => {
             Command::Repartition(words.parse("a version")?, words.pair_or("shift", 1)?)
         }
         "drop" => Command::DropVersion(words.parse("a version")?),
-        "edit" => edit(words)?,
+        "edit" => parse_edit(words)?,
         "race" => Command::Race(words.parse("an entry")?, words.parse("an entry")?),
-        "query" => query(words)?,
-        "load" => load(words)?,
+        "query" => parse_query(words)?,
+        "load" => parse_load(words)?,
         "join" => Command::Join,
         "ticket" => Command::Ticket(words.next("a name")?, words.parse("an entry")?),
-        "submit" => submit(words)?,
-        "expect" => expect(words)?,
-        other => return Err(format!("{other:?} is no command")),
+        "submit" => parse_submit(words)?,
+        "expect" => parse_expect(words)?,
+        other => return Err(format!("unknown command {other:?}")),
     })
 }
 
-fn link(verb: &str, words: &mut Words) -> Result<Command, String> {
+fn parse_link(verb: &str, words: &mut Words) -> Result<Command, String> {
     let entry = words.parse("an entry")?;
     let cut = verb == "cut";
     if words.take("platform") {
@@ -297,7 +300,7 @@
     })
 }
 
-fn platform(words: &mut Words) -> Result<PlatformChange, String> {
+fn parse_platform(words: &mut Words) -> Result<PlatformChange, String> {
     let what = words.next("a change")?;
     Ok(match what.as_str() {
         "down" => PlatformChange::Down,
@@ -306,11 +309,11 @@
         "lose-answers" => PlatformChange::LoseAnswers(words.parse("a number")?),
         "stale" => PlatformChange::Stale(words.parse("a number of revisions")?),
         "lag" => PlatformChange::Lag(words.span("a span")?),
-        other => return Err(format!("{other:?} is no change of the platform")),
+        other => return Err(format!("unknown change of the platform {other:?}")),
     })
 }
 
-fn leaf(words: &mut Words) -> Result<LeafFault, String> {
+fn parse_leaf(words: &mut Words) -> Result<LeafFault, String> {
     let what = words.next("a change")?;
     Ok(match what.as_str() {
         "kill" => LeafFault::Kill,
@@ -323,11 +326,11 @@
         "lose-answers" => LeafFault::LoseAnswers,
         "repeat" => LeafFault::Repeat,
         "stray" => LeafFault::Stray,
-        other => return Err(format!("{other:?} is no change of a leaf")),
+        other => return Err(format!("unknown change of a leaf {other:?}")),
     })
 }
 
-fn edit(words: &mut Words) -> Result<Command, String> {
+fn parse_edit(words: &mut Words) -> Result<Command, String> {
     let entry = words.parse("an entry")?;
     let rate = words.pair_or("rate", 100)?;
     let expected = words.pair("expected");
@@ -347,7 +350,7 @@
     })
 }
 
-fn want(words: &mut Words) -> Result<Want, String> {
+fn parse_want(words: &mut Words) -> Result<Want, String> {
     if !words.take("expect") {
         return Ok(Want::Complete);
     }
@@ -357,31 +360,31 @@
         "partial" => Want::Partial,
         "any" => Want::Any,
         "refused" => Want::Refused(words.pair("reason")),
-        other => return Err(format!("{other:?} is no outcome of a query")),
+        other => return Err(format!("unknown outcome of a query {other:?}")),
     })
 }
 
-fn query(words: &mut Words) -> Result<Command, String> {
+fn parse_query(words: &mut Words) -> Result<Command, String> {
     Ok(Command::Query {
         entry: words.parse("an entry")?,
         call: words.pair("call").unwrap_or_else(|| "finals".to_owned()),
         times: words.pair_or("times", 1)?,
-        want: want(words)?,
+        want: parse_want(words)?,
     })
 }
 
-fn load(words: &mut Words) -> Result<Command, String> {
+fn parse_load(words: &mut Words) -> Result<Command, String> {
     let list = words.pair("entries").ok_or("entries= is missing")?;
     let entries: Result<Vec<usize>, _> = list.split(',').map(str::parse).collect();
     Ok(Command::Load {
-        entries: entries.map_err(|_| format!("{list:?} is no list of entries"))?,
+        entries: entries.map_err(|_| format!("{list:?} is not a list of entries"))?,
         every: words.span_or("every", Duration::from_millis(10))?,
         span: words.span_or("for", Duration::from_secs(1))?,
-        want: want(words)?,
+        want: parse_want(words)?,
     })
 }
 
-fn submit(words: &mut Words) -> Result<Command, String> {
+fn parse_submit(words: &mut Words) -> Result<Command, String> {
     let ticket = words.next("a ticket")?;
     let entry = words.parse("an entry")?;
     let body = words.pair("body").unwrap_or_else(|| ticket.clone());
@@ -400,13 +403,13 @@
     })
 }
 
-fn expect(words: &mut Words) -> Result<Command, String> {
+fn parse_expect(words: &mut Words) -> Result<Command, String> {
     let what = words.next("what is expected")?;
     Ok(match what.as_str() {
         "applied" => {
             let body = words.next("a submission")?;
-            let most = words.take("at-most");
-            Command::Applied(body, words.parse("a number")?, most)
+            let at_most = words.take("at-most");
+            Command::Applied(body, words.parse("a number")?, at_most)
         }
         "version" => {
             let version = words.parse("a version")?;
@@ -417,6 +420,6 @@
         "converged" => Command::Converged,
         "recorded" => Command::Recorded,
         "members" => Command::Members(words.parse("an entry")?, words.parse("a number")?),
-        other => return Err(format!("{other:?} can't be expected")),
+        other => return Err(format!("unknown expectation {other:?}")),
     })
 }
--- a/crates/scene/src/judge.rs
+++ b/crates/scene/src/judge.rs
@@ -1,4 +1,4 @@
-//! What must always hold, judged on every answer.
+//! Invariants of the service, checked on every answer and refusal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,38 +6,41 @@
 use chestnut_unit::Run;
 use serde_json::Value;
 
-/// What a caller was told.
+/// Outcome of a query as its caller sees it.
 #[derive(Clone, Debug)]
-pub(crate) enum Told {
-    /// An answer to query `number`.
+pub(crate) enum Reply {
+    /// The query was answered.
     Answer(Box<Answer>),
-    /// A refusal.
+    /// The query was refused.
     Refused(Box<Refusal>),
 }
 
-/// Violations found so far.
+/// Violations of invariants, and what they are checked against.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// What did not hold, in words.
+    /// Descriptions of the violations found so far.
     pub wrong: Vec<String>,
-    /// Answers judged.
+    /// Number of answers checked.
     pub answers: u64,
-    /// Refusals judged.
+    /// Number of refusals checked.
     pub refusals: u64,
+    /// Numbers of the queries whose refusal says that they did not run.
     not_run: BTreeSet<u64>,
+    /// Receipts of all refusals; a receipt identifies the record of a refusal.
     pub(crate) receipts: BTreeSet<String>,
+    /// Newest version of the settings seen at each entry.
     versions: BTreeMap<usize, u64>,
 }
 
 impl Verdict {
-    /// Judges what the caller of query `number` was told.
-    pub(crate) fn judge(&mut self, number: u64, told: &Told) {
-        match told {
-            Told::Answer(answer) => {
+    /// Checks the outcome of query `number`.
+    pub(crate) fn check(&mut self, number: u64, reply: &Reply) {
+        match reply {
+            Reply::Answer(answer) => {
                 self.answers += 1;
-                self.judge_answer(number, answer);
+                self.check_answer(number, answer);
             }
-            Told::Refused(refusal) => {
+            Reply::Refused(refusal) => {
                 self.refusals += 1;
                 if refusal.execution == Run::NotRun {
                     self.not_run.insert(number);
@@ -50,8 +53,9 @@
         }
     }
 
-    /// One snapshot, exact coverage, and the caller's own rows.
-    fn judge_answer(&mut self, number: u64, answer: &Answer) {
+    /// Checks that all rows are of one snapshot (index version) and of this
+    /// query, and that the stated coverage matches them.
+    fn check_answer(&mut self, number: u64, answer: &Answer) {
         let rows: Vec<Value> = serde_json::from_slice(&answer.rows).unwrap_or_default();
         let version = answer.snapshot.version.0;
         let mut shards = BTreeSet::new();
@@ -61,12 +65,12 @@
                 self.wrong.push(text);
             }
             if row["number"] != number {
-                let text = format!("query {number}: a row of another request: {row}");
+                let text = format!("query {number}: a row of another query: {row}");
                 self.wrong.push(text);
             }
             let shard = row["shard"].as_str().unwrap_or_default().to_owned();
             if !shards.insert(shard) {
-                let text = format!("query {number}: a shard counted twice: {row}");
+                let text = format!("query {number}: two rows of the same shard: {row}");
                 self.wrong.push(text);
             }
         }
@@ -83,26 +87,27 @@
         }
     }
 
-    /// Notes the version that an entry has in force; it must not go back.
-    pub(crate) fn in_force(&mut self, entry: usize, version: u64) {
+    /// Records the version that an entry serves; it must not decrease.
+    pub(crate) fn check_version(&mut self, entry: usize, version: u64) {
         let seen = self.versions.entry(entry).or_default();
         if version < *seen {
-            let text = format!("entry {entry} went back from version {seen} to {version}");
+            let text = format!("entry {entry} reverted from version {seen} to {version}");
             self.wrong.push(text);
         }
         *seen = version.max(*seen);
     }
 
-    /// A new life of an entry may start with nothing, but not serve old
-    /// settings once it has had newer ones.
-    pub(crate) fn new_life(&mut self, entry: usize) {
+    /// Clears the version recorded for an entry: a new incarnation may start
+    /// without settings.
+    pub(crate) fn forget_version(&mut self, entry: usize) {
         self.versions.remove(&entry);
     }
 
-    /// Judges at the end which queries that were told "not run" a leaf ran.
-    pub(crate) fn judge_ledger(&mut self, ran: &BTreeSet<u64>) {
+    /// Checks at the end that no leaf ran a query whose refusal says "not run".
+    pub(crate) fn check_not_run(&mut self, ran: &BTreeSet<u64>) {
         for number in self.not_run.intersection(ran) {
-            let text = format!("query {number} was told not run, and a leaf ran it");
+            let text =
+                format!("query {number} ran at a leaf, but its refusal says that it did not run");
             self.wrong.push(text);
         }
     }
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -1,4 +1,6 @@
-//! The fake at the port to targets: leafs with their own accounts.
+//! Simulated leafs behind the [`Targets`] port; each records what it executed.
+//!
+//! A leaf is a back end that holds replicas of shards.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,62 +17,85 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::links::{Life, lock};
+use crate::links::{ProcessGate, lock};
 
-/// Time of a call at a leaf.
-const WORK: Duration = Duration::from_millis(4);
-/// One-way time to a leaf.
+/// Service time of a call at a leaf.
+const SERVICE_TIME: Duration = Duration::from_millis(4);
+/// One-way network delay to a leaf.
 const LATENCY: Duration = Duration::from_micros(1500);
-/// Time until the pings of a silent connection find it out.
-const PING_FINDS: Duration = Duration::from_millis(1500);
-/// Time after which a leaf that is leaving must get no new work.
+/// Time until keep-alive pings detect an unresponsive connection.
+const PING_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time after which a leaf that is leaving must receive no new calls.
 pub(crate) const LEAVE_GRACE: Duration = Duration::from_secs(3);
 
-/// A leaf, and its own account of what it did.
+/// State of a simulated leaf: its faults, and what it executed.
 #[derive(Debug, Default)]
 pub(crate) struct Leaf {
+    /// Whether it has crashed.
     pub(crate) dead: bool,
+    /// Whether it reports that it is draining.
     pub(crate) draining: bool,
-    pub(crate) left: Option<Instant>,
-    pub(crate) frozen: Option<Instant>,
+    /// When it reported, or the platform listed, that it is leaving.
+    pub(crate) leaving_since: Option<Instant>,
+    /// Until when it answers no call.
+    pub(crate) frozen_until: Option<Instant>,
+    /// Factor on the service time; 0 counts as 1.
     pub(crate) slow: u32,
+    /// Whether answers to submissions are lost.
     pub(crate) lose_answers: bool,
+    /// Whether answers to queries contain their rows twice.
     pub(crate) repeat: bool,
+    /// Whether queries are answered from the next index version.
     pub(crate) stray: bool,
-    pub(crate) silenced: Option<Instant>,
+    /// When its open connections became unresponsive.
+    pub(crate) silent_since: Option<Instant>,
+    /// Shards that it holds, by index version.
     pub(crate) shards: BTreeMap<IndexVersion, BTreeSet<ShardName>>,
+    /// How many times each submission took effect, by identifier.
     pub(crate) applied: BTreeMap<String, u64>,
+    /// Numbers of the queries that ran.
     pub(crate) ran: BTreeSet<u64>,
+    /// Number of calls received later than [`LEAVE_GRACE`] after it left.
     pub(crate) late_calls: u64,
-    pub(crate) holders: BTreeMap<usize, usize>,
+    /// Connections that each entry may keep to it.
+    pub(crate) connections: BTreeMap<usize, usize>,
+    /// Highest sum of `connections` so far.
     pub(crate) peak: usize,
 }
 
 impl Leaf {
-    fn note_call(&mut self) {
-        if self.left.is_some_and(|at| at.elapsed() > LEAVE_GRACE) {
+    /// Counts a call if the leaf should no longer receive any.
+    fn count_late_call(&mut self) {
+        if self
+            .leaving_since
+            .is_some_and(|at| at.elapsed() > LEAVE_GRACE)
+        {
             self.late_calls += 1;
         }
     }
 }
 
-/// All leafs.
+/// All leafs of a scenario, shared by the ports of its entries.
 pub(crate) type Leafs = Arc<Mutex<BTreeMap<LeafId, Leaf>>>;
 
-/// The leafs as one life of an entry reaches them.
+/// Simulated [`Targets`] port of one incarnation of an entry.
 pub(crate) struct FakeTargets {
+    /// All leafs.
     pub(crate) leafs: Leafs,
+    /// Number of the entry.
     pub(crate) entry: usize,
-    pub(crate) life: Arc<Life>,
-    pub(crate) held: Mutex<BTreeSet<LeafId>>,
+    /// Suspends calls while the entry doesn't run.
+    pub(crate) gate: Arc<ProcessGate>,
+    /// Leafs that the entry keeps connections to.
+    pub(crate) connected: Mutex<BTreeSet<LeafId>>,
 }
 
 impl FakeTargets {
-    /// Brings a call to a leaf and waits for its work to be done.
-    async fn reach(&self, id: &LeafId) -> Result<(), Failure> {
-        self.life.gate().await;
-        let silent = self.with(id, |leaf| match leaf.silenced {
-            Some(at) if at.elapsed() < PING_FINDS => Some(at + PING_FINDS),
+    /// Delivers a call to a leaf and waits for its service time.
+    async fn deliver(&self, id: &LeafId) -> Result<(), Failure> {
+        self.gate.wait_running().await;
+        let silent = self.with(id, |leaf| match leaf.silent_since {
+            Some(at) if at.elapsed() < PING_TIMEOUT => Some(at + PING_TIMEOUT),
             _ => None,
         });
         if let Some(until) = silent.flatten() {
@@ -83,20 +108,21 @@
             return Err(Failure::NotSent);
         }
         let frozen = self.with(id, |leaf| {
-            leaf.note_call();
-            leaf.frozen
+            leaf.count_late_call();
+            leaf.frozen_until
         });
         if let Some(until) = frozen.flatten() {
             sleep_until(until).await;
         }
         let slow = self.with(id, |leaf| leaf.slow.max(1)).unwrap_or(1);
-        sleep(WORK * slow).await;
+        sleep(SERVICE_TIME * slow).await;
         if self.with(id, |leaf| leaf.dead).unwrap_or(true) {
             return Err(Failure::Lost);
         }
         Ok(())
     }
 
+    /// Applies `act` to a leaf; `None` if it is unknown.
     fn with<T>(&self, id: &LeafId, act: impl FnOnce(&mut Leaf) -> T) -> Option<T> {
         lock(&self.leafs).get_mut(id).map(act)
     }
@@ -105,22 +131,22 @@
 impl Targets for FakeTargets {
     fn query(&self, call: LeafQuery) -> BoxFuture<'_, Result<LeafAnswer, Failure>> {
         async move {
-            let here = self.with(&call.leaf, |leaf| holds(leaf, &call));
-            if here == Some(false) && !self.with(&call.leaf, |l| l.dead).unwrap_or(true) {
+            let has_shards = self.with(&call.leaf, |leaf| holds_shards(leaf, &call));
+            if has_shards == Some(false) && !self.with(&call.leaf, |l| l.dead).unwrap_or(true) {
                 sleep(LATENCY * 2).await;
                 return Err(Failure::Refused(Refusal::NoSnapshot));
             }
-            self.reach(&call.leaf).await?;
+            self.deliver(&call.leaf).await?;
             let number = number_of(&call.body);
             let answer = self.with(&call.leaf, |leaf| {
-                if !holds(leaf, &call) {
+                if !holds_shards(leaf, &call) {
                     return Err(Failure::Refused(Refusal::NoSnapshot));
                 }
                 leaf.ran.insert(number);
                 Ok(answer_of(leaf, &call, number))
             });
             sleep(LATENCY).await;
-            self.life.gate().await;
+            self.gate.wait_running().await;
             answer.unwrap_or(Err(Failure::Lost))
         }
         .boxed()
@@ -128,7 +154,7 @@
 
     fn submit(&self, call: LeafSubmit) -> BoxFuture<'_, Result<Bytes, Failure>> {
         async move {
-            self.reach(&call.leaf).await?;
+            self.deliver(&call.leaf).await?;
             let body: serde_json::Value = serde_json::from_slice(&call.body).unwrap_or_default();
             let id = body["id"].as_str().unwrap_or_default().to_owned();
             let lost = self.with(&call.leaf, |leaf| {
@@ -139,7 +165,7 @@
                 std::future::pending::<()>().await;
             }
             sleep(LATENCY).await;
-            self.life.gate().await;
+            self.gate.wait_running().await;
             Ok(Bytes::from_static(br#"{"accepted":true}"#))
         }
         .boxed()
@@ -147,11 +173,13 @@
 
     fn state(&self, leaf: LeafId, _: SocketAddr) -> BoxFuture<'_, Option<LeafState>> {
         async move {
-            self.life.gate().await;
+            self.gate.wait_running().await;
             sleep(LATENCY * 2).await;
             self.with(&leaf, |leaf| {
-                let asleep = leaf.frozen.is_some_and(|until| Instant::now() < until);
-                if leaf.dead || asleep {
+                let frozen = leaf
+                    .frozen_until
+                    .is_some_and(|until| Instant::now() < until);
+                if leaf.dead || frozen {
                     return None;
                 }
                 Some(LeafState {
@@ -166,43 +194,43 @@
         .boxed()
     }
 
-    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, most: usize) {
+    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
         let now: BTreeSet<LeafId> = leafs.into_iter().map(|(id, _)| id).collect();
-        let before = std::mem::replace(&mut *lock(&self.held), now.clone());
+        let before = std::mem::replace(&mut *lock(&self.connected), now.clone());
         let mut all = lock(&self.leafs);
         for id in before.difference(&now) {
             if let Some(leaf) = all.get_mut(id) {
-                leaf.holders.remove(&self.entry);
+                leaf.connections.remove(&self.entry);
             }
         }
         for id in &now {
             if let Some(leaf) = all.get_mut(id) {
-                leaf.holders.insert(self.entry, most);
-                leaf.peak = leaf.peak.max(leaf.holders.values().sum());
+                leaf.connections.insert(self.entry, max_conns);
+                leaf.peak = leaf.peak.max(leaf.connections.values().sum());
             }
         }
     }
 
     fn connections(&self) -> Vec<(LeafId, usize)> {
-        let held = lock(&self.held);
-        held.iter().map(|id| (id.clone(), 1)).collect()
+        let connected = lock(&self.connected);
+        connected.iter().map(|id| (id.clone(), 1)).collect()
     }
 }
 
-/// Whether a leaf holds every shard of a call in its version.
-fn holds(leaf: &Leaf, call: &LeafQuery) -> bool {
+/// Returns whether a leaf holds all shards of a call in its index version.
+fn holds_shards(leaf: &Leaf, call: &LeafQuery) -> bool {
     let held = leaf.shards.get(&call.version);
     held.is_some_and(|held| call.shards.iter().all(|shard| held.contains(shard)))
 }
 
-/// The number that the caller put into its query.
+/// Returns the number that identifies a query, from its body.
 fn number_of(body: &[u8]) -> u64 {
     let body: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     body["number"].as_u64().unwrap_or(0)
 }
 
-/// The answer to a query call: each row names shard, version and number, so
-/// that a part of another snapshot or request is seen in the merged answer.
+/// Builds the answer to a query call. Each row names shard, version and query
+/// number, so that rows of another snapshot or query show in a merged answer.
 fn answer_of(leaf: &Leaf, call: &LeafQuery, number: u64) -> LeafAnswer {
     let version = IndexVersion(call.version.0 + u64::from(leaf.stray));
     let part = |shard: &ShardName| {
--- a/crates/scene/src/lib.rs
+++ b/crates/scene/src/lib.rs
@@ -1,10 +1,12 @@
-//! Scripted scenarios: whole entries over fakes at the ports, in virtual time.
+//! Scripted scenarios: complete entries over simulated ports, in virtual time.
 //!
-//! A scenario is a text file of one command a line. It runs real
-//! [`Tier`](chestnut_tier::Tier)s in one process on tokio's paused clock, with
-//! a fake platform, fake leafs and fake links between entries, so that it
-//! gives the same verdict every time. What must always hold is checked on
-//! every answer; see [`Stage`]. `docs/PROOFS.md` lists the scenarios.
+//! An entry is a process that callers connect to; a leaf is a back end that
+//! holds replicas of shards. A scenario is a text file with one command per
+//! line. It runs real [`Tier`](chestnut_tier::Tier)s in one process on tokio's
+//! paused clock, with a simulated platform, simulated leafs and simulated links
+//! between entries, so that its result is reproducible. The invariants are
+//! checked on every answer; see [`Verdict`]. `docs/PROOFS.md` lists the
+//! scenarios.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -1,5 +1,5 @@
-//! The fakes at the ports to peers and for probes: links between entries that
-//! can be cut, and lives that can be frozen or ended.
+//! Simulated [`Peers`] and [`Probes`] ports: links between entries that can be
+//! cut, and processes that can be suspended or killed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,101 +24,120 @@
     time::{sleep, timeout},
 };
 
-/// One-way time between entries.
+/// One-way network delay between entries.
 const LATENCY: Duration = Duration::from_micros(1500);
-/// Longest wait for calls that state no deadline.
-const CONTROL_WAIT: Duration = Duration::from_secs(2);
+/// Timeout of calls that have no deadline of their own.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a process runs.
+/// State of an entry's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pulse {
-    Runs,
+pub(crate) enum RunState {
+    /// It executes.
+    Running,
+    /// It is suspended and may go on later.
     Frozen,
-    Dead,
+    /// It was killed; this state is final.
+    Killed,
 }
 
-/// One life of an entry's process.
-pub(crate) struct Life(watch::Sender<Pulse>);
+/// Process state of one incarnation of an entry; suspends its calls while it
+/// doesn't run.
+pub(crate) struct ProcessGate(watch::Sender<RunState>);
 
-impl Life {
+impl ProcessGate {
+    /// Creates the gate of a running process.
     pub(crate) fn new() -> Self {
-        Self(watch::Sender::new(Pulse::Runs))
+        Self(watch::Sender::new(RunState::Running))
     }
 
-    pub(crate) fn set(&self, pulse: Pulse) {
+    /// Changes the state, unless the process was killed.
+    pub(crate) fn set(&self, state: RunState) {
         self.0.send_if_modified(|now| {
-            let changes = *now != Pulse::Dead && *now != pulse;
+            let changes = *now != RunState::Killed && *now != state;
             if changes {
-                *now = pulse;
+                *now = state;
             }
             changes
         });
     }
 
-    /// Passes while the process runs, waits while it is frozen, and never
-    /// returns once it is dead: nothing that it had under way goes on.
-    pub(crate) async fn gate(&self) {
-        let mut pulse = self.0.subscribe();
-        let _ = pulse.wait_for(|pulse| *pulse == Pulse::Runs).await;
+    /// Returns at once while the process runs, waits while it is frozen, and
+    /// never returns once it is killed: none of its pending work continues.
+    pub(crate) async fn wait_running(&self) {
+        let mut state = self.0.subscribe();
+        let _ = state.wait_for(|state| *state == RunState::Running).await;
     }
 }
 
-/// A process that can be called.
+/// A process that peers can call.
 #[derive(Clone)]
 pub(crate) struct Process {
+    /// Number of the entry.
     pub(crate) number: usize,
-    pub(crate) life: Arc<Life>,
+    /// Suspends calls to the process while it doesn't run.
+    pub(crate) gate: Arc<ProcessGate>,
+    /// Handler of the calls of peers.
     pub(crate) service: Arc<dyn PeerService>,
+    /// Receives the datagrams of its failure detector.
     pub(crate) inbox: mpsc::Sender<(Message, SocketAddr)>,
 }
 
-/// The network between entries.
+/// Network between the entries.
 #[derive(Default)]
 pub(crate) struct Links {
+    /// Processes by the address that peers call.
     pub(crate) processes: Mutex<BTreeMap<SocketAddr, Process>>,
+    /// Pairs of entries that can't reach each other, lower number first.
     pub(crate) cuts: Mutex<BTreeSet<(usize, usize)>>,
 }
 
 impl Links {
+    /// Returns the process at an address, if `from` can reach it.
     fn find(&self, from: usize, to: SocketAddr) -> Option<Process> {
         let process = lock(&self.processes).get(&to).cloned()?;
         (!self.is_cut(from, process.number)).then_some(process)
     }
 
+    /// Returns whether the link between two entries is cut.
     pub(crate) fn is_cut(&self, a: usize, b: usize) -> bool {
         lock(&self.cuts).contains(&(a.min(b), a.max(b)))
     }
 }
 
-/// The port to peers of one life.
+/// Simulated [`Peers`] port of one incarnation of an entry.
 pub(crate) struct FakePeers {
+    /// Network between the entries.
     pub(crate) links: Arc<Links>,
+    /// Number of the entry.
     pub(crate) number: usize,
-    pub(crate) life: Arc<Life>,
+    /// Suspends calls while the entry doesn't run.
+    pub(crate) gate: Arc<ProcessGate>,
 }
 
 impl FakePeers {
+    /// Calls a peer, with the timeout `wait`. An answer is lost if the link is
+    /// cut when it arrives.
     async fn call<T>(
         &self,
         to: SocketAddr,
         wait: Duration,
         call: impl AsyncFnOnce(Process) -> T,
     ) -> Result<T, PeerError> {
-        self.life.gate().await;
+        self.gate.wait_running().await;
         let Some(process) = self.links.find(self.number, to) else {
             sleep(LATENCY).await;
             return Err(PeerError::NotSent);
         };
-        let there = async {
+        let exchange = async {
             sleep(LATENCY).await;
-            process.life.gate().await;
+            process.gate.wait_running().await;
             let answer = call(process.clone()).await;
-            process.life.gate().await;
+            process.gate.wait_running().await;
             sleep(LATENCY).await;
             answer
         };
-        let answer = timeout(wait, there).await;
-        self.life.gate().await;
+        let answer = timeout(wait, exchange).await;
+        self.gate.wait_running().await;
         let cut = self.links.is_cut(self.number, process.number);
         match answer {
             Ok(answer) if !cut => Ok(answer),
@@ -141,7 +160,8 @@
     ) -> BoxFuture<'_, Result<SubmitReply, PeerError>> {
         let wait = ask.deadline;
         self.call(to, wait, async move |p: Process| {
-            // As over the real port, the keeper goes on when the caller goes.
+            // As over the real port, the submission continues when its caller
+            // disconnects.
             let task = tokio::spawn(p.service.submit(ask));
             task.await
                 .unwrap_or(SubmitReply::Unknown(chestnut_unit::Reason::FateUnknown))
@@ -150,7 +170,7 @@
     }
 
     fn members(&self, to: SocketAddr) -> BoxFuture<'_, Result<Vec<Member>, PeerError>> {
-        self.call(to, CONTROL_WAIT, async |p: Process| p.service.members())
+        self.call(to, CONTROL_TIMEOUT, async |p: Process| p.service.members())
             .boxed()
     }
 
@@ -159,14 +179,14 @@
         to: SocketAddr,
         have: BTreeMap<ObjectKey, u64>,
     ) -> BoxFuture<'_, Result<Vec<Object>, PeerError>> {
-        self.call(to, CONTROL_WAIT, async move |p: Process| {
+        self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.objects(&have)
         })
         .boxed()
     }
 
     fn push(&self, to: SocketAddr, objects: Vec<Object>) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.call(to, CONTROL_WAIT, async move |p: Process| {
+        self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.push(objects);
         })
         .boxed()
@@ -186,14 +206,14 @@
     }
 
     fn leaving(&self, to: SocketAddr, leafs: Vec<LeafId>) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.call(to, CONTROL_WAIT, async move |p: Process| {
+        self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.leaving(leafs);
         })
         .boxed()
     }
 
     fn records(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.call(to, CONTROL_WAIT, async move |p: Process| {
+        self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.records(&batch);
         })
         .boxed()
@@ -204,33 +224,39 @@
         to: SocketAddr,
         tickets: Vec<Handed>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>> {
-        self.call(to, CONTROL_WAIT, async move |p: Process| {
+        self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.adopt(tickets)
         })
         .boxed()
     }
 }
 
-/// The port for probes of one life.
+/// Simulated [`Probes`] port of one incarnation of an entry: datagrams of the
+/// failure detector.
 pub(crate) struct FakeProbes {
+    /// Network between the entries.
     pub(crate) links: Arc<Links>,
+    /// Number of the entry.
     pub(crate) number: usize,
+    /// Address that its datagrams are sent from.
     pub(crate) address: SocketAddr,
-    pub(crate) life: Arc<Life>,
+    /// Suspends sending and receiving while the entry doesn't run.
+    pub(crate) gate: Arc<ProcessGate>,
+    /// Datagrams received and not yet read.
     pub(crate) inbox: tokio::sync::Mutex<mpsc::Receiver<(Message, SocketAddr)>>,
 }
 
 impl Probes for FakeProbes {
     fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         async move {
-            self.life.gate().await;
+            self.gate.wait_running().await;
             let Some(process) = self.links.find(self.number, to) else {
                 return;
             };
             let from = self.address;
             tokio::spawn(async move {
                 sleep(LATENCY).await;
-                // A full inbox loses datagrams, as a full socket buffer does.
+                // A full inbox drops datagrams, as a full socket buffer does.
                 let _ = process.inbox.try_send((message, from));
             });
         }
@@ -240,10 +266,10 @@
     fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)> {
         async move {
             let mut inbox = self.inbox.lock().await;
-            self.life.gate().await;
+            self.gate.wait_running().await;
             match inbox.recv().await {
                 Some(received) => {
-                    self.life.gate().await;
+                    self.gate.wait_running().await;
                     received
                 }
                 None => std::future::pending().await,
--- a/crates/scene/src/parse.rs
+++ b/crates/scene/src/parse.rs
@@ -1,4 +1,4 @@
-//! Lines of a scenario, split into words.
+//! Splits the lines of a scenario into words.
 
 use std::{collections::BTreeMap, str::FromStr, time::Duration};
 
@@ -13,14 +13,14 @@
     sequence::{preceded, separated_pair, terminated},
 };
 
-/// A word of a line.
+/// A word of a line: `text` or `key=value`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Word {
     Bare(String),
     Pair(String, String),
 }
 
-/// The words of a line: bare ones in order, and those of the form `key=value`.
+/// Unread words of a line: bare ones in order, and `key=value` pairs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Words {
     bare: Vec<String>,
@@ -51,7 +51,7 @@
 
 /// Splits a line into words. A `#` starts a comment.
 pub(crate) fn words(input: &str) -> Result<Words, String> {
-    let (_, list) = line(input).map_err(|e| format!("can't be read: {e}"))?;
+    let (_, list) = line(input).map_err(|e| format!("syntax error: {e}"))?;
     let mut words = Words::default();
     for word in list {
         match word {
@@ -65,63 +65,65 @@
 }
 
 impl Words {
+    /// Returns whether the line has no words.
     pub(crate) fn is_empty(&self) -> bool {
         self.bare.is_empty() && self.pairs.is_empty()
     }
 
-    /// The next bare word.
+    /// Reads the next bare word; `what` names it in errors.
     pub(crate) fn next(&mut self, what: &str) -> Result<String, String> {
         let word = self.bare.get(self.next).cloned();
         self.next += 1;
         word.ok_or_else(|| format!("{what} is missing"))
     }
 
-    /// The next bare word, parsed.
+    /// Reads and parses the next bare word.
     pub(crate) fn parse<T: FromStr>(&mut self, what: &str) -> Result<T, String> {
         let word = self.next(what)?;
         word.parse().map_err(|_| format!("{word:?} is not {what}"))
     }
 
-    /// The next bare word, as a span of time.
+    /// Reads the next bare word as a duration.
     pub(crate) fn span(&mut self, what: &str) -> Result<Duration, String> {
         parse_span(&self.next(what)?).map_err(|e| e.to_string())
     }
 
-    /// Whether the next bare word is `word`; it is passed over if so.
+    /// Consumes the next bare word if it is `word`; returns whether it was.
     pub(crate) fn take(&mut self, word: &str) -> bool {
-        let here = self.bare.get(self.next).is_some_and(|w| w == word);
-        self.next += usize::from(here);
-        here
+        let found = self.bare.get(self.next).is_some_and(|w| w == word);
+        self.next += usize::from(found);
+        found
     }
 
-    /// The value of a key, if it is given.
+    /// Removes and returns the value of a key, if it is given.
     pub(crate) fn pair(&mut self, key: &str) -> Option<String> {
         self.pairs.remove(key)
     }
 
-    /// The parsed value of a key, or `default`.
+    /// Removes and parses the value of a key; `default` if it is not given.
     pub(crate) fn pair_or<T: FromStr>(&mut self, key: &str, default: T) -> Result<T, String> {
         match self.pair(key) {
             None => Ok(default),
             Some(value) => value
                 .parse()
-                .map_err(|_| format!("{key}={value} can't be read")),
+                .map_err(|_| format!("{key}={value} is not a valid value")),
         }
     }
 
-    /// The value of a key as a span of time, or `default`.
+    /// Removes the value of a key and parses it as a duration; `default` if it
+    /// is not given.
     pub(crate) fn span_or(&mut self, key: &str, default: Duration) -> Result<Duration, String> {
         self.pair(key)
             .map_or(Ok(default), |v| parse_span(&v).map_err(|e| e.to_string()))
     }
 
-    /// Checks that nothing is left.
+    /// Fails if words are left unread.
     pub(crate) fn done(&self) -> Result<(), String> {
         if let Some(word) = self.bare.get(self.next) {
-            return Err(format!("{word:?} is not expected here"));
+            return Err(format!("unexpected word {word:?}"));
         }
         match self.pairs.keys().next() {
-            Some(key) => Err(format!("{key}= is not expected here")),
+            Some(key) => Err(format!("unexpected key {key}=")),
             None => Ok(()),
         }
     }
--- a/crates/scene/src/platform.rs
+++ b/crates/scene/src/platform.rs
@@ -1,4 +1,5 @@
-//! The fake at the port to the platform.
+//! Simulated platform, the store of settings and VMs, behind the [`Platform`]
+//! port.
 
 use std::{
     collections::BTreeSet,
@@ -15,40 +16,48 @@
     time::{Instant, sleep, timeout_at},
 };
 
-use crate::links::{Life, lock};
+use crate::links::{ProcessGate, lock};
 
-/// Time of a call to the platform.
+/// Duration of a call to the platform without faults.
 const LATENCY: Duration = Duration::from_millis(3);
-/// Time after which an entry gives up on a call.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of an entry's calls to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The platform that all entries share.
+/// State of the platform, shared by all entries.
 pub(crate) struct Shared {
+    /// Stored objects and VMs, and the faults of the platform.
     pub(crate) store: Mutex<Store>,
+    /// Wakes watches after a change.
     pub(crate) changed: Notify,
-    pub(crate) cut: Mutex<BTreeSet<usize>>,
+    /// Entries that can't reach the platform.
+    pub(crate) unreachable: Mutex<BTreeSet<usize>>,
+    /// Clock of the list of VMs.
     pub(crate) clock: Clock,
 }
 
-/// The platform as one life of an entry reaches it.
+/// Simulated [`Platform`] port of one incarnation of an entry.
 pub(crate) struct FakePlatform {
+    /// The platform.
     pub(crate) shared: Arc<Shared>,
+    /// Number of the entry.
     pub(crate) entry: usize,
-    pub(crate) life: Arc<Life>,
+    /// Suspends calls while the entry doesn't run.
+    pub(crate) gate: Arc<ProcessGate>,
 }
 
 impl FakePlatform {
-    /// Waits as a call does; fails if the platform can't be reached.
-    async fn travel(&self) -> Result<(), PlatformError> {
-        self.life.gate().await;
+    /// Waits for the duration of a call; fails if it times out or the network
+    /// to the platform is cut.
+    async fn round_trip(&self) -> Result<(), PlatformError> {
+        self.gate.wait_running().await;
         let slow = lock(&self.shared.store).fault.slow_ms;
         let span = LATENCY + Duration::from_millis(slow);
-        if span > PATIENCE {
-            sleep(PATIENCE).await;
+        if span > CALL_TIMEOUT {
+            sleep(CALL_TIMEOUT).await;
             return Err(PlatformError::Unavailable);
         }
         sleep(span).await;
-        if lock(&self.shared.cut).contains(&self.entry) {
+        if lock(&self.shared.unreachable).contains(&self.entry) {
             return Err(PlatformError::Unavailable);
         }
         Ok(())
@@ -58,20 +67,20 @@
 impl Platform for FakePlatform {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Option<Object>, PlatformError>> {
         async move {
-            self.travel().await?;
-            let got = lock(&self.shared.store).get(&key);
-            self.life.gate().await;
-            got
+            self.round_trip().await?;
+            let result = lock(&self.shared.store).get(&key);
+            self.gate.wait_running().await;
+            result
         }
         .boxed()
     }
 
     fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move {
-            self.travel().await?;
-            let got = lock(&self.shared.store).list(kind);
-            self.life.gate().await;
-            got
+            self.round_trip().await?;
+            let result = lock(&self.shared.store).list(kind);
+            self.gate.wait_running().await;
+            result
         }
         .boxed()
     }
@@ -83,11 +92,11 @@
         value: serde_json::Value,
     ) -> BoxFuture<'_, Result<u64, PlatformError>> {
         async move {
-            self.travel().await?;
-            let written = lock(&self.shared.store).put(key, expected, value);
+            self.round_trip().await?;
+            let result = lock(&self.shared.store).put(key, expected, value);
             self.shared.changed.notify_waiters();
-            self.life.gate().await;
-            written
+            self.gate.wait_running().await;
+            result
         }
         .boxed()
     }
@@ -99,18 +108,18 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>> {
         async move {
-            self.travel().await?;
+            self.round_trip().await?;
             lock(&self.shared.store).counts.watches += 1;
             let until = Instant::now() + wait;
             loop {
                 let changed = self.shared.changed.notified();
-                if lock(&self.shared.cut).contains(&self.entry) {
+                if lock(&self.shared.unreachable).contains(&self.entry) {
                     return Err(PlatformError::Unavailable);
                 }
                 let changes = lock(&self.shared.store).changes(kind, revision);
                 let empty = matches!(&changes, Ok(c) if c.objects.is_empty());
                 if !empty || Instant::now() >= until {
-                    self.life.gate().await;
+                    self.gate.wait_running().await;
                     return changes;
                 }
                 let _ = timeout_at(until, changed).await;
@@ -121,11 +130,11 @@
 
     fn vms(&self) -> BoxFuture<'_, Result<Vec<Vm>, PlatformError>> {
         async move {
-            self.travel().await?;
+            self.round_trip().await?;
             let now = self.shared.clock.now();
-            let got = lock(&self.shared.store).vms(now);
-            self.life.gate().await;
-            got
+            let result = lock(&self.shared.store).vms(now);
+            self.gate.wait_running().await;
+            result
         }
         .boxed()
     }
--- a/crates/scene/src/run.rs
+++ b/crates/scene/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario.
+//! Executes the commands of a scenario.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,39 +13,42 @@
 
 use crate::{
     command::{Command, Scenario, Want},
-    judge::{Told, Verdict},
+    judge::{Reply, Verdict},
     stage::{ORG, Stage, organisation},
 };
 
-/// Time that entries are given to find each other at the start.
-const SETTLE: Duration = Duration::from_secs(6);
-/// Longest wait for something that is expected to come about.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time for the entries to discover each other at the start.
+const JOIN_TIME: Duration = Duration::from_secs(6);
+/// Time within which entries must serve an expected version.
+const VERSION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between checks of an expectation.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
+/// State of a running scenario.
 struct Runner {
     stage: Stage,
     start: Instant,
+    /// Texts of the tickets, by their names in the scenario.
     tickets: BTreeMap<String, String>,
+    /// Requests in the background.
     loads: JoinSet<Result<(), String>>,
     edits: u32,
     kills: u32,
 }
 
-/// Runs the text of a scenario on a paused clock.
+/// Parses and runs a scenario; tokio's clock must be paused.
 ///
 /// # Errors
 ///
-/// The text can't be read, an expectation did not hold, or one of the things
-/// that must always hold did not.
+/// The text is not a valid scenario, an expectation was not met, or an
+/// invariant was violated.
 pub async fn run_text(text: &str, log: Logger) -> Result<Verdict, String> {
     let scenario = Scenario::parse(text).map_err(|e| e.to_string())?;
     let mut stage = Stage::set(scenario.setup.clone(), log);
     for number in 0..scenario.setup.entries {
         stage.start(number).await.map_err(|e| e.to_string())?;
     }
-    sleep(SETTLE).await;
+    sleep(JOIN_TIME).await;
     let mut runner = Runner {
         stage,
         start: Instant::now(),
@@ -57,13 +60,16 @@
     for (line, command) in scenario.commands {
         let done = runner.run(command).await;
         done.map_err(|problem| format!("line {line}: {problem}"))?;
-        runner.look();
+        runner.check_versions();
     }
     runner.join().await?;
     let verdict = runner.stage.finish();
     match verdict.wrong.first() {
         None => Ok(verdict),
-        Some(first) => Err(format!("{} wrong, the first: {first}", verdict.wrong.len())),
+        Some(first) => Err(format!(
+            "{} violations, the first: {first}",
+            verdict.wrong.len()
+        )),
     }
 }
 
@@ -117,7 +123,7 @@
                 want,
                 later,
             } => self.submit(&ticket, entry, &body, want, later).await?,
-            Command::Applied(body, times, most) => self.applied(&body, times, most)?,
+            Command::Applied(body, times, at_most) => self.applied(&body, times, at_most)?,
             Command::InForce(version, entries) => self.in_force(version, &entries).await?,
             Command::Recorded => self.recorded().await?,
             Command::Converged => self.converged().await?,
@@ -126,16 +132,17 @@
         Ok(())
     }
 
-    /// Notes which versions are in force; none may have gone back.
-    fn look(&self) {
+    /// Checks that no entry's version of the settings has decreased.
+    fn check_versions(&self) {
         for number in self.stage.entries.keys() {
             self.stage.version_at(*number);
         }
     }
 
-    fn entry(&self, number: usize) -> Result<&crate::stage::Running, String> {
+    /// Returns a running entry.
+    fn entry(&self, number: usize) -> Result<&crate::stage::RunningEntry, String> {
         let running = self.stage.entries.get(&number);
-        running.ok_or_else(|| format!("entry {number} does not run"))
+        running.ok_or_else(|| format!("entry {number} is not running"))
     }
 
     async fn edit(
@@ -149,15 +156,15 @@
         let id = format!("edit-{}", self.edits);
         let tier = self.entry(entry)?.tier.clone();
         let done = put(&tier, rate, expected, id).await;
-        let word = match &done {
+        let outcome = match &done {
             Ok(_) => "accepted",
             Err(EditError::Conflict { .. }) => "conflict",
             Err(EditError::Unavailable) => "outage",
             Err(EditError::Unconfirmed { .. }) => "unsettled",
             Err(EditError::Invalid(_)) => "wrong",
         };
-        if want != "any" && want != word {
-            return Err(format!("the edit was to be {want} and is {done:?}"));
+        if want != "any" && want != outcome {
+            return Err(format!("the edit: expected {want}, got {done:?}"));
         }
         Ok(())
     }
@@ -183,7 +190,9 @@
         );
         match (one.is_ok(), other.is_ok()) {
             (true, false) | (false, true) => Ok(()),
-            _ => Err(format!("one edit was to win: {one:?} and {other:?}")),
+            _ => Err(format!(
+                "exactly one edit should succeed: {one:?} and {other:?}"
+            )),
         }
     }
 
@@ -197,10 +206,10 @@
         for _ in 0..times {
             let (number, ask) = self.stage.query(call);
             let running = self.entry(entry)?;
-            let (tier, life) = (running.tier.clone(), running.life.clone());
+            let (tier, gate) = (running.tier.clone(), running.gate.clone());
             let verdict = self.stage.verdict.clone();
-            let told = Stage::ask(tier, life, verdict, number, ask).await;
-            meets(&told, want)?;
+            let reply = Stage::ask(tier, gate, verdict, number, ask).await;
+            check_outcome(&reply, want)?;
         }
         Ok(())
     }
@@ -214,31 +223,31 @@
             turn += 1;
             let (number, ask) = self.stage.query("finals");
             if let Some(running) = self.stage.entries.get(&entry) {
-                let (tier, life) = (running.tier.clone(), running.life.clone());
+                let (tier, gate) = (running.tier.clone(), running.gate.clone());
                 let (verdict, want) = (self.stage.verdict.clone(), want.clone());
                 self.loads.spawn(async move {
                     sleep_until(due).await;
-                    let told = Stage::ask(tier, life, verdict, number, ask).await;
-                    meets(&told, &want)
+                    let reply = Stage::ask(tier, gate, verdict, number, ask).await;
+                    check_outcome(&reply, &want)
                 });
             }
             due += every;
         }
     }
 
-    /// Waits for all loads. Requests at entries that were killed never end;
-    /// their callers see a broken connection, which is no answer to judge.
+    /// Waits for all requests in the background. Requests at killed entries
+    /// never end: their callers lose the connection and get no outcome to check.
     async fn join(&mut self) -> Result<(), String> {
-        /// Beyond any deadline of a scenario.
-        const LONGEST: Duration = Duration::from_secs(120);
-        let until = Instant::now() + LONGEST;
+        /// Longer than any deadline in a scenario.
+        const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
+        let until = Instant::now() + LOAD_TIMEOUT;
         while !self.loads.is_empty() {
             match tokio::time::timeout_at(until, self.loads.join_next()).await {
                 Ok(Some(Ok(done))) => done?,
                 Ok(Some(Err(error))) => return Err(error.to_string()),
                 Ok(None) => break,
                 Err(_) if self.kills == 0 => {
-                    return Err(format!("{} requests were cut off", self.loads.len()));
+                    return Err(format!("{} requests did not end", self.loads.len()));
                 }
                 Err(_) => {
                     self.loads.abort_all();
@@ -267,17 +276,17 @@
         let text = self.tickets.get(ticket).ok_or("there is no such ticket")?;
         let ask = self.stage.submission(Some(text), body);
         let running = self.entry(entry)?;
-        let (tier, life) = (running.tier.clone(), running.life.clone());
+        let (tier, gate) = (running.tier.clone(), running.gate.clone());
         let run = async move {
-            life.gate().await;
-            let word = match tier.submit(ask).await {
+            gate.wait_running().await;
+            let outcome = match tier.submit(ask).await {
                 Ok(_) => "done",
                 Err(refusal) if refusal.execution == Run::NotRun => "not_run",
                 Err(_) => "unknown",
             };
-            life.gate().await;
-            if want != "any" && want != word {
-                return Err(format!("the submission was to be {want} and is {word}"));
+            gate.wait_running().await;
+            if want != "any" && want != outcome {
+                return Err(format!("the submission: expected {want}, got {outcome}"));
             }
             Ok(())
         };
@@ -288,16 +297,16 @@
         run.await
     }
 
-    fn applied(&self, body: &str, times: u64, most: bool) -> Result<(), String> {
+    fn applied(&self, body: &str, times: u64, at_most: bool) -> Result<(), String> {
         let found = self.stage.applied(body);
-        if found == times || (most && found < times) {
+        if found == times || (at_most && found < times) {
             return Ok(());
         }
         Err(format!("{body} took effect {found} times"))
     }
 
     async fn in_force(&self, version: u64, entries: &[usize]) -> Result<(), String> {
-        let until = Instant::now() + WITHIN;
+        let until = Instant::now() + VERSION_TIMEOUT;
         loop {
             let late: Vec<usize> = entries
                 .iter()
@@ -309,25 +318,27 @@
             }
             if Instant::now() >= until {
                 let at: Vec<u64> = entries.iter().map(|e| self.stage.version_at(*e)).collect();
-                return Err(format!("version {version} is not in force: {at:?}"));
+                return Err(format!(
+                    "version {version} is expected, the entries serve {at:?}"
+                ));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn recorded(&self) -> Result<(), String> {
-        /// Time in which records reach the platform once it is up.
-        const RECORDED: Duration = Duration::from_secs(10);
-        let until = Instant::now() + RECORDED;
+        /// Time within which records must reach a working platform.
+        const RECORD_TIMEOUT: Duration = Duration::from_secs(10);
+        let until = Instant::now() + RECORD_TIMEOUT;
         loop {
             let missing = self.stage.unrecorded();
             if missing == 0 {
                 return Ok(());
             }
             if Instant::now() >= until {
-                return Err(format!("{missing} refusals are not on record"));
+                return Err(format!("{missing} refusals have no record in the platform"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -338,9 +349,9 @@
     }
 
     async fn members(&self, entry: usize, count: usize) -> Result<(), String> {
-        /// Time in which a death or a return must be known.
-        const KNOWN: Duration = Duration::from_secs(10);
-        let until = Instant::now() + KNOWN;
+        /// Time within which a crash or a restart must be detected.
+        const DETECTION_TIMEOUT: Duration = Duration::from_secs(10);
+        let until = Instant::now() + DETECTION_TIMEOUT;
         loop {
             let list = self.entry(entry)?.tier.entries(None).entries;
             if list.len() == count {
@@ -348,13 +359,14 @@
             }
             if Instant::now() >= until {
                 let own = self.stage.member(entry);
-                return Err(format!("{own} knows {} entries, not {count}", list.len()));
+                return Err(format!("{own} lists {} entries, not {count}", list.len()));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
+/// Edits the organisation's settings through an entry.
 async fn put(
     tier: &chestnut_tier::Tier,
     rate: u64,
@@ -368,20 +380,21 @@
     tier.edit(key, organisation(rate), expected, id).await
 }
 
-fn meets(told: &Told, want: &Want) -> Result<(), String> {
-    match (told, want) {
+/// Checks the outcome of a query against the expected one.
+fn check_outcome(reply: &Reply, want: &Want) -> Result<(), String> {
+    match (reply, want) {
         (_, Want::Any) => Ok(()),
-        (Told::Answer(answer), Want::Complete) if answer.coverage.is_complete() => Ok(()),
-        (Told::Answer(answer), Want::Partial) if !answer.coverage.is_complete() => Ok(()),
-        (Told::Refused(refusal), Want::Refused(reason)) => {
+        (Reply::Answer(answer), Want::Complete) if answer.coverage.is_complete() => Ok(()),
+        (Reply::Answer(answer), Want::Partial) if !answer.coverage.is_complete() => Ok(()),
+        (Reply::Refused(refusal), Want::Refused(reason)) => {
             let code = refusal.reason.as_str();
             match reason {
                 Some(reason) if reason != code => Err(format!("refused for {code}: {refusal:?}")),
                 _ => Ok(()),
             }
         }
-        (Told::Answer(answer), _) => Err(format!("{want:?} was expected: {:?}", answer.coverage)),
-        (Told::Refused(refusal), _) => {
+        (Reply::Answer(answer), _) => Err(format!("{want:?} was expected: {:?}", answer.coverage)),
+        (Reply::Refused(refusal), _) => {
             let (reason, detail) = (refusal.reason, &refusal.detail);
             Err(format!(
                 "{want:?} was expected: refused for {reason}, {detail}"
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -1,4 +1,4 @@
-//! The stage: entries, leafs, links and the platform of one scenario.
+//! Test bed of a scenario: its entries, leafs, links and platform.
 
 mod world;
 
@@ -26,20 +26,20 @@
 
 use crate::{
     command::{LeafFault, PlatformChange, Setup},
-    judge::{Told, Verdict},
+    judge::{Reply, Verdict},
     leafs::{FakeTargets, Leaf, Leafs},
-    links::{FakePeers, FakeProbes, Life, Links, Process, Pulse, lock},
+    links::{FakePeers, FakeProbes, Links, Process, ProcessGate, RunState, lock},
     platform::{self, FakePlatform},
 };
 
-/// Datagrams that wait at an entry.
-const INBOX: usize = 256;
-/// Deadline of queries.
+/// Capacity of an entry's inbox, in datagrams.
+const INBOX_CAPACITY: usize = 256;
+/// Deadline of queries and submissions.
 const DEADLINE: Duration = Duration::from_millis(800);
-/// Wall time at which every scenario starts.
+/// Wall clock time at which every scenario starts.
 const START: Wall = Wall(1_800_000_000_000);
 
-/// Why a stage can't be set.
+/// Why an entry can't be started.
 #[derive(Debug, Display)]
 pub enum StageError {
     /// {0}
@@ -50,13 +50,15 @@
 
 impl std::error::Error for StageError {}
 
-/// A running entry of a stage.
-pub(crate) struct Running {
+/// A running entry.
+pub(crate) struct RunningEntry {
+    /// The entry's service.
     pub(crate) tier: Tier,
-    pub(crate) life: Arc<Life>,
+    /// State of its process.
+    pub(crate) gate: Arc<ProcessGate>,
 }
 
-/// Entries, leafs, links and the platform of one scenario.
+/// Simulated deployment of one scenario: entries, leafs, links and platform.
 pub struct Stage {
     setup: Setup,
     world: World,
@@ -65,18 +67,22 @@
     platform: Arc<platform::Shared>,
     clock: Clock,
     log: Logger,
-    pub(crate) entries: BTreeMap<usize, Running>,
+    /// Running entries by number.
+    pub(crate) entries: BTreeMap<usize, RunningEntry>,
+    /// Invariants, checked on every answer.
     pub(crate) verdict: Arc<Mutex<Verdict>>,
-    numbers: Mutex<u64>,
-    lives: u64,
+    /// Number of the last query.
+    last_query: Mutex<u64>,
+    /// Number of starts of all entries; seeds each new incarnation.
+    starts: u64,
 }
 
 impl Stage {
-    /// Sets the stage: the platform and the leafs run, no entry does yet.
+    /// Creates a deployment whose platform and leafs run; no entry runs yet.
     ///
     /// # Panics
     ///
-    /// Never: the names of a stage are legal.
+    /// Never: the names in a scenario's deployment are valid.
     #[must_use]
     pub fn set(setup: Setup, log: Logger) -> Self {
         let world = world_of(&setup);
@@ -102,75 +108,76 @@
             platform: Arc::new(platform::Shared {
                 store: Mutex::new(store),
                 changed: Notify::new(),
-                cut: Mutex::new(BTreeSet::new()),
+                unreachable: Mutex::new(BTreeSet::new()),
                 clock,
             }),
             clock,
             log,
             entries: BTreeMap::new(),
             verdict: Arc::default(),
-            numbers: Mutex::new(0),
-            lives: 0,
+            last_query: Mutex::new(0),
+            starts: 0,
         }
     }
 
-    /// Starts an entry.
+    /// Starts an entry, in a new incarnation.
     ///
     /// # Errors
     ///
-    /// Its settings are wrong; they are not.
+    /// The entry's settings are not valid, or it fails to start.
     pub async fn start(&mut self, number: usize) -> Result<(), StageError> {
-        self.lives += 1;
+        self.starts += 1;
         let settings = self.settings(number)?;
         let address = settings.listen.peers;
-        let life = Arc::new(Life::new());
-        let (inbox, outbox) = mpsc::channel(INBOX);
+        let gate = Arc::new(ProcessGate::new());
+        let (inbox, outbox) = mpsc::channel(INBOX_CAPACITY);
         let targets = FakeTargets {
             leafs: self.leafs.clone(),
             entry: number,
-            life: life.clone(),
-            held: Mutex::new(BTreeSet::new()),
+            gate: gate.clone(),
+            connected: Mutex::new(BTreeSet::new()),
         };
         let platform = FakePlatform {
             shared: self.platform.clone(),
             entry: number,
-            life: life.clone(),
+            gate: gate.clone(),
         };
         let probes = FakeProbes {
             links: self.links.clone(),
             number,
             address,
-            life: life.clone(),
+            gate: gate.clone(),
             inbox: tokio::sync::Mutex::new(outbox),
         };
         let ports = Ports {
             targets: Arc::new(targets),
             platform: Arc::new(platform),
             probes: Arc::new(probes),
-            peers: self.binder(number, address, life.clone(), inbox),
+            peers: self.binder(number, address, gate.clone(), inbox),
             clock: self.clock,
         };
         let log = self.log.new(slog::o!("entry" => number));
-        let tier = Tier::spawn(settings, log, ports, self.lives)
+        let tier = Tier::spawn(settings, log, ports, self.starts)
             .await
             .map_err(StageError::Spawn)?;
-        lock(&self.verdict).new_life(number);
-        self.entries.insert(number, Running { tier, life });
+        lock(&self.verdict).forget_version(number);
+        self.entries.insert(number, RunningEntry { tier, gate });
         Ok(())
     }
 
+    /// Returns the function that registers an entry's process as a peer.
     fn binder(
         &self,
         number: usize,
         address: SocketAddr,
-        life: Arc<Life>,
+        gate: Arc<ProcessGate>,
         inbox: mpsc::Sender<(chestnut_fleet::Message, SocketAddr)>,
     ) -> PeerBinder {
         let links = self.links.clone();
         Box::new(move |service: Arc<dyn PeerService>| {
             let process = Process {
                 number,
-                life: life.clone(),
+                gate: gate.clone(),
                 service,
                 inbox,
             };
@@ -178,12 +185,13 @@
             let peers = FakePeers {
                 links,
                 number,
-                life,
+                gate,
             };
             async move { Ok(Arc::new(peers) as Arc<dyn Peers>) }.boxed()
         })
     }
 
+    /// Builds the settings file of an entry.
     fn settings(&self, number: usize) -> Result<Settings, StageError> {
         let spec = &self.world.entry[number];
         let share = self.setup.share;
@@ -198,20 +206,20 @@
             .map_err(|e| StageError::Settings(e.to_string()))
     }
 
-    /// Kills an entry: nothing that it had under way goes on.
+    /// Kills an entry: none of its pending work continues.
     pub fn kill(&mut self, number: usize) {
         let Some(running) = self.entries.remove(&number) else {
             return;
         };
-        running.life.set(Pulse::Dead);
+        running.gate.set(RunState::Killed);
         let address = self.world.entry[number].peers;
         lock(&self.links.processes).remove(&address);
         for leaf in lock(&self.leafs).values_mut() {
-            leaf.holders.remove(&number);
+            leaf.connections.remove(&number);
         }
     }
 
-    /// Stops an entry in the planned way, and waits for its end.
+    /// Shuts an entry down gracefully and waits until it has stopped.
     pub async fn stop(&mut self, number: usize) {
         let Some(running) = self.entries.get(&number) else {
             return;
@@ -222,20 +230,20 @@
         self.kill(number);
     }
 
-    /// Freezes an entry until it is thawed.
+    /// Suspends an entry's process for `span`, without waiting for its end.
     pub fn freeze(&self, number: usize, span: Duration) {
         let Some(running) = self.entries.get(&number) else {
             return;
         };
-        running.life.set(Pulse::Frozen);
-        let life = running.life.clone();
+        running.gate.set(RunState::Frozen);
+        let gate = running.gate.clone();
         tokio::spawn(async move {
             tokio::time::sleep(span).await;
-            life.set(Pulse::Runs);
+            gate.set(RunState::Running);
         });
     }
 
-    /// Cuts two entries off from each other, or undoes it.
+    /// Cuts the network between two entries, or restores it.
     pub fn cut(&self, a: usize, b: usize, cut: bool) {
         let pair = (a.min(b), a.max(b));
         let mut cuts = lock(&self.links.cuts);
@@ -246,9 +254,9 @@
         }
     }
 
-    /// Cuts an entry off from the platform, or undoes it.
+    /// Cuts the network between an entry and the platform, or restores it.
     pub fn cut_platform(&self, entry: usize, cut: bool) {
-        let mut cuts = lock(&self.platform.cut);
+        let mut cuts = lock(&self.platform.unreachable);
         if cut {
             cuts.insert(entry);
         } else {
@@ -258,7 +266,7 @@
         self.platform.changed.notify_waiters();
     }
 
-    /// Changes the platform.
+    /// Sets or ends a fault of the platform.
     pub fn change_platform(&self, change: &PlatformChange) {
         let mut store = lock(&self.platform.store);
         let fault = &mut store.fault;
@@ -274,7 +282,7 @@
         self.platform.changed.notify_waiters();
     }
 
-    /// Changes a leaf.
+    /// Sets or ends a fault of a leaf.
     ///
     /// # Errors
     ///
@@ -295,19 +303,19 @@
             LeafFault::Revive => {
                 leaf.dead = false;
                 leaf.draining = false;
-                leaf.left = None;
+                leaf.leaving_since = None;
                 leaf.slow = 1;
                 leaf.lose_answers = false;
                 leaf.stray = false;
             }
             LeafFault::Drain => {
                 leaf.draining = true;
-                leaf.left = Some(now);
+                leaf.leaving_since = Some(now);
             }
-            LeafFault::List => leaf.left = Some(now),
-            LeafFault::Freeze(span) => leaf.frozen = Some(now + *span),
+            LeafFault::List => leaf.leaving_since = Some(now),
+            LeafFault::Freeze(span) => leaf.frozen_until = Some(now + *span),
             LeafFault::Slow(factor) => leaf.slow = *factor,
-            LeafFault::Silence => leaf.silenced = Some(now),
+            LeafFault::Silence => leaf.silent_since = Some(now),
             LeafFault::LoseAnswers => leaf.lose_answers = true,
             LeafFault::Repeat => leaf.repeat = true,
             LeafFault::Stray => leaf.stray = true,
@@ -315,6 +323,7 @@
         Ok(())
     }
 
+    /// Marks a leaf as leaving in the platform's list of VMs.
     fn list_leaving(&self, leaf: &LeafId) {
         let mut store = lock(&self.platform.store);
         let mut vms = store.true_vms();
@@ -324,11 +333,11 @@
         store.set_vms(vms, self.clock.now());
     }
 
-    /// Publishes an index version whose shards start `shift` leafs further on.
+    /// Publishes an index version whose shards are shifted by `shift` leafs.
     ///
     /// # Panics
     ///
-    /// Never: the platform's own writes are of the right form.
+    /// Never: the objects serialise, and all leafs exist.
     pub fn repartition(&self, version: u64, shift: u32) {
         let spec = &self.world.service[0];
         let version = IndexVersion(version);
@@ -357,7 +366,7 @@
         self.set_versions(|versions| versions.push(version));
     }
 
-    /// Leafs drop an index version, and then the platform does.
+    /// Removes an index version from the leafs, then from the service's versions.
     pub fn drop_version(&self, version: u64) {
         let version = IndexVersion(version);
         for leaf in lock(&self.leafs).values_mut() {
@@ -366,6 +375,7 @@
         self.set_versions(|versions| versions.retain(|v| *v != version));
     }
 
+    /// Changes the index versions of the service.
     fn set_versions(&self, change: impl FnOnce(&mut Vec<IndexVersion>)) {
         let spec = &self.world.service[0];
         let key = ObjectKey {
@@ -384,7 +394,7 @@
         self.write(Kind::Service, spec.name.as_str(), value);
     }
 
-    /// Writes an object as the platform itself does, whatever its faults.
+    /// Writes an object on the platform's side, regardless of its faults.
     fn write(&self, kind: Kind, name: &str, value: serde_json::Value) {
         let key = ObjectKey {
             kind,
@@ -394,11 +404,11 @@
         self.platform.changed.notify_waiters();
     }
 
-    /// A query with a number of its own.
+    /// Creates a query with a unique number.
     pub(crate) fn query(&self, call: &str) -> (u64, QueryRequest) {
-        let mut numbers = lock(&self.numbers);
-        *numbers += 1;
-        let number = *numbers;
+        let mut last = lock(&self.last_query);
+        *last += 1;
+        let number = *last;
         let ask = QueryRequest {
             organisation: OrgName::new(ORG).expect("a legal name"),
             service: ServiceName::new(SERVICE).expect("a legal name"),
@@ -409,7 +419,7 @@
         (number, ask)
     }
 
-    /// A submission named `body`.
+    /// Creates a submission with the identifier `body`.
     pub(crate) fn submission(&self, ticket: Option<&str>, body: &str) -> SubmitRequest {
         SubmitRequest {
             ticket: ticket.and_then(|text| text.parse().ok()),
@@ -421,43 +431,44 @@
         }
     }
 
-    /// Sends one query to a tier and judges the answer.
+    /// Sends a query to an entry and checks the outcome.
     pub(crate) async fn ask(
         tier: Tier,
-        life: Arc<Life>,
+        gate: Arc<ProcessGate>,
         verdict: Arc<Mutex<Verdict>>,
         number: u64,
         ask: QueryRequest,
-    ) -> Told {
-        life.gate().await;
-        let told = match tier.query(ask).await {
-            Ok(answer) => Told::Answer(Box::new(answer)),
-            Err(refusal) => Told::Refused(Box::new(refusal)),
+    ) -> Reply {
+        gate.wait_running().await;
+        let reply = match tier.query(ask).await {
+            Ok(answer) => Reply::Answer(Box::new(answer)),
+            Err(refusal) => Reply::Refused(Box::new(refusal)),
         };
-        life.gate().await;
-        lock(&verdict).judge(number, &told);
-        told
+        gate.wait_running().await;
+        lock(&verdict).check(number, &reply);
+        reply
     }
 
-    /// The version of the organisation that an entry has in force.
+    /// Returns the version of the organisation's settings that an entry serves,
+    /// and checks that it has not decreased.
     pub(crate) fn version_at(&self, number: usize) -> u64 {
         let Some(running) = self.entries.get(&number) else {
             return 0;
         };
         let status = running.tier.status();
         let version = status.organisations.get(ORG).copied().unwrap_or(0);
-        lock(&self.verdict).in_force(number, version);
+        lock(&self.verdict).check_version(number, version);
         version
     }
 
-    /// How often a submission took effect.
+    /// Returns how many times a submission took effect.
     pub(crate) fn applied(&self, body: &str) -> u64 {
         let leafs = lock(&self.leafs);
         let times = leafs.values().filter_map(|leaf| leaf.applied.get(body));
         times.sum()
     }
 
-    /// Refusals told so far that no record in the platform names.
+    /// Returns the number of refusals without a record in the platform.
     pub(crate) fn unrecorded(&self) -> usize {
         let objects = lock(&self.platform.store).peek_all(Kind::Refusal);
         let recorded: BTreeSet<String> = objects
@@ -469,28 +480,29 @@
         verdict.receipts.difference(&recorded).count()
     }
 
-    /// Name of an entry.
+    /// Returns the member name of an entry.
     pub(crate) fn member(&self, number: usize) -> &MemberId {
         &self.world.entry[number].member
     }
 
-    /// Judges what shows only at the end: queries told "not run", leafs that
-    /// got work after they left, and connections over a leaf's limit.
+    /// Checks what can be known only at the end: queries refused as "not run"
+    /// that ran, calls to leafs that had left, and connections over a leaf's
+    /// limit.
     pub(crate) fn finish(&self) -> Verdict {
         let mut verdict = lock(&self.verdict).clone();
         let mut ran = BTreeSet::new();
         for (id, leaf) in lock(&self.leafs).iter() {
             ran.extend(&leaf.ran);
             if leaf.late_calls > 0 {
-                let text = format!("leaf {id} got {} calls after it left", leaf.late_calls);
+                let text = format!("leaf {id} received {} calls after it left", leaf.late_calls);
                 verdict.wrong.push(text);
             }
             if leaf.peak > self.setup.connections as usize {
-                let text = format!("leaf {id} had {} connections", leaf.peak);
+                let text = format!("leaf {id} had {} connections, over its limit", leaf.peak);
                 verdict.wrong.push(text);
             }
         }
-        verdict.judge_ledger(&ran);
+        verdict.check_not_run(&ran);
         verdict
     }
 }
--- a/crates/scene/src/stage/world.rs
+++ b/crates/scene/src/stage/world.rs
@@ -1,4 +1,4 @@
-//! The deployment of a scenario, as the platform holds it at first.
+//! Initial deployment and settings of a scenario, as the platform stores them.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -8,12 +8,12 @@
 
 use crate::command::Setup;
 
-/// The organisation of every scenario.
+/// Name of the organisation (the customer) in every scenario.
 pub(crate) const ORG: &str = "galway";
-/// The service of every scenario.
+/// Name of the service in every scenario.
 pub(super) const SERVICE: &str = "ladder";
 
-/// The world that a setup describes.
+/// Builds the deployment that a setup describes.
 pub(super) fn world_of(setup: &Setup) -> World {
     let host = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let domains = ["dub-a", "dub-b", "kdr-c"];
@@ -38,10 +38,10 @@
         setup.connections,
         setup.group,
     );
-    World::parse(&text).expect("the text is a world")
+    World::parse(&text).expect("the text describes a valid world")
 }
 
-/// The template and the organisation that every scenario starts with.
+/// Returns the template and the organisation that every scenario starts with.
 pub(super) fn edited_objects(setup: &Setup) -> Vec<(ObjectKey, serde_json::Value)> {
     let unconfirmed = format!("{}ms", setup.unconfirmed.as_millis());
     let call = |kind: &str, answer: serde_json::Value| {
@@ -64,7 +64,8 @@
     ]
 }
 
-/// The organisation with a rate by which edits differ.
+/// Returns the organisation's settings with this rate limit, in requests per
+/// second.
 pub(crate) fn organisation(rate: u64) -> serde_json::Value {
     json!({
         "template": "league", "services": [SERVICE],
--- a/crates/scene/tests/random.rs
+++ b/crates/scene/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random scenarios, with fixed seeds: whatever happens, what must always hold
-//! does, and when everything is mended all is well again.
+//! Random scenarios with a fixed seed: invariants hold under all faults, and
+//! the service recovers once the faults end.
 
 use chestnut_fake::demo::no_log;
 use chestnut_scene::run_text;
@@ -8,7 +8,8 @@
 const ENTRIES: usize = 4;
 const LEAFS: u32 = 6;
 
-/// One step: some lines of a scenario. `{v}` stands for the next index version.
+/// Generates one step, some lines of a scenario. `{v}` stands for the next index
+/// version and `{n}` for the number of the step.
 fn step() -> impl Strategy<Value = String> {
     let entry = 0..ENTRIES;
     let leaf = 0..LEAFS;
@@ -40,8 +41,8 @@
     ]
 }
 
-/// The text of a scenario, with versions and tickets numbered, and an end in
-/// which everything is mended.
+/// Joins the steps, numbers versions and tickets, and appends the end of all
+/// faults and the checks of recovery.
 fn text(steps: &[String]) -> String {
     let mut text = format!("world entries={ENTRIES} shards=2 connections=12 share=4\n");
     let mut version = 1;
@@ -93,7 +94,7 @@
     })]
 
     #[test]
-    fn whatever_happens_holds_and_heals(steps in prop::collection::vec(step(), 4..24)) {
+    fn invariants_hold_and_service_recovers(steps in prop::collection::vec(step(), 4..24)) {
         let text = text(&steps);
         if let Err(problem) = run(&text) {
             return Err(TestCaseError::fail(format!("{problem}\n{text}")));
--- a/crates/scene/tests/scenarios.rs
+++ b/crates/scene/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario of `tests/scenarios`, in virtual time.
+//! Runs each scenario in `tests/scenarios`, in virtual time.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use slog::{Drain, Logger, o};
 
-/// Logs to standard error when `CHESTNUT_LOG` is set, to look into a failure.
+/// Logs to standard error when `CHESTNUT_LOG` is set, to debug a failure.
 fn log() -> Logger {
     if std::env::var_os("CHESTNUT_LOG").is_none() {
         return no_log();
