--- a/crates/cli/tests/blackbox/edits.rs
+++ b/crates/cli/tests/blackbox/edits.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Returns the version of the organisation that is in force at an entry; 0 if none.
 async fn version_at(cluster: &Cluster, entry: usize) -> u64 {
--- a/crates/cli/tests/blackbox/evacuations.rs
+++ b/crates/cli/tests/blackbox/evacuations.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Returns the number of queries that the leafs in a domain have run.
 async fn queries_run(cluster: &Cluster, domain: &str) -> u64 {
--- a/crates/cli/tests/blackbox/main.rs
+++ b/crates/cli/tests/blackbox/main.rs
@@ -1,10 +1,10 @@
 //! Black-box tests: separate processes on loopback, used only through their
 //! network interfaces and the command line.
 
-mod bench;
+mod cluster;
 mod edits;
 mod evacuations;
-mod junk;
+mod malformed;
 mod queries;
 mod stops;
 mod submissions;
--- a/crates/cli/tests/blackbox/junk.rs
+++ b/crates/cli/tests/blackbox/malformed.rs
@@ -8,7 +8,7 @@
     net::{TcpStream, UdpSocket},
 };
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Sends raw bytes; returns what the other end answers until it closes the connection.
 async fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
--- a/crates/cli/tests/blackbox/queries.rs
+++ b/crates/cli/tests/blackbox/queries.rs
@@ -3,7 +3,7 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Guards against an answer that lacks a shard or mixes rows of several snapshots.
 #[tokio::test]
--- a/crates/cli/tests/blackbox/stops.rs
+++ b/crates/cli/tests/blackbox/stops.rs
@@ -5,7 +5,7 @@
 use chestnut_fake::load::{self, LoadConfig, LoadReport};
 use nix::sys::signal::Signal;
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Returns the load of callers that first connect to the third entry.
 fn load(cluster: &Cluster, seconds: u64) -> LoadConfig {
--- a/crates/cli/tests/blackbox/submissions.rs
+++ b/crates/cli/tests/blackbox/submissions.rs
@@ -4,7 +4,7 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use crate::bench::Cluster;
+use crate::cluster::Cluster;
 
 /// Guards against a repeated submission that runs twice, and against a ticket that is
 /// accepted for a second submission.
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -6,12 +6,12 @@
 //! would otherwise take processor time from the requests that are served.
 #![warn(clippy::unwrap_used)]
 
-mod bounded;
+mod rate_limit;
 
 use std::{io, sync::Mutex};
 
-pub use bounded::{Bounded, Verdict};
 use chestnut_conf::{LogFormat, LogLevel, LogSettings};
+pub use rate_limit::{Decision, TokenBucket};
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
 /// Capacity of the queue to the writer thread, in log lines.
@@ -60,6 +60,6 @@
         .chan_size(QUEUE_LINES)
         .build()
         .fuse();
-    let drain = bounded::RateLimited::new(drain);
+    let drain = rate_limit::RateLimited::new(drain);
     Logger::root(LevelFilter::new(drain, level).ignore_res(), o!())
 }
--- a/crates/log/src/bounded.rs
+++ b/crates/log/src/rate_limit.rs
@@ -14,7 +14,7 @@
 
 /// Whether a log line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The line is written.
     Write,
     /// The line is written, after a line that reports how many were dropped before it.
@@ -25,13 +25,13 @@
 
 /// A token bucket in which a log line costs one token; counts the dropped lines.
 #[derive(Clone, Debug)]
-pub struct Bounded {
+pub struct TokenBucket {
     tokens: f64,
     refilled: Duration,
     dropped: u64,
 }
 
-impl Default for Bounded {
+impl Default for TokenBucket {
     fn default() -> Self {
         Self {
             tokens: BURST_LINES,
@@ -41,21 +41,21 @@
     }
 }
 
-impl Bounded {
+impl TokenBucket {
     /// Decides whether a line at `now` is written. `now` is the time since any fixed
     /// point, the same in every call.
-    pub fn take(&mut self, now: Duration) -> Verdict {
+    pub fn take(&mut self, now: Duration) -> Decision {
         let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
         self.tokens = (self.tokens + elapsed * LINES_PER_SECOND).min(BURST_LINES);
         if self.tokens < 1.0 {
             self.dropped += 1;
-            return Verdict::Drop;
+            return Decision::Drop;
         }
         self.tokens -= 1.0;
         match std::mem::take(&mut self.dropped) {
-            0 => Verdict::Write,
-            dropped => Verdict::WriteAfter(dropped),
+            0 => Decision::Write,
+            dropped => Decision::WriteAfter(dropped),
         }
     }
 }
@@ -64,7 +64,7 @@
 pub(crate) struct RateLimited<D> {
     drain: D,
     start: Instant,
-    limit: Mutex<Bounded>,
+    limit: Mutex<TokenBucket>,
 }
 
 impl<D> RateLimited<D> {
@@ -73,7 +73,7 @@
         Self {
             drain,
             start: Instant::now(),
-            limit: Mutex::new(Bounded::default()),
+            limit: Mutex::new(TokenBucket::default()),
         }
     }
 }
@@ -84,14 +84,14 @@
 
     fn log(&self, line: &Record<'_>, values: &OwnedKVList) -> Result<(), D::Err> {
         let now = self.start.elapsed();
-        let verdict = {
+        let decision = {
             let limit = self.limit.lock();
             limit.unwrap_or_else(PoisonError::into_inner).take(now)
         };
-        match verdict {
-            Verdict::Drop => Ok(()),
-            Verdict::Write => self.drain.log(line, values),
-            Verdict::WriteAfter(dropped) => {
+        match decision {
+            Decision::Drop => Ok(()),
+            Decision::Write => self.drain.log(line, values),
+            Decision::WriteAfter(dropped) => {
                 self.drain.log(
                     &record!(
                         slog::Level::Warning,
