--- a/crates/audit/src/journal.rs
+++ b/crates/audit/src/journal.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use chestnut_unit::{Incarnation, MemberId, Reason, Time, Wall};
+use chestnut_unit::{Incarnation, MemberId, Reason, Time, WallTime};
 use serde::{Deserialize, Serialize};
 
 /// Parameters of a journal.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
     /// When the first record was dropped.
-    pub since: Wall,
+    pub since: WallTime,
     /// Number of dropped records by reason.
     pub dropped: BTreeMap<Reason, u64>,
 }
@@ -128,7 +128,7 @@
     }
 
     /// Adds a record, dropping the oldest queued one if there are too many.
-    pub fn add(&mut self, reason: Reason, record: Record, wall: Wall) {
+    pub fn add(&mut self, reason: Reason, record: Record, wall: WallTime) {
         if self.waiting() >= self.config.most
             && let Some((reason, _)) = self.waiting.pop_front()
         {
@@ -191,7 +191,7 @@
     }
 
     /// Counts a dropped record in the gap.
-    fn count_drop(&mut self, reason: Reason, wall: Wall) {
+    fn count_drop(&mut self, reason: Reason, wall: WallTime) {
         self.dropped += 1;
         let gap = self.gap.get_or_insert_with(|| Gap {
             since: wall,
--- a/crates/audit/src/receipt.rs
+++ b/crates/audit/src/receipt.rs
@@ -1,7 +1,9 @@
 //! Self-contained, authenticated receipts of refusals.
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
-use chestnut_unit::{CallType, MemberId, OrgName, Reason, RequestId, Run, ServiceName, Wall};
+use chestnut_unit::{
+    CallType, Execution, MemberId, OrgName, Reason, RequestId, ServiceName, WallTime,
+};
 use displaydoc::Display;
 use serde::Serialize;
 
@@ -54,11 +56,11 @@
     /// The id of the request at that entry.
     pub request: RequestId,
     /// Time of the refusal by the entry's clock.
-    pub at: Wall,
+    pub at: WallTime,
     /// Why the request was refused.
     pub reason: Reason,
     /// How much of the request was run.
-    pub run: Run,
+    pub run: Execution,
     /// Version of the organisation object that was in force; 0 if none was.
     pub org_version: u64,
     /// Version of the template object that was in force; 0 if none was.
@@ -132,7 +134,7 @@
     }
     let mut rest = rest;
     let request = RequestId(read_varint(&mut rest)?);
-    let at = Wall(read_varint(&mut rest)?);
+    let at = WallTime(read_varint(&mut rest)?);
     let org_version = read_varint(&mut rest)?;
     let template_version = read_varint(&mut rest)?;
     let entry = MemberId::new(read_text(&mut rest)?).ok()?;
@@ -154,20 +156,20 @@
 }
 
 /// Encodes how much was run.
-fn encode_run(run: Run) -> u8 {
+fn encode_run(run: Execution) -> u8 {
     match run {
-        Run::NotRun => 0,
-        Run::Unknown => 1,
-        Run::Partial => 2,
+        Execution::NotRun => 0,
+        Execution::Unknown => 1,
+        Execution::Partial => 2,
     }
 }
 
 /// Decodes how much was run.
-fn decode_run(number: u8) -> Option<Run> {
+fn decode_run(number: u8) -> Option<Execution> {
     match number {
-        0 => Some(Run::NotRun),
-        1 => Some(Run::Unknown),
-        2 => Some(Run::Partial),
+        0 => Some(Execution::NotRun),
+        1 => Some(Execution::Unknown),
+        2 => Some(Execution::Partial),
         _ => None,
     }
 }
--- a/crates/audit/tests/records.rs
+++ b/crates/audit/tests/records.rs
@@ -5,18 +5,23 @@
 
 use chestnut_audit::{CheckKey, Journal, JournalConfig, Receipt, Record};
 use chestnut_unit::{
-    CallType, Incarnation, MemberId, OrgName, Reason, RequestId, Run, ServiceName, Time, Wall,
+    CallType, Execution, Incarnation, MemberId, OrgName, Reason, RequestId, ServiceName, Time,
+    WallTime,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
 fn receipt() -> impl Strategy<Value = Receipt> {
     let reason = prop::sample::select(Reason::ALL.to_vec());
-    let run = prop::sample::select(vec![Run::NotRun, Run::Unknown, Run::Partial]);
+    let run = prop::sample::select(vec![
+        Execution::NotRun,
+        Execution::Unknown,
+        Execution::Partial,
+    ]);
     let named = any::<bool>();
     (any::<[u64; 4]>(), reason, run, named).prop_map(|(numbers, reason, run, named)| Receipt {
         entry: MemberId::new("dub-a-1").unwrap(),
         request: RequestId(numbers[0]),
-        at: Wall(numbers[1]),
+        at: WallTime(numbers[1]),
         reason,
         run,
         org_version: numbers[2],
@@ -85,7 +90,7 @@
 fn dropped_records_are_counted_in_the_next_batch() {
     let mut journal = journal(20);
     for n in 0..50 {
-        journal.add(Reason::Overload, record(n), Wall(n));
+        journal.add(Reason::Overload, record(n), WallTime(n));
     }
     assert_eq!(journal.dropped(), 30);
     let batch = journal.next_batch(7, Time::from_millis(1)).unwrap();
@@ -104,12 +109,12 @@
 #[test]
 fn the_interval_grows_with_the_number_of_entries() {
     let mut journal = journal(1000);
-    journal.add(Reason::Overload, record(0), Wall(0));
+    journal.add(Reason::Overload, record(0), WallTime(0));
     let batch = journal
         .next_batch(2900, Time::ZERO + Duration::from_secs(1))
         .unwrap();
     journal.confirm(&batch.name);
-    journal.add(Reason::Overload, record(1), Wall(0));
+    journal.add(Reason::Overload, record(1), WallTime(0));
     assert!(
         journal
             .next_batch(2900, Time::ZERO + Duration::from_secs(50))
--- a/crates/book/src/book.rs
+++ b/crates/book/src/book.rs
@@ -31,19 +31,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum BookError {
     /// route {0}: the prefix {1:?} must begin and end with a slash
-    Prefix(String, String),
+    InvalidPrefix(String, String),
     /// route {0}: host {1:?} and prefix {2:?} are already used by route {3}; remove one of the two
-    Twice(String, String, String, String),
+    DuplicateRoute(String, String, String, String),
     /// route {0}: no service is named; name one, or remove the route
     NoService(String),
     /// route {0}: all weights are 0; set at least one weight above 0
     NoWeight(String),
     /// route {0}: shard {1} is listed more than once; list each shard once
-    ShardTwice(String, ServiceName),
+    DuplicateShard(String, ServiceName),
     /// route {0}: the timeout is 0; set a longer one
-    NoTime(String),
+    ZeroTimeout(String),
     /// route {0}: the number of attempts is 0; set 1 or more
-    NoAttempt(String),
+    ZeroAttempts(String),
 }
 
 impl std::error::Error for BookError {}
@@ -94,7 +94,7 @@
         let host = rule.host.to_ascii_lowercase();
         let prefixes = Arc::make_mut(self.hosts.entry(host).or_default());
         if let Some(other) = prefixes.get(&rule.prefix) {
-            return Err(BookError::Twice(
+            return Err(BookError::DuplicateRoute(
                 rule.name.clone(),
                 rule.host.clone(),
                 rule.prefix.clone(),
@@ -143,7 +143,7 @@
 
     /// Shares the memory of rules that are equal in `other`. Books that were decoded
     /// separately share nothing until this is called.
-    pub fn share(&mut self, other: &Self) {
+    pub fn share_rules(&mut self, other: &Self) {
         for prefixes in self.hosts.values_mut() {
             for rule in Arc::make_mut(prefixes).values_mut() {
                 if let Some(equal) = other.equal_rule(rule) {
@@ -212,13 +212,13 @@
 fn check_rule(rule: &Rule) -> Result<(), BookError> {
     let name = || rule.name.clone();
     if !rule.prefix.starts_with('/') || !rule.prefix.ends_with('/') {
-        return Err(BookError::Prefix(name(), rule.prefix.clone()));
+        return Err(BookError::InvalidPrefix(name(), rule.prefix.clone()));
     }
     if rule.timeout == Duration::ZERO {
-        return Err(BookError::NoTime(name()));
+        return Err(BookError::ZeroTimeout(name()));
     }
     if rule.attempts == 0 {
-        return Err(BookError::NoAttempt(name()));
+        return Err(BookError::ZeroAttempts(name()));
     }
     if rule.target.services().next().is_none() {
         return Err(BookError::NoService(name()));
@@ -232,7 +232,7 @@
         Target::Gather { shards, .. } => {
             let mut seen = std::collections::BTreeSet::new();
             match shards.iter().find(|shard| !seen.insert(*shard)) {
-                Some(shard) => Err(BookError::ShardTwice(name(), shard.clone())),
+                Some(shard) => Err(BookError::DuplicateShard(name(), shard.clone())),
                 None => Ok(()),
             }
         }
--- a/crates/book/src/delta.rs
+++ b/crates/book/src/delta.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum DeltaError {
     /// the delta applies to version {0}, not to version {1}; request the whole book
-    Base(BookVersion, BookVersion),
+    BaseMismatch(BookVersion, BookVersion),
     /// the resulting book is invalid: {0}
-    Book(BookError),
+    InvalidBook(BookError),
 }
 
 impl std::error::Error for DeltaError {}
@@ -69,7 +69,7 @@
 
     /// Returns the number of rules added, changed or removed.
     #[must_use]
-    pub fn rules(&self) -> usize {
+    pub fn changed_rules(&self) -> usize {
         self.put.len() + self.gone.len()
     }
 
@@ -85,7 +85,7 @@
             (Some(base), Some(current)) if current.version == base => current.clone(),
             (Some(base), current) => {
                 let version = current.map_or(BookVersion(0), |current| current.version);
-                return Err(DeltaError::Base(base, version));
+                return Err(DeltaError::BaseMismatch(base, version));
             }
         };
         book.version = self.version;
@@ -97,7 +97,7 @@
             book.remove(&rule.host, &rule.prefix);
         }
         for rule in self.put {
-            book.insert(rule).map_err(DeltaError::Book)?;
+            book.insert(rule).map_err(DeltaError::InvalidBook)?;
         }
         book.update_services(self.services, &self.closed);
         Ok(book)
--- a/crates/book/src/lib.rs
+++ b/crates/book/src/lib.rs
@@ -3,25 +3,25 @@
 //! A [`RouteBook`] is one version of the operator's routes. [`RouteBook::find`] selects
 //! the rule of a request by host and longest path prefix. The rule says whether
 //! the request may be retried, how long it may take and where it goes: to one
-//! service, to one of several by weight ([`Turns`]), or to every shard of a set
-//! (a gather), whose records [`greatest`] merges.
+//! service, to one of several by weight ([`RoundRobin`]), or to every shard of a set
+//! (a gather), whose records [`merge_top`] merges.
 //!
 //! The crate does no I/O: adapters decode the rules and pass them to
 //! [`RouteBook::build`], which validates them.
 //!
 //! ```
 //! use std::time::Duration;
-//! use chestnut_book::{RouteBook, BookVersion, Kind, Rule, Target};
+//! use chestnut_book::{RouteBook, BookVersion, RetrySafety, Rule, Target};
 //! use chestnut_unit::ServiceName;
 //!
 //! let rule = Rule {
 //!     name: "archive".to_owned(),
 //!     host: "league.example".to_owned(),
 //!     prefix: "/archive/".to_owned(),
-//!     kind: Kind::Idempotent,
+//!     kind: RetrySafety::Idempotent,
 //!     attempts: 2,
 //!     timeout: Duration::from_secs(8),
-//!     goal: Duration::from_millis(800),
+//!     objective: Duration::from_millis(800),
 //!     rank: 2,
 //!     target: Target::One(ServiceName::new("archive").unwrap()),
 //! };
@@ -34,11 +34,11 @@
 mod book;
 mod delta;
 mod merge;
+mod round_robin;
 mod rule;
-mod turns;
 
 pub use book::{BookError, BookVersion, RouteBook};
 pub use delta::{BookDelta, DeltaError};
-pub use merge::{RECORD, greatest};
-pub use rule::{CallerLimits, ColdRule, Kind, Rule, ServiceRule, Target};
-pub use turns::Turns;
+pub use merge::{RECORD_BYTES, merge_top};
+pub use round_robin::RoundRobin;
+pub use rule::{CallerLimits, ColdRule, RetrySafety, Rule, ServiceRule, Target};
--- a/crates/book/src/merge.rs
+++ b/crates/book/src/merge.rs
@@ -1,7 +1,7 @@
 //! Merges the results of several shards into the greatest records.
 
 /// Size of a record in bytes.
-pub const RECORD: usize = 16;
+pub const RECORD_BYTES: usize = 16;
 
 /// Returns the `top` greatest records of `parts` in descending byte order.
 /// Duplicates are kept; a trailing partial record is ignored.
@@ -9,10 +9,10 @@
 /// Records are compared as big-endian integers, which gives the same order as
 /// comparing bytes, in a single operation.
 #[must_use]
-pub fn greatest<'a>(parts: impl IntoIterator<Item = &'a [u8]>, top: usize) -> Vec<u8> {
+pub fn merge_top<'a>(parts: impl IntoIterator<Item = &'a [u8]>, top: usize) -> Vec<u8> {
     let mut records: Vec<u128> = Vec::new();
     for part in parts {
-        let chunks = part.chunks_exact(RECORD);
+        let chunks = part.chunks_exact(RECORD_BYTES);
         records.extend(chunks.filter_map(|chunk| chunk.try_into().ok().map(u128::from_be_bytes)));
     }
     if top == 0 {
--- a/crates/book/src/turns.rs
+++ b/crates/book/src/round_robin.rs
@@ -6,11 +6,11 @@
 /// the weights from the service with the most credit. Even short runs of requests
 /// follow the weights closely, which a random choice would not.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct RoundRobin {
     credit: Vec<i64>,
 }
 
-impl Turns {
+impl RoundRobin {
     /// Returns the index in `weights` of the next service, or `None` if all weights
     /// are 0. The first call skips turns according to `start`, so that entries that
     /// start together don't all choose the same services in step.
--- a/crates/book/src/rule.rs
+++ b/crates/book/src/rule.rs
@@ -8,7 +8,7 @@
 /// Whether a request may be sent to another target after a first one may have
 /// run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RetrySafety {
     /// Safe to run more than once.
     Idempotent,
     /// Runs at most once for each attempt of the caller.
@@ -58,13 +58,14 @@
     /// Path prefix, which begins and ends with a slash.
     pub prefix: String,
     /// Whether requests may be retried after they may have run.
-    pub kind: Kind,
+    pub kind: RetrySafety,
     /// Maximum number of targets that may run one request, for each shard.
     pub attempts: u32,
     /// Time limit for the whole request.
     pub timeout: Duration,
     /// Latency objective.
-    pub goal: Duration,
+    #[serde(rename = "goal")]
+    pub objective: Duration,
     /// Priority; 0 is the highest.
     pub rank: u32,
     /// Where requests are sent.
--- a/crates/book/tests/book.rs
+++ b/crates/book/tests/book.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{BookError, BookVersion, CallerLimits, Kind, RouteBook, Rule, Target};
+use chestnut_book::{BookError, BookVersion, CallerLimits, RetrySafety, RouteBook, Rule, Target};
 use chestnut_unit::{ServiceName, Share};
 use rstest::rstest;
 
@@ -15,10 +15,10 @@
         name: name.to_owned(),
         host: "League.example".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Idempotent,
+        kind: RetrySafety::Idempotent,
         attempts: 2,
         timeout: Duration::from_secs(1),
-        goal: Duration::from_millis(100),
+        objective: Duration::from_millis(100),
         rank: 1,
         target: Target::One(service("ladder")),
     }
@@ -63,7 +63,7 @@
 #[case(Rule {
     target: Target::Gather {
         shards: vec![service("s"), service("s")],
-        least: Share::WHOLE,
+        least: Share::FULL,
         top: 1,
     },
     ..rule("r", "/a/")
@@ -76,7 +76,7 @@
 #[test]
 fn two_rules_with_the_same_prefix_are_rejected() {
     let error = book(vec![rule("one", "/a/"), rule("two", "/a/")]).unwrap_err();
-    assert!(matches!(error, BookError::Twice(..)), "{error}");
+    assert!(matches!(error, BookError::DuplicateRoute(..)), "{error}");
 }
 
 /// Guards against losing parts of a book when entries send it to each other.
@@ -96,7 +96,7 @@
         },
         Rule {
             target: split,
-            kind: Kind::Once,
+            kind: RetrySafety::Once,
             ..rule("three", "/c/")
         },
     ];
--- a/crates/book/tests/delta.rs
+++ b/crates/book/tests/delta.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use chestnut_book::{
-    BookDelta, BookVersion, CallerLimits, DeltaError, Kind, RouteBook, Rule, ServiceRule, Target,
+    BookDelta, BookVersion, CallerLimits, DeltaError, RetrySafety, RouteBook, Rule, ServiceRule,
+    Target,
 };
 use chestnut_unit::ServiceName;
 use proptest::{collection::btree_map, prelude::*};
@@ -19,10 +20,10 @@
         name: format!("route {prefix}"),
         host: host.to_owned(),
         prefix: format!("/{prefix}/"),
-        kind: Kind::Idempotent,
+        kind: RetrySafety::Idempotent,
         attempts: 2,
         timeout: Duration::from_secs(2),
-        goal: Duration::from_millis(200),
+        objective: Duration::from_millis(200),
         rank: 1,
         target: Target::One(service(to)),
     }
@@ -76,14 +77,14 @@
         let mut new = generated_book(new, close, 7);
         let before = text(&new);
         if shared {
-            new.share(&old);
+            new.share_rules(&old);
         }
         let delta = serde_json::to_vec(&BookDelta::between(Some(&old), &new)).unwrap();
         let read = || serde_json::from_slice::<BookDelta>(&delta).unwrap();
         let made = read().apply(Some(&old)).unwrap();
         prop_assert_eq!(text(&made), &before[..]);
         let other = generated_book(Default::default(), Default::default(), 5);
-        let base = DeltaError::Base(BookVersion(4), BookVersion(5));
+        let base = DeltaError::BaseMismatch(BookVersion(4), BookVersion(5));
         prop_assert_eq!(read().apply(Some(&other)).unwrap_err(), base);
         prop_assert!(read().apply(None).is_err());
         let all = BookDelta::between(None, &new).apply(Some(&other)).unwrap();
@@ -99,9 +100,9 @@
     let mut moved = rules.clone();
     moved[99].1 = 2;
     let mut new = book(2, &moved, &[(1, 40), (2, 40)]);
-    new.share(&old);
+    new.share_rules(&old);
     let delta = BookDelta::between(Some(&old), &new);
-    assert_eq!(delta.rules(), 1);
+    assert_eq!(delta.changed_rules(), 1);
     let bytes = serde_json::to_vec(&delta).unwrap().len();
     let one = serde_json::to_vec(&rule(HOSTS[0], 99, 2)).unwrap().len();
     assert!(bytes < one + 300, "{bytes} bytes for a rule of {one}");
--- a/crates/cli/src/evacuate.rs
+++ b/crates/cli/src/evacuate.rs
@@ -1,7 +1,7 @@
 //! Evacuations: failure domains whose leafs (back ends) get no calls.
 
 use bytes::Bytes;
-use chestnut_conf::{Evacuation, Kind};
+use chestnut_conf::{Evacuation, ObjectKind};
 use chestnut_unit::DomainName;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
     as_json: bool,
 ) -> Result<(), CliError> {
     let body = json!({ "spec": Evacuation { evacuated }, "by": by });
-    let path = format!("/objects/{}/{domain}", Kind::Evacuation);
+    let path = format!("/objects/{}/{domain}", ObjectKind::Evacuation);
     let body = Bytes::from(body.to_string());
     let reply = client.call(Method::PUT, &path, body).await?;
     if as_json {
@@ -41,7 +41,7 @@
 
 /// Lists the evacuated failure domains and counts the calls in progress to their leafs.
 pub(crate) async fn list(client: &Client, as_json: bool) -> Result<(), CliError> {
-    let kind = Kind::Evacuation;
+    let kind = ObjectKind::Evacuation;
     let names = client.get(&format!("/objects/{kind}")).await?;
     let mut evacuations = Vec::new();
     for name in names
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -10,7 +10,7 @@
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
-use chestnut_conf::Kind;
+use chestnut_conf::ObjectKind;
 use chestnut_unit::DomainName;
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -162,9 +162,11 @@
     let client = Client::new(args.entry);
     let json = args.json;
     match args.command {
-        Command::Template { action } => objects::run(&client, Kind::Template, action, json).await,
+        Command::Template { action } => {
+            objects::run(&client, ObjectKind::Template, action, json).await
+        }
         Command::Organisation { action } => {
-            objects::run(&client, Kind::Organisation, action, json).await
+            objects::run(&client, ObjectKind::Organisation, action, json).await
         }
         Command::Evacuate { domain, by } => evacuate::set(&client, &domain, true, &by, json).await,
         Command::Refill { domain, by } => evacuate::set(&client, &domain, false, &by, json).await,
--- a/crates/cli/src/objects.rs
+++ b/crates/cli/src/objects.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use chestnut_conf::Kind;
+use chestnut_conf::ObjectKind;
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -16,7 +16,7 @@
 /// Runs an action on the objects of one kind.
 pub(crate) async fn run(
     client: &Client,
-    kind: Kind,
+    kind: ObjectKind,
     action: Action,
     as_json: bool,
 ) -> Result<(), CliError> {
@@ -74,7 +74,7 @@
     serde_json::from_str(&content).map_err(|e| fail(&e))
 }
 
-async fn list(client: &Client, kind: Kind, as_json: bool) -> Result<(), CliError> {
+async fn list(client: &Client, kind: ObjectKind, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}")).await?;
     if as_json {
         print_line(reply);
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-async fn get(client: &Client, kind: Kind, name: &str, as_json: bool) -> Result<(), CliError> {
+async fn get(client: &Client, kind: ObjectKind, name: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}/{name}")).await?;
     if as_json {
         print_line(reply);
@@ -99,7 +99,12 @@
     Ok(())
 }
 
-async fn history(client: &Client, kind: Kind, name: &str, as_json: bool) -> Result<(), CliError> {
+async fn history(
+    client: &Client,
+    kind: ObjectKind,
+    name: &str,
+    as_json: bool,
+) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}/{name}")).await?;
     if as_json {
         print_line(&reply["edits"]);
--- a/crates/conf/src/book.rs
+++ b/crates/conf/src/config_set.rs
@@ -8,22 +8,24 @@
 use chestnut_unit::{DomainName, OrgName, TemplateName};
 use serde::de::DeserializeOwned;
 
-use crate::{Evacuation, Kind, Object, ObjectKey, OrgPolicy, Organisation, Stored, Template};
+use crate::{
+    Evacuation, Object, ObjectKey, ObjectKind, OrgPolicy, Organisation, StoredSpec, Template,
+};
 
-/// Outcome of applying an object to the book.
+/// Outcome of applying an object to the set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// The object was newer and has been stored.
     New,
     /// This version was stored already.
-    Same,
+    Unchanged,
     /// The object was older and has been dropped.
-    Old,
+    Stale,
 }
 
 /// A stored version of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ObjectVersion {
     /// Version of the object.
     pub version: u64,
     /// Value of the object.
@@ -33,37 +35,37 @@
 /// Versions of all objects of one kind, by name.
 pub type Versions = BTreeMap<String, u64>;
 
-/// Hash of the keys and versions of all objects in a book. Books with equal
+/// Hash of the keys and versions of all objects in a set. Sets with equal
 /// digests hold the same versions, barring a 64-bit hash collision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BookDigest(pub u64);
+pub struct ConfigDigest(pub u64);
 
 /// The newest known version of every configuration object.
 ///
-/// All received configuration passes through [`Book::apply`], which drops older
+/// All received configuration passes through [`ConfigSet::apply`], which drops older
 /// versions, so that a stale read, a slow peer or a delayed message can't restore
 /// outdated configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    objects: BTreeMap<ObjectKey, Held>,
+pub struct ConfigSet {
+    objects: BTreeMap<ObjectKey, ObjectVersion>,
     digest: u64,
 }
 
-impl Book {
+impl ConfigSet {
     /// Stores an object from the platform or a peer if it is newer than the stored
     /// version.
     pub fn apply(&mut self, object: Object) -> Applied {
         if let Some(stored) = self.objects.get(&object.key) {
             if stored.version == object.version {
-                return Applied::Same;
+                return Applied::Unchanged;
             }
             if stored.version > object.version {
-                return Applied::Old;
+                return Applied::Stale;
             }
             self.digest ^= hash_version(&object.key, stored.version);
         }
         self.digest ^= hash_version(&object.key, object.version);
-        let stored = Held {
+        let stored = ObjectVersion {
             version: object.version,
             value: object.value,
         };
@@ -73,7 +75,7 @@
 
     /// Returns the stored object of a kind and name.
     #[must_use]
-    pub fn get(&self, kind: Kind, name: &str) -> Option<&Held> {
+    pub fn get(&self, kind: ObjectKind, name: &str) -> Option<&ObjectVersion> {
         let key = ObjectKey {
             kind,
             name: name.to_owned(),
@@ -82,7 +84,7 @@
     }
 
     /// Iterates over all objects of one kind, ordered by name.
-    pub fn list(&self, kind: Kind) -> impl Iterator<Item = (&str, &Held)> {
+    pub fn list(&self, kind: ObjectKind) -> impl Iterator<Item = (&str, &ObjectVersion)> {
         let first = ObjectKey {
             kind,
             name: String::new(),
@@ -95,7 +97,7 @@
 
     /// Returns the versions of all objects of one kind.
     #[must_use]
-    pub fn versions(&self, kind: Kind) -> Versions {
+    pub fn versions(&self, kind: ObjectKind) -> Versions {
         self.list(kind)
             .map(|(name, object)| (name.to_owned(), object.version))
             .collect()
@@ -125,16 +127,16 @@
             .collect()
     }
 
-    /// Returns the digest of the book.
+    /// Returns the digest of the set.
     #[must_use]
-    pub fn digest(&self) -> BookDigest {
-        BookDigest(self.digest)
+    pub fn digest(&self) -> ConfigDigest {
+        ConfigDigest(self.digest)
     }
 
     /// Parses the value of an object that the platform writes, such as a service, and
     /// returns it with its version.
     #[must_use]
-    pub fn parse<T: DeserializeOwned>(&self, kind: Kind, name: &str) -> Option<(u64, T)> {
+    pub fn parse<T: DeserializeOwned>(&self, kind: ObjectKind, name: &str) -> Option<(u64, T)> {
         let object = self.get(kind, name)?;
         let value = T::deserialize(&object.value).ok()?;
         Some((object.version, value))
@@ -143,8 +145,12 @@
     /// Parses the specification of an object that operators edit, such as a template,
     /// and returns it with its version.
     #[must_use]
-    pub fn parse_spec<T: DeserializeOwned>(&self, kind: Kind, name: &str) -> Option<(u64, T)> {
-        let (version, stored): (u64, Stored) = self.parse(kind, name)?;
+    pub fn parse_spec<T: DeserializeOwned>(
+        &self,
+        kind: ObjectKind,
+        name: &str,
+    ) -> Option<(u64, T)> {
+        let (version, stored): (u64, StoredSpec) = self.parse(kind, name)?;
         let spec = serde_json::from_value(stored.spec).ok()?;
         Some((version, spec))
     }
@@ -154,7 +160,7 @@
     #[must_use]
     pub fn policy(&self, org: &OrgName) -> Option<OrgPolicy> {
         let (org_version, org): (u64, Organisation) =
-            self.parse_spec(Kind::Organisation, org.as_str())?;
+            self.parse_spec(ObjectKind::Organisation, org.as_str())?;
         let (version, template) = self.template(&org.template)?;
         Some(OrgPolicy::resolve(
             (version, &template),
@@ -165,9 +171,9 @@
     /// Returns the failure domains that are evacuated.
     #[must_use]
     pub fn evacuated(&self) -> BTreeSet<DomainName> {
-        let names = self.list(Kind::Evacuation).map(|(name, _)| name);
+        let names = self.list(ObjectKind::Evacuation).map(|(name, _)| name);
         let evacuated = names.filter(|name| {
-            let spec = self.parse_spec::<Evacuation>(Kind::Evacuation, name);
+            let spec = self.parse_spec::<Evacuation>(ObjectKind::Evacuation, name);
             spec.is_some_and(|(_, spec)| spec.evacuated)
         });
         // Edits with invalid names are rejected, so every stored name should parse.
@@ -179,7 +185,7 @@
     /// Parses a template and returns it with its version.
     #[must_use]
     pub fn template(&self, name: &TemplateName) -> Option<(u64, Template)> {
-        self.parse_spec(Kind::Template, name.as_str())
+        self.parse_spec(ObjectKind::Template, name.as_str())
     }
 }
 
--- a/crates/conf/src/span.rs
+++ b/crates/conf/src/duration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_unit::parse_span;
+use chestnut_unit::parse_duration;
 use serde::{Deserialize, Deserializer, Serializer};
 
 /// Writes a duration in whole milliseconds.
@@ -13,5 +13,5 @@
 /// Reads a duration with its unit.
 pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(d)?;
-    parse_span(&text).map_err(serde::de::Error::custom)
+    parse_duration(&text).map_err(serde::de::Error::custom)
 }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -21,7 +21,7 @@
         /// Line, key and cause, as the TOML parser reports them.
         message: String,
     },
-    /// {path}: {key}: {problem}. {mend}
+    /// {path}: {key}: {problem}. {fix}
     Value {
         /// Path of the file.
         path: PathBuf,
@@ -30,7 +30,7 @@
         /// What is wrong with its value.
         problem: String,
         /// How to fix it.
-        mend: &'static str,
+        fix: &'static str,
     },
 }
 
@@ -39,14 +39,14 @@
 /// Why an object that an operator wrote is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[displaydoc("{key}: {problem}")]
-pub struct CheckError {
+pub struct ValidationError {
     /// The dotted key in the object.
     pub key: String,
     /// What is wrong and what is allowed.
     pub problem: String,
 }
 
-impl CheckError {
+impl ValidationError {
     /// Makes an error for `key`.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
@@ -56,4 +56,4 @@
     }
 }
 
-impl std::error::Error for CheckError {}
+impl std::error::Error for ValidationError {}
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -6,19 +6,20 @@
 //! and does no network I/O.
 //!
 //! ```
-//! use chestnut_conf::{Applied, Book, Kind, Object, ObjectKey};
+//! use chestnut_conf::{Applied, ConfigSet, Object, ObjectKey, ObjectKind};
 //!
-//! let key = ObjectKey { kind: Kind::Template, name: "league".to_owned() };
+//! let key = ObjectKey { kind: ObjectKind::Template, name: "league".to_owned() };
 //! let version = |version| Object { key: key.clone(), version, value: version.into() };
-//! let mut book = Book::default();
-//! assert_eq!(book.apply(version(2)), Applied::New);
-//! assert_eq!(book.apply(version(1)), Applied::Old);
-//! assert_eq!(book.get(Kind::Template, "league").unwrap().version, 2);
+//! let mut config = ConfigSet::default();
+//! assert_eq!(config.apply(version(2)), Applied::New);
+//! assert_eq!(config.apply(version(1)), Applied::Stale);
+//! assert_eq!(config.get(ObjectKind::Template, "league").unwrap().version, 2);
 //! ```
 
 #![warn(clippy::unwrap_used)]
 
-mod book;
+mod config_set;
+pub mod duration;
 mod error;
 mod evacuation;
 mod object;
@@ -26,18 +27,17 @@
 mod policy;
 mod service;
 mod settings;
-pub mod span;
 mod template;
 
-pub use book::{Applied, Book, BookDigest, Held, Versions};
-pub use error::{CheckError, SettingsError};
+pub use config_set::{Applied, ConfigDigest, ConfigSet, ObjectVersion, Versions};
+pub use error::{SettingsError, ValidationError};
 pub use evacuation::Evacuation;
-pub use object::{EDITS_KEPT, Edit, Kind, Object, ObjectKey, Stored};
+pub use object::{Edit, MAX_EDITS, Object, ObjectKey, ObjectKind, StoredSpec};
 pub use organisation::{CallParams, Organisation};
 pub use policy::{CallPolicy, OrgPolicy, PolicyError};
 pub use service::{Leaf, Service};
 pub use settings::{
-    Control, EntrySettings, Limits, Listen, LogFormat, LogLevel, LogSettings, PlatformSettings,
-    ReplicaChoice, RouteSettings, Settings, read_settings,
+    ControlSettings, EntrySettings, LimitSettings, ListenSettings, LogFormat, LogLevel,
+    LogSettings, PlatformSettings, ReplicaSelection, RouteSettings, Settings, read_settings,
 };
 pub use template::{Answer, Call, CallKind, OrgLimits, Template};
--- a/crates/conf/src/object.rs
+++ b/crates/conf/src/object.rs
@@ -2,18 +2,18 @@
 
 use std::{fmt, str::FromStr};
 
-use chestnut_unit::Wall;
+use chestnut_unit::WallTime;
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of past edits kept in an object. They serve `history` and tell
 /// whether a write whose answer was lost took effect, which fails only if this many
 /// other edits follow it before the check.
-pub const EDITS_KEPT: usize = 32;
+pub const MAX_EDITS: usize = 32;
 
 /// Kinds of objects in the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ObjectKind {
     /// Templates, edited by operators.
     Template,
     /// Organisations, edited by operators.
@@ -28,14 +28,14 @@
     Refusal,
 }
 
-impl Kind {
+impl ObjectKind {
     /// The kinds that are replicated to every entry.
-    pub const SPREAD: [Kind; 5] = [
-        Kind::Template,
-        Kind::Organisation,
-        Kind::Service,
-        Kind::Layout,
-        Kind::Evacuation,
+    pub const REPLICATED: [ObjectKind; 5] = [
+        ObjectKind::Template,
+        ObjectKind::Organisation,
+        ObjectKind::Service,
+        ObjectKind::Layout,
+        ObjectKind::Evacuation,
     ];
 
     /// Returns the name used in paths of the object API.
@@ -52,17 +52,17 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ObjectKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for ObjectKind {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        [Self::SPREAD.as_slice(), &[Self::Refusal]]
+        [Self::REPLICATED.as_slice(), &[Self::Refusal]]
             .concat()
             .into_iter()
             .find(|kind| kind.as_str() == text)
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
     /// Kind of object.
-    pub kind: Kind,
+    pub kind: ObjectKind,
     /// Name, unique within the kind.
     pub name: String,
 }
@@ -107,28 +107,28 @@
     /// Author, as stated by the operator.
     pub by: String,
     /// Time of the edit, by the entry's clock.
-    pub at: Wall,
+    pub at: WallTime,
 }
 
 /// Value of an object that operators edit: its specification with its latest
 /// edits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Stored {
+pub struct StoredSpec {
     /// Specification, as the operator wrote it.
     pub spec: serde_json::Value,
     /// The latest edits, oldest first.
     pub edits: Vec<Edit>,
 }
 
-impl Stored {
+impl StoredSpec {
     /// Returns a value with the new `spec` and with `edit` appended to the earlier
-    /// edits, of which the oldest are dropped beyond [`EDITS_KEPT`].
+    /// edits, of which the oldest are dropped beyond [`MAX_EDITS`].
     #[must_use]
-    pub fn next(earlier: Option<&Stored>, spec: serde_json::Value, edit: Edit) -> Self {
+    pub fn with_edit(earlier: Option<&StoredSpec>, spec: serde_json::Value, edit: Edit) -> Self {
         let mut edits: Vec<Edit> = earlier.map(|s| s.edits.clone()).unwrap_or_default();
         edits.push(edit);
-        let excess = edits.len().saturating_sub(EDITS_KEPT);
+        let excess = edits.len().saturating_sub(MAX_EDITS);
         edits.drain(..excess);
         Self { spec, edits }
     }
--- a/crates/conf/src/organisation.rs
+++ b/crates/conf/src/organisation.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    CheckError, OrgLimits, Template,
+    OrgLimits, Template, ValidationError,
     template::{check_limits, check_reasons},
 };
 
@@ -45,14 +45,17 @@
     /// # Errors
     ///
     /// Names the first invalid key and what is allowed.
-    pub fn check(&self, template: &Template) -> Result<(), CheckError> {
+    pub fn check(&self, template: &Template) -> Result<(), ValidationError> {
         if self.services.is_empty() {
-            return Err(CheckError::new("services", "list at least one service"));
+            return Err(ValidationError::new(
+                "services",
+                "list at least one service",
+            ));
         }
         for service in &self.services {
             if !template.services.contains(service) {
                 let problem = format!("{service} is not in template {}", self.template);
-                return Err(CheckError::new("services", problem));
+                return Err(ValidationError::new("services", problem));
             }
         }
         for (name, params) in &self.calls {
@@ -66,16 +69,19 @@
         template: &Template,
         name: &CallType,
         params: &CallParams,
-    ) -> Result<(), CheckError> {
+    ) -> Result<(), ValidationError> {
         let Some(call) = template.calls.get(name) else {
             let problem = format!("template {} has no such call type", self.template);
-            return Err(CheckError::new(format!("calls.{name}"), problem));
+            return Err(ValidationError::new(format!("calls.{name}"), problem));
         };
         if let Some(urgency) = params.urgency
             && urgency < call.urgency
         {
             let problem = format!("{urgency} is above the template's {}", call.urgency);
-            return Err(CheckError::new(format!("calls.{name}.urgency"), problem));
+            return Err(ValidationError::new(
+                format!("calls.{name}.urgency"),
+                problem,
+            ));
         }
         match &params.refuse {
             Some(reasons) => check_reasons(&format!("calls.{name}.refuse"), reasons),
--- a/crates/conf/src/policy.rs
+++ b/crates/conf/src/policy.rs
@@ -13,7 +13,7 @@
     /// the template has no such call type
     CallUnknown,
     /// the organisation may not reach the service
-    ServiceClosed,
+    ServiceNotAllowed,
     /// the call type is for the other kind of request
     KindMismatch,
 }
@@ -26,7 +26,7 @@
     pub fn reason(self) -> Reason {
         match self {
             Self::CallUnknown | Self::KindMismatch => Reason::CallUnknown,
-            Self::ServiceClosed => Reason::ServiceClosed,
+            Self::ServiceNotAllowed => Reason::ServiceClosed,
         }
     }
 }
@@ -41,7 +41,7 @@
     /// Urgency.
     pub urgency: Urgency,
     /// Minimum coverage: the share of shards that an answer must include.
-    pub least: Share,
+    pub min_coverage: Share,
     /// Optional reasons for which the call may be refused.
     pub refuse: Vec<Reason>,
     /// Default deadline, for requests that state none.
@@ -68,7 +68,7 @@
     /// Limits of the organisation.
     pub limits: OrgLimits,
     /// How long an entry may serve the organisation on unconfirmed configuration.
-    pub unconfirmed: Duration,
+    pub max_unconfirmed: Duration,
 }
 
 impl OrgPolicy {
@@ -89,7 +89,7 @@
             organisation: org_version,
             calls,
             limits: org.limits.clone().unwrap_or(template.limits.clone()),
-            unconfirmed: template.unconfirmed,
+            max_unconfirmed: template.unconfirmed,
         }
     }
 
@@ -110,7 +110,7 @@
             return Err(PolicyError::KindMismatch);
         }
         if !call.services.contains(service) {
-            return Err(PolicyError::ServiceClosed);
+            return Err(PolicyError::ServiceNotAllowed);
         }
         Ok(call)
     }
@@ -129,7 +129,7 @@
         kind: call.kind,
         services: call.services.iter().filter(allowed).cloned().collect(),
         urgency: params.urgency.unwrap_or(call.urgency).max(call.urgency),
-        least: call.answer.least(),
+        min_coverage: call.answer.min_coverage(),
         refuse: params.refuse.unwrap_or_else(|| call.refuse.clone()),
         deadline: call.deadline,
     }
--- a/crates/conf/src/service.rs
+++ b/crates/conf/src/service.rs
@@ -6,7 +6,7 @@
 use chestnut_unit::{DomainName, IndexVersion, LeafId};
 use serde::{Deserialize, Serialize};
 
-use crate::CheckError;
+use crate::ValidationError;
 
 /// One leaf of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,15 +41,15 @@
     /// # Errors
     ///
     /// Names the first invalid key and what is allowed.
-    pub fn check(&self) -> Result<(), CheckError> {
+    pub fn check(&self) -> Result<(), ValidationError> {
         for (id, leaf) in &self.leafs {
             if leaf.slots == 0 {
                 let key = format!("leafs.{id}.slots");
-                return Err(CheckError::new(key, "must be at least 1"));
+                return Err(ValidationError::new(key, "must be at least 1"));
             }
             if leaf.connections == 0 {
                 let key = format!("leafs.{id}.connections");
-                return Err(CheckError::new(key, "must be at least 1"));
+                return Err(ValidationError::new(key, "must be at least 1"));
             }
         }
         Ok(())
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -9,7 +9,7 @@
 use chestnut_unit::{ByteSize, DomainName, MemberId, Share};
 use serde::Deserialize;
 
-use crate::{SettingsError, span};
+use crate::{SettingsError, duration};
 
 /// All settings of one daemon.
 #[derive(Clone, Debug, Deserialize)]
@@ -18,18 +18,18 @@
     /// Identity of this entry.
     pub entry: EntrySettings,
     /// Listening addresses.
-    pub listen: Listen,
+    pub listen: ListenSettings,
     /// The platform's object API.
     pub platform: PlatformSettings,
     /// Limits on callers.
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: LimitSettings,
     /// Routing of calls to leafs.
     #[serde(default)]
     pub route: RouteSettings,
     /// Membership, addresses and configuration.
     #[serde(default)]
-    pub control: Control,
+    pub control: ControlSettings,
     /// Logging.
     #[serde(default)]
     pub log: LogSettings,
@@ -48,7 +48,7 @@
 /// Listening addresses of an entry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listen {
+pub struct ListenSettings {
     /// HTTP address for callers.
     pub callers: SocketAddr,
     /// HTTP address for operators.
@@ -64,11 +64,11 @@
     /// Address of the API.
     pub address: SocketAddr,
     /// Timeout of one call, not counting the time that a watch waits.
-    #[serde(with = "span", default = "platform_timeout")]
+    #[serde(with = "duration", default = "platform_timeout")]
     pub timeout: Duration,
     /// How long one watch call waits for a change. Configuration is confirmed each
     /// time one returns, so it is normally confirmed within twice this time.
-    #[serde(with = "span", default = "platform_watch")]
+    #[serde(with = "duration", default = "platform_watch")]
     pub watch: Duration,
 }
 
@@ -83,16 +83,16 @@
 /// Limits on callers' requests and connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Limits {
+pub struct LimitSettings {
     /// Maximum size of a request body.
     pub body: ByteSize,
     /// Maximum size of the answer to one leaf call or sub-query.
     pub answer: ByteSize,
     /// Longest deadline that a caller may request.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub deadline: Duration,
     /// Time limit for receiving a request head, and again for the body.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub patience: Duration,
     /// Maximum number of open connections from callers.
     pub connections: usize,
@@ -100,7 +100,7 @@
     pub headers: usize,
 }
 
-impl Default for Limits {
+impl Default for LimitSettings {
     fn default() -> Self {
         Self {
             body: ByteSize(64 << 10),
@@ -117,7 +117,7 @@
 /// use; the others serve as baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ReplicaChoice {
+pub enum ReplicaSelection {
     /// By a peak-sensitive moving average of latency and the outstanding calls.
     PeakEwma,
     /// By the number of outstanding calls.
@@ -135,7 +135,7 @@
     /// Retry budget, as a share of first calls.
     pub retry: Share,
     /// How a replica is selected.
-    pub choice: ReplicaChoice,
+    pub choice: ReplicaSelection,
     /// Maximum number of requests queued for admission, per service.
     pub queue: usize,
     /// Maximum number of connections that this entry opens to one leaf.
@@ -147,7 +147,7 @@
         Self {
             hedge: Share::from_permille(80),
             retry: Share::from_permille(100),
-            choice: ReplicaChoice::PeakEwma,
+            choice: ReplicaSelection::PeakEwma,
             queue: 256,
             pool: 2,
         }
@@ -157,33 +157,33 @@
 /// Membership, addresses and configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Control {
+pub struct ControlSettings {
     /// Peers to contact if the platform is unreachable at start.
     pub seeds: Vec<SocketAddr>,
     /// Interval between failure detector probes.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub probe: Duration,
     /// How long callers may cache the list of entries.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub ttl: Duration,
     /// Connections to one leaf reserved for each entry that connects to it. With the
     /// leaf's connection limit it determines how many entries may do so.
     pub share: u32,
     /// Lifetime of a ticket, which identifies one submission.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub ticket: Duration,
     /// Interval between writes of refusal records to the platform.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub records: Duration,
     /// Maximum time that a graceful shutdown waits for requests in flight.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub grace: Duration,
     /// Secret from which the key of receipts' check values is derived; the same at
     /// every entry.
     pub secret: String,
 }
 
-impl Default for Control {
+impl Default for ControlSettings {
     fn default() -> Self {
         Self {
             seeds: Vec::new(),
@@ -272,12 +272,12 @@
     }
 
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
-        let fail = |key, problem: String, mend| {
+        let fail = |key, problem: String, fix| {
             Err(SettingsError::Value {
                 path: PathBuf::from(path),
                 key,
                 problem,
-                mend,
+                fix,
             })
         };
         if self.listen.callers == self.listen.operators && self.listen.callers.port() != 0 {
--- a/crates/conf/src/template.rs
+++ b/crates/conf/src/template.rs
@@ -5,7 +5,7 @@
 use chestnut_unit::{CallType, Rate, Reason, ServiceName, Share, Urgency};
 use serde::{Deserialize, Serialize};
 
-use crate::{CheckError, span};
+use crate::{ValidationError, duration};
 
 /// Shortest default deadline of a call type.
 const DEADLINE_MIN: Duration = Duration::from_millis(1);
@@ -41,9 +41,9 @@
 impl Answer {
     /// Returns the minimum coverage: the share of shards that an answer must include.
     #[must_use]
-    pub fn least(self) -> Share {
+    pub fn min_coverage(self) -> Share {
         match self {
-            Self::Whole => Share::WHOLE,
+            Self::Whole => Share::FULL,
             Self::Least(share) => share,
         }
     }
@@ -66,7 +66,7 @@
     /// its deadline can't be met.
     pub refuse: Vec<Reason>,
     /// Default deadline, for requests that state none.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub deadline: Duration,
 }
 
@@ -93,7 +93,7 @@
     /// How long an entry may serve its organisations on unconfirmed configuration.
     /// A longer time keeps serving through a network partition; a shorter one limits
     /// how long outdated configuration stays in use.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub unconfirmed: Duration,
 }
 
@@ -103,16 +103,19 @@
     /// # Errors
     ///
     /// Names the first invalid key and what is allowed.
-    pub fn check(&self) -> Result<(), CheckError> {
+    pub fn check(&self) -> Result<(), ValidationError> {
         if self.services.is_empty() {
-            return Err(CheckError::new("services", "list at least one service"));
+            return Err(ValidationError::new(
+                "services",
+                "list at least one service",
+            ));
         }
         if self.calls.is_empty() {
-            return Err(CheckError::new("calls", "list at least one call type"));
+            return Err(ValidationError::new("calls", "list at least one call type"));
         }
         if self.unconfirmed < UNCONFIRMED_MIN {
             let problem = "must be at least 10s: configuration is confirmed every few seconds";
-            return Err(CheckError::new("unconfirmed", problem));
+            return Err(ValidationError::new("unconfirmed", problem));
         }
         for (name, call) in &self.calls {
             self.check_call(name, call)?;
@@ -120,10 +123,10 @@
         check_limits(&self.limits)
     }
 
-    fn check_call(&self, name: &CallType, call: &Call) -> Result<(), CheckError> {
+    fn check_call(&self, name: &CallType, call: &Call) -> Result<(), ValidationError> {
         let key = |field: &str| format!("calls.{name}.{field}");
         if call.services.is_empty() {
-            return Err(CheckError::new(
+            return Err(ValidationError::new(
                 key("services"),
                 "list at least one service",
             ));
@@ -131,15 +134,18 @@
         for service in &call.services {
             if !self.services.contains(service) {
                 let problem = format!("{service} is not among the template's services");
-                return Err(CheckError::new(key("services"), problem));
+                return Err(ValidationError::new(key("services"), problem));
             }
         }
         if !(DEADLINE_MIN..=DEADLINE_MAX).contains(&call.deadline) {
-            return Err(CheckError::new(key("deadline"), "must be from 1ms to 10m"));
+            return Err(ValidationError::new(
+                key("deadline"),
+                "must be from 1ms to 10m",
+            ));
         }
         check_reasons(&key("refuse"), &call.refuse)?;
         if call.kind == CallKind::Submit && call.answer != Answer::Whole {
-            return Err(CheckError::new(
+            return Err(ValidationError::new(
                 key("answer"),
                 "must be whole for a submission",
             ));
@@ -149,25 +155,25 @@
 }
 
 /// Checks that all `reasons` are optional, that is, ones a template may allow.
-pub(crate) fn check_reasons(key: &str, reasons: &[Reason]) -> Result<(), CheckError> {
+pub(crate) fn check_reasons(key: &str, reasons: &[Reason]) -> Result<(), ValidationError> {
     match reasons.iter().find(|r| !OPTIONAL_REASONS.contains(r)) {
         None => Ok(()),
         Some(reason) => {
             let problem = format!(
                 "{reason} always applies; only organisation_limit and overload are optional"
             );
-            Err(CheckError::new(key, problem))
+            Err(ValidationError::new(key, problem))
         }
     }
 }
 
 /// Checks that no limit is zero, which would block all requests.
-pub(crate) fn check_limits(limits: &OrgLimits) -> Result<(), CheckError> {
+pub(crate) fn check_limits(limits: &OrgLimits) -> Result<(), ValidationError> {
     if limits.rate.0 == 0 {
-        return Err(CheckError::new("limits.rate", "must be at least 1/s"));
+        return Err(ValidationError::new("limits.rate", "must be at least 1/s"));
     }
     if limits.flight == 0 {
-        return Err(CheckError::new("limits.flight", "must be at least 1"));
+        return Err(ValidationError::new("limits.flight", "must be at least 1"));
     }
     Ok(())
 }
--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -2,7 +2,7 @@
 
 use std::{io, path::Path};
 
-use chestnut_conf::{Kind, ObjectKey, Settings, Stored};
+use chestnut_conf::{ObjectKey, ObjectKind, Settings, StoredSpec};
 use chestnut_tier::{HttpServers, Ports, SpawnError, Tier};
 use displaydoc::Display;
 use slog::Logger;
@@ -126,8 +126,8 @@
 pub fn objects_in(folder: &Path) -> Result<Vec<Written>, DemoError> {
     let mut objects = Vec::new();
     for (kind, name) in [
-        (Kind::Template, "templates"),
-        (Kind::Organisation, "organisations"),
+        (ObjectKind::Template, "templates"),
+        (ObjectKind::Organisation, "organisations"),
     ] {
         let fail = |e: &dyn std::fmt::Display| DemoError::Object(name.to_owned(), e.to_string());
         let mut files: Vec<_> = std::fs::read_dir(folder.join(name))
@@ -151,7 +151,7 @@
 }
 
 fn stored(spec: serde_json::Value) -> serde_json::Value {
-    let stored = Stored {
+    let stored = StoredSpec {
         spec,
         edits: Vec::new(),
     };
--- a/crates/fake/src/experiment/requests.rs
+++ b/crates/fake/src/experiment/requests.rs
@@ -285,7 +285,7 @@
                 None => Unserved::Failed,
             };
             let share = coverage.answered as f64 / coverage.asked.max(1) as f64;
-            if coverage.reaches(self.shape.least) {
+            if coverage.meets(self.shape.least) {
                 self.count_served(&request, share, goal, stats.calls);
             } else {
                 self.count_unserved(&request, stats.calls);
--- a/crates/fake/src/experiment/shape.rs
+++ b/crates/fake/src/experiment/shape.rs
@@ -70,7 +70,7 @@
             span: Duration::from_secs(20),
             queue: 64,
             goal: None,
-            least: Share::WHOLE,
+            least: Share::FULL,
         }
     }
 
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -12,7 +12,7 @@
     load::{self, LoadConfig},
     membership,
 };
-use chestnut_unit::parse_span;
+use chestnut_unit::parse_duration;
 use clap::{Parser, Subcommand};
 use slog::{Drain, Logger, o};
 use tokio::signal::ctrl_c;
@@ -167,7 +167,7 @@
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    parse_span(text).map_err(|e| e.to_string())
+    parse_duration(text).map_err(|e| e.to_string())
 }
 
 #[tokio::main]
@@ -230,16 +230,16 @@
 /// An organisation of the folder with a query that it may make.
 fn sample(folder: &std::path::Path) -> Option<(String, String, String)> {
     let objects = objects_in(folder).ok()?;
-    let spec_of = |kind: chestnut_conf::Kind, name: &str| {
+    let spec_of = |kind: chestnut_conf::ObjectKind, name: &str| {
         let here = |(key, _): &&(chestnut_conf::ObjectKey, serde_json::Value)| {
             key.kind == kind && (name.is_empty() || key.name == name)
         };
         let (key, value) = objects.iter().find(here)?;
         Some((key.name.clone(), value["spec"].clone()))
     };
-    let (org, spec) = spec_of(chestnut_conf::Kind::Organisation, "")?;
+    let (org, spec) = spec_of(chestnut_conf::ObjectKind::Organisation, "")?;
     let template = spec["template"].as_str()?;
-    let (_, template) = spec_of(chestnut_conf::Kind::Template, template)?;
+    let (_, template) = spec_of(chestnut_conf::ObjectKind::Template, template)?;
     let reach = spec["services"].as_array()?;
     let calls = template["calls"].as_object()?;
     let open = |body: &serde_json::Value| reach.contains(&body["services"][0]);
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -8,7 +8,7 @@
 };
 
 use bytes::Bytes;
-use chestnut_conf::{Kind, ObjectKey};
+use chestnut_conf::{ObjectKey, ObjectKind};
 use chestnut_port::{Clock, PlatformError};
 use chestnut_unit::lock;
 use http_body_util::{BodyExt, Full};
@@ -184,7 +184,7 @@
     answer(written.map(|version| json!({ "version": version })))
 }
 
-async fn watch(inner: &Inner, kind: Kind, query: &str) -> Reply {
+async fn watch(inner: &Inner, kind: ObjectKind, query: &str) -> Reply {
     let after = number(query, "after").unwrap_or(0);
     let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0)).min(WATCH_MAX);
     lock(&inner.store).counts.watches += 1;
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnut_conf::{Kind, Object, ObjectKey};
+use chestnut_conf::{Object, ObjectKey, ObjectKind};
 use chestnut_port::{Changes, Listing, PlatformError, Vm};
 use chestnut_unit::Time;
 use serde::{Deserialize, Serialize};
@@ -112,7 +112,7 @@
 
     /// Every object of a kind, whatever the faults.
     #[must_use]
-    pub fn peek_all(&self, kind: Kind) -> Vec<Object> {
+    pub fn peek_all(&self, kind: ObjectKind) -> Vec<Object> {
         self.newest(kind, self.revision())
     }
 
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// The platform is down.
-    pub fn list(&mut self, kind: Kind) -> Result<Listing, PlatformError> {
+    pub fn list(&mut self, kind: ObjectKind) -> Result<Listing, PlatformError> {
         self.counts.lists += 1;
         self.up()?;
         let revision = self.readable();
@@ -147,7 +147,7 @@
     /// # Errors
     ///
     /// The platform is down.
-    pub fn changes(&self, kind: Kind, revision: u64) -> Result<Changes, PlatformError> {
+    pub fn changes(&self, kind: ObjectKind, revision: u64) -> Result<Changes, PlatformError> {
         self.up()?;
         let until = self.readable();
         let from = revision.min(until) as usize;
@@ -204,7 +204,7 @@
         self.revision().saturating_sub(self.fault.stale)
     }
 
-    fn newest(&self, kind: Kind, revision: u64) -> Vec<Object> {
+    fn newest(&self, kind: ObjectKind, revision: u64) -> Vec<Object> {
         let mut newest: BTreeMap<&ObjectKey, &Object> = BTreeMap::new();
         for object in &self.history[..revision as usize] {
             if object.key.kind == kind {
--- a/crates/fake/src/world.rs
+++ b/crates/fake/src/world.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use chestnut_conf::{Kind, Leaf, ObjectKey, Service};
+use chestnut_conf::{Leaf, ObjectKey, ObjectKind, Service};
 use chestnut_port::{Vm, VmRole};
 use chestnut_unit::{
     DomainName, IndexVersion, Layout, LayoutShard, LeafId, MemberId, ServiceName, ShardName,
@@ -174,9 +174,13 @@
         for spec in &self.service {
             let versions = vec![IndexVersion(1)];
             let service = self.service_object(spec, versions);
-            objects.push(plain(Kind::Service, spec.name.as_str(), &service));
+            objects.push(plain(ObjectKind::Service, spec.name.as_str(), &service));
             let layout = layout_of(spec, IndexVersion(1), spec.shards);
-            objects.push(plain(Kind::Layout, &format!("{}.1", spec.name), &layout));
+            objects.push(plain(
+                ObjectKind::Layout,
+                &format!("{}.1", spec.name),
+                &layout,
+            ));
         }
         objects
     }
@@ -252,7 +256,11 @@
     LeafId::new(format!("{}-l{n:03}", spec.name)).expect("a legal name")
 }
 
-fn plain<T: serde::Serialize>(kind: Kind, name: &str, value: &T) -> (ObjectKey, serde_json::Value) {
+fn plain<T: serde::Serialize>(
+    kind: ObjectKind,
+    name: &str,
+    value: &T,
+) -> (ObjectKey, serde_json::Value) {
     let key = ObjectKey {
         kind,
         name: name.to_owned(),
--- a/crates/fake/tests/examples.rs
+++ b/crates/fake/tests/examples.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use chestnut_conf::{Book, Kind, Object, Organisation, Template};
+use chestnut_conf::{ConfigSet, Object, ObjectKind, Organisation, Template};
 use chestnut_fake::{World, demo::objects_in};
 use chestnut_unit::OrgName;
 use rstest::rstest;
@@ -17,25 +17,27 @@
 #[case("flipperhouse")]
 #[case("pollen")]
 fn templates_and_organisations_pass_their_checks(#[case] name: &str) {
-    let mut book = Book::default();
+    let mut config = ConfigSet::default();
     for (key, value) in objects_in(&folder(name)).unwrap() {
-        book.apply(Object {
+        config.apply(Object {
             key,
             version: 1,
             value,
         });
     }
     let mut checked = 0;
-    for template in book.versions(Kind::Template).keys() {
-        let (_, template): (u64, Template) = book.parse_spec(Kind::Template, template).unwrap();
+    for template in config.versions(ObjectKind::Template).keys() {
+        let (_, template): (u64, Template) =
+            config.parse_spec(ObjectKind::Template, template).unwrap();
         template.check().unwrap();
         checked += 1;
     }
-    for org in book.versions(Kind::Organisation).keys() {
-        let (_, parsed): (u64, Organisation) = book.parse_spec(Kind::Organisation, org).unwrap();
-        let (_, template) = book.template(&parsed.template).unwrap();
+    for org in config.versions(ObjectKind::Organisation).keys() {
+        let (_, parsed): (u64, Organisation) =
+            config.parse_spec(ObjectKind::Organisation, org).unwrap();
+        let (_, template) = config.template(&parsed.template).unwrap();
         parsed.check(&template).unwrap();
-        assert!(book.policy(&OrgName::new(org).unwrap()).is_some());
+        assert!(config.policy(&OrgName::new(org).unwrap()).is_some());
         checked += 1;
     }
     assert!(checked >= 4);
--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use chestnut_conf::BookDigest;
+use chestnut_conf::ConfigDigest;
 use chestnut_unit::{MemberId, Time};
 
 use crate::Message;
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PeerReport {
     at: Time,
-    digest: BookDigest,
+    digest: ConfigDigest,
     confirmed: Option<Duration>,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Records a peer's message, received while this entry's digest was `own`.
-    pub fn peer_reported(&mut self, message: &Message, own: BookDigest, now: Time) {
+    pub fn peer_reported(&mut self, message: &Message, own: ConfigDigest, now: Time) {
         let report = PeerReport {
             at: now,
             digest: message.digest,
@@ -81,7 +81,7 @@
     pub fn confirm_in_outage<'a>(
         &mut self,
         present: impl Iterator<Item = &'a MemberId>,
-        own: BookDigest,
+        own: ConfigDigest,
         now: Time,
     ) {
         if self.at == LastConfirmed::Never {
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use chestnut_book::BookVersion;
-use chestnut_conf::BookDigest;
+use chestnut_conf::ConfigDigest;
 use chestnut_quarantine::Report;
 use chestnut_unit::{Incarnation, MemberId, Time};
 use probing::Round;
@@ -87,7 +87,7 @@
     /// The sender's own state.
     pub from: Member,
     /// Digest of the sender's configuration.
-    pub digest: BookDigest,
+    pub digest: ConfigDigest,
     /// How long ago the sender's configuration was confirmed; `None` if never.
     pub confirmed: Option<Duration>,
     /// Number of requests that the sender is running, used to order entries.
@@ -132,7 +132,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// Digest of the configuration.
-    pub digest: BookDigest,
+    pub digest: ConfigDigest,
     /// Time since the configuration was confirmed; `None` if never.
     pub confirmed: Option<Duration>,
     /// Number of running requests.
--- a/crates/once/src/keeper.rs
+++ b/crates/once/src/keeper.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use chestnut_unit::{Incarnation, MemberId, Reason, Wall};
+use chestnut_unit::{Incarnation, MemberId, Reason, WallTime};
 
 use crate::Ticket;
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct TicketEntry {
     nonce: [u8; 16],
-    expiry: Wall,
+    expiry: WallTime,
     state: State,
 }
 
@@ -108,7 +108,7 @@
     incarnation: Incarnation,
     config: KeeperConfig,
     tickets: BTreeMap<TicketKey, TicketEntry>,
-    expiries: BTreeSet<(Wall, TicketKey)>,
+    expiries: BTreeSet<(WallTime, TicketKey)>,
     next: u64,
     phase: Phase,
 }
@@ -149,7 +149,7 @@
 
     /// Mints a ticket from a random `nonce`. Returns `None` when the keeper
     /// is closed or full.
-    pub fn mint(&mut self, nonce: [u8; 16], wall: Wall) -> Option<Ticket> {
+    pub fn mint(&mut self, nonce: [u8; 16], wall: WallTime) -> Option<Ticket> {
         self.expire(wall);
         if self.phase == Phase::Closed || self.tickets.len() >= self.config.most {
             return None;
@@ -167,7 +167,7 @@
     }
 
     /// Decides on a submission with `ticket` whose body hashes to `body`.
-    pub fn claim(&mut self, ticket: &Ticket, body: u64, wall: Wall) -> Claim {
+    pub fn claim(&mut self, ticket: &Ticket, body: u64, wall: WallTime) -> Claim {
         let key = key_of(ticket);
         let Some(entry) = self.tickets.get_mut(&key) else {
             return Claim::Forgotten;
@@ -211,7 +211,7 @@
     }
 
     /// Drops tickets whose expiry passed longer ago than the clock skew.
-    pub fn expire(&mut self, wall: Wall) {
+    pub fn expire(&mut self, wall: WallTime) {
         while let Some((at, key)) = self.expiries.first().cloned() {
             if wall < at + CLOCK_SKEW {
                 return;
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -7,13 +7,13 @@
 //!
 //! ```
 //! use chestnut_once::{Claim, Keeper, KeeperConfig};
-//! use chestnut_unit::{Incarnation, MemberId, Wall};
+//! use chestnut_unit::{Incarnation, MemberId, WallTime};
 //!
 //! let member = MemberId::new("dub-a-1").unwrap();
 //! let mut keeper = Keeper::new(member, Incarnation(7), KeeperConfig::default());
-//! let ticket = keeper.mint([1; 16], Wall(0)).unwrap();
-//! assert_eq!(keeper.claim(&ticket, 99, Wall(1)), Claim::Run);
-//! assert_eq!(keeper.claim(&ticket, 99, Wall(2)), Claim::Join);
+//! let ticket = keeper.mint([1; 16], WallTime(0)).unwrap();
+//! assert_eq!(keeper.claim(&ticket, 99, WallTime(1)), Claim::Run);
+//! assert_eq!(keeper.claim(&ticket, 99, WallTime(2)), Claim::Join);
 //! ```
 
 #![warn(clippy::unwrap_used)]
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -3,7 +3,7 @@
 use std::{fmt, str::FromStr};
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
-use chestnut_unit::{Incarnation, MemberId, Wall};
+use chestnut_unit::{Incarnation, MemberId, WallTime};
 use displaydoc::Display;
 
 /// Bytes of the fixed part: nonce, incarnation, sequence number, expiry.
@@ -31,7 +31,7 @@
     /// Its sequence number in that incarnation.
     pub seq: u64,
     /// Time from which on it is refused, unless it was used before.
-    pub expiry: Wall,
+    pub expiry: WallTime,
     /// Random bytes that make the ticket unguessable.
     pub nonce: [u8; 16],
 }
@@ -67,7 +67,7 @@
             keeper: MemberId::new(name).map_err(|_| TicketError::Malformed)?,
             incarnation: Incarnation(u64::from_be_bytes(incarnation)),
             seq: u64::from_be_bytes(seq),
-            expiry: Wall(u64::from_be_bytes(expiry)),
+            expiry: WallTime(u64::from_be_bytes(expiry)),
             nonce,
         })
     }
--- a/crates/once/tests/ledger.rs
+++ b/crates/once/tests/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chestnut_once::{Claim, Handed, Keeper, KeeperConfig, Outcome, Ticket};
-use chestnut_unit::{Incarnation, MemberId, Reason, Wall};
+use chestnut_unit::{Incarnation, MemberId, Reason, WallTime};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 /// A step of a generated run.
@@ -82,7 +82,7 @@
         self.outcomes.entry(ticket).or_default().push(outcome);
     }
 
-    fn submit(&mut self, index: usize, at: usize, body: u64, wall: Wall) {
+    fn submit(&mut self, index: usize, at: usize, body: u64, wall: WallTime) {
         let Some(ticket) = self.tickets.get(index) else {
             return;
         };
@@ -138,7 +138,7 @@
     #[test]
     fn a_ticket_is_applied_at_most_once(steps in prop::collection::vec(step(), 0..80)) {
         let mut model = Model::new();
-        let mut wall = Wall(1_000_000);
+        let mut wall = WallTime(1_000_000);
         for step in steps {
             match step {
                 Step::Mint(at) => {
--- a/crates/port/src/clock.rs
+++ b/crates/port/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use chestnut_unit::{Time, Wall};
+use chestnut_unit::{Time, WallTime};
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    wall: Wall,
+    wall: WallTime,
     /// Total suspend time of the VM when this clock started.
     suspended: Duration,
 }
@@ -22,12 +22,14 @@
     #[must_use]
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        Self::start_at(Wall(since_epoch.map_or(0, |span| span.as_millis() as u64)))
+        Self::start_at(WallTime(
+            since_epoch.map_or(0, |span| span.as_millis() as u64),
+        ))
     }
 
     /// Starts a clock at the given wall time, for tests.
     #[must_use]
-    pub fn start_at(wall: Wall) -> Self {
+    pub fn start_at(wall: WallTime) -> Self {
         Self {
             start: Instant::now(),
             wall,
@@ -50,7 +52,7 @@
 
     /// Returns the current wall time.
     #[must_use]
-    pub fn wall(&self) -> Wall {
+    pub fn wall(&self) -> WallTime {
         self.wall + self.start.elapsed()
     }
 
--- a/crates/port/src/platform.rs
+++ b/crates/port/src/platform.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use chestnut_conf::{Kind, Object, ObjectKey};
+use chestnut_conf::{Object, ObjectKey, ObjectKind};
 use chestnut_unit::{DomainName, MemberId};
 use displaydoc::Display;
 use futures::future::BoxFuture;
@@ -86,7 +86,7 @@
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Option<Object>, PlatformError>>;
 
     /// Reads all objects of a kind.
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>>;
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<Listing, PlatformError>>;
 
     /// Writes an object if its version is `expected`; 0 means that it must not
     /// exist. Returns the new version. After [`PlatformError::Unavailable`] the
@@ -102,7 +102,7 @@
     /// `revision`.
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         revision: u64,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>>;
--- a/crates/port/src/platform_http.rs
+++ b/crates/port/src/platform_http.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
-use chestnut_conf::{Kind, Object, ObjectKey, PlatformSettings};
+use chestnut_conf::{Object, ObjectKey, ObjectKind, PlatformSettings};
 use futures::{FutureExt, future::BoxFuture};
 use hyper::{Method, StatusCode};
 use serde::{Deserialize, de::DeserializeOwned};
@@ -78,7 +78,7 @@
         .boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move { self.read(&format!("/objects/{kind}"), self.timeout).await }.boxed()
     }
 
@@ -100,7 +100,7 @@
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         revision: u64,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>> {
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use capnp::{message::ReaderOptions, struct_list, text};
 use chestnut_book::BookVersion;
-use chestnut_conf::{BookDigest, Kind, Object, ObjectKey};
+use chestnut_conf::{ConfigDigest, Object, ObjectKey, ObjectKind};
 use chestnut_fleet::{Addresses, Liveness, Member, Message, MessageKind, Successor};
 use chestnut_once::{Handed, Outcome, Ticket};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
@@ -230,7 +230,7 @@
         kind,
         seq: root.get_seq(),
         from: get_member(root.get_from()?)?,
-        digest: BookDigest(root.get_digest()),
+        digest: ConfigDigest(root.get_digest()),
         confirmed: age.map(Duration::from_millis),
         load: root.get_load(),
         book: BookVersion(root.get_book()),
@@ -534,7 +534,7 @@
 /// Reads the key of an object.
 fn get_key(kind: text::Reader<'_>, name: text::Reader<'_>) -> Read<ObjectKey> {
     Ok(ObjectKey {
-        kind: parse::<Kind>(kind)?,
+        kind: parse::<ObjectKind>(kind)?,
         name: name.to_str()?.to_owned(),
     })
 }
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/cases.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use chestnut_book::BookVersion;
-use chestnut_conf::BookDigest;
+use chestnut_conf::ConfigDigest;
 use chestnut_fleet::{Addresses, Member, Message, MessageKind};
 use chestnut_port::{ProbeSocket, Probes, probe_size};
 use chestnut_quarantine::{Fingerprint, LeafMark, Report};
@@ -54,7 +54,7 @@
         kind: MessageKind::Ping,
         seq: 123_456_789,
         from: member(200),
-        digest: BookDigest(0x1234_5678_9abc_def0),
+        digest: ConfigDigest(0x1234_5678_9abc_def0),
         confirmed: Some(Duration::from_millis(4321)),
         load: 4321,
         book: BookVersion(98_765),
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use chestnut_book::Kind;
+use chestnut_book::RetrySafety;
 use chestnut_flow::{Calls, Flying, Parts, Start, lock};
 use chestnut_port::{LeafCall, LeafFailure, LeafReply, Message};
 use chestnut_route::{Eviction, Failure};
@@ -26,7 +26,7 @@
     /// The request as it is sent to every leaf.
     pub(crate) message: Arc<Message>,
     /// Whether the request may run more than once.
-    pub(crate) kind: Kind,
+    pub(crate) kind: RetrySafety,
     /// Whether the answers of several shards are merged into one.
     pub(crate) merges: bool,
     /// The last error reply of a leaf, returned to the caller if no call
@@ -81,8 +81,8 @@
             left: start.left,
             connections,
             idle: match self.kind {
-                Kind::Idempotent => Duration::MAX,
-                Kind::Once => ONCE_IDLE_MAX,
+                RetrySafety::Idempotent => Duration::MAX,
+                RetrySafety::Once => ONCE_IDLE_MAX,
             },
             until,
         };
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -9,14 +9,14 @@
 };
 
 use bytes::Bytes;
-use chestnut_book::{Kind, Rule, Target, greatest};
+use chestnut_book::{RetrySafety, Rule, Target, merge_top};
 use chestnut_flow::{InFlight, Running, admit, lock, run};
 use chestnut_port::{LeafReply, Message};
 use chestnut_quarantine::Fingerprint;
 use chestnut_route::{
     AdmitRequest, End, Ix, PartialReason, Query, QueryConfig, Repeat, Sheddable, Timeliness,
 };
-use chestnut_unit::{Coverage, Reason, Run, Share, Time, Urgency};
+use chestnut_unit::{Coverage, Execution, Reason, Share, Time, Urgency};
 use hyper::header::{AUTHORIZATION, HeaderValue};
 use rand::Rng;
 use slog::info;
@@ -78,7 +78,7 @@
     /// The reason.
     pub why: Why,
     /// Whether the request may have run on a leaf.
-    pub run: Run,
+    pub run: Execution,
     /// Delay before a retry, where one may help.
     pub after: Option<Duration>,
 }
@@ -210,8 +210,8 @@
         timeliness,
         max_attempts: rule.attempts,
         repeat: match rule.kind {
-            Kind::Idempotent => Repeat::Idempotent,
-            Kind::Once => Repeat::OnlyIfNotRun,
+            RetrySafety::Idempotent => Repeat::Idempotent,
+            RetrySafety::Once => Repeat::OnlyIfNotRun,
         },
         trust,
         class,
@@ -282,7 +282,7 @@
 
 fn min_coverage(rule: &Rule) -> Share {
     match &rule.target {
-        Target::One(_) | Target::Split(_) => Share::WHOLE,
+        Target::One(_) | Target::Split(_) => Share::FULL,
         Target::Gather { least, .. } => *least,
     }
 }
@@ -294,7 +294,7 @@
     retry_after: Duration,
 ) -> Result<Reply, Declined> {
     let coverage = query.coverage();
-    let covered = coverage.answered > 0 && coverage.reaches(min_coverage(rule));
+    let covered = coverage.answered > 0 && coverage.meets(min_coverage(rule));
     match (&rule.target, last_failure) {
         (Target::Gather { top, .. }, _) if covered => Ok(merge(*top, coverage, query)),
         (Target::Gather { .. }, _) => Err(query_failure(&query, retry_after)),
@@ -313,7 +313,7 @@
     let parts: Vec<LeafReply> = query.into_parts().map(|(_, reply)| reply).collect();
     let bodies = parts.iter().map(|reply| reply.answer.body().as_ref());
     Reply::Merged {
-        body: greatest(bodies, top).into(),
+        body: merge_top(bodies, top).into(),
         missing: coverage.asked - coverage.answered,
         proofs: parts.into_iter().map(|reply| reply.proof).collect(),
     }
@@ -336,7 +336,7 @@
     };
     Declined {
         why,
-        run: Run::Unknown,
+        run: Execution::Unknown,
         after: None,
     }
 }
@@ -351,7 +351,7 @@
 fn not_run(why: Why, after: Option<Duration>) -> Declined {
     Declined {
         why,
-        run: Run::NotRun,
+        run: Execution::NotRun,
         after,
     }
 }
--- a/crates/relay/src/ground.rs
+++ b/crates/relay/src/ground.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use chestnut_book::{RECORD, RouteBook, Rule, Target, Turns};
+use chestnut_book::{RECORD_BYTES, RoundRobin, RouteBook, Rule, Target};
 use chestnut_flow::GateId;
 use chestnut_port::Distance;
 use chestnut_route::{
@@ -52,7 +52,7 @@
     /// The class of calls whose statistics the rule uses.
     pub(crate) class: Class,
     /// The weighted round-robin position of a rule that splits traffic.
-    pub(crate) turns: Turns,
+    pub(crate) round_robin: RoundRobin,
     /// The greatest remaining time that the rule's callers sent recently.
     pub(crate) max_remaining: MaxRemaining,
 }
@@ -137,7 +137,7 @@
         let Target::Gather { shards, top, .. } = &rule.target else {
             return Duration::ZERO;
         };
-        let bytes = shards.len() * SIGNATURE_BYTES + top * RECORD;
+        let bytes = shards.len() * SIGNATURE_BYTES + top * RECORD_BYTES;
         Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link * 1e6))
     }
 
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_book::{Rule, Target, Turns};
+use chestnut_book::{RoundRobin, Rule, Target};
 use chestnut_flow::GateId;
 use chestnut_route::{
     Backend, Budget, BudgetId, Class, ExtraBudget, Ix, Route, Routes, Timeliness,
@@ -43,7 +43,7 @@
     now: Time,
 ) -> Plan {
     let class = class_of(state, rule);
-    state.table.set_objective(class, rule.goal);
+    state.table.set_objective(class, rule.objective);
     let (ahead, timeliness) = time_ahead(state, rule, class, remaining, now);
     let services = match &rule.target {
         Target::One(service) => vec![service.clone()],
@@ -89,17 +89,17 @@
     let median = state.table.profile(class).calls.median();
     let ground = &mut state.extra;
     let Some(kept) = ground.rules.get_mut(&rule.name) else {
-        return (rule.goal, Timeliness::InTime);
+        return (rule.objective, Timeliness::InTime);
     };
     let overhead = ground
         .callers
         .overhead(&mut kept.max_remaining, remaining, rule.timeout, now);
     let ahead = rule
-        .goal
+        .objective
         .saturating_sub(overhead + ground.transmission_delay(rule));
     match ahead > median {
         true => (ahead, Timeliness::InTime),
-        false => (rule.goal, Timeliness::Late),
+        false => (rule.objective, Timeliness::Late),
     }
 }
 
@@ -116,10 +116,10 @@
         None if state.table.classes() < MAX_CLASSES => state.table.add_class(),
         None => Class::default(),
     };
-    let turns = Turns::default();
+    let round_robin = RoundRobin::default();
     let kept = RuleState {
         class,
-        turns,
+        round_robin,
         max_remaining: MaxRemaining::default(),
     };
     state.extra.rules.insert(rule.name.clone(), kept);
@@ -135,7 +135,7 @@
 ) -> ServiceName {
     let weights: Vec<u32> = parts.iter().map(|(_, weight)| *weight).collect();
     let kept = state.extra.rules.get_mut(&rule.name);
-    let at = kept.and_then(|kept| kept.turns.next(&weights, draw));
+    let at = kept.and_then(|kept| kept.round_robin.next(&weights, draw));
     parts[at.unwrap_or(0)].0.clone()
 }
 
--- a/crates/relay/src/pull.rs
+++ b/crates/relay/src/pull.rs
@@ -76,7 +76,7 @@
 /// replaces or removes, and the new book.
 fn apply_delta(raw: &RawBook, current: Option<&RouteBook>) -> Result<(usize, RouteBook), String> {
     let delta: BookDelta = unpack(&raw.delta).map_err(|error| error.to_string())?;
-    let rules = delta.rules();
+    let rules = delta.changed_rules();
     let book = delta.apply(current).map_err(|error| error.to_string())?;
     Ok((rules, book))
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -15,7 +15,7 @@
 use chestnut_port::Listening;
 use chestnut_quarantine::{Fingerprint, LeafMark, Report, Stand};
 use chestnut_route::Trust;
-use chestnut_unit::{LeafId, Reason, Run, Time};
+use chestnut_unit::{Execution, LeafId, Reason, Time};
 use futures::{StreamExt, stream};
 use slog::{info, warn};
 use tokio::{
@@ -133,7 +133,7 @@
         Stand::Trial => Ok(Trust::Suspected),
         Stand::Refused(after) => Err(Declined {
             why: Why::Declined(Reason::Quarantined),
-            run: Run::NotRun,
+            run: Execution::NotRun,
             after: Some(after),
         }),
     }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -5,7 +5,7 @@
 use chestnut_flow::lock;
 use chestnut_port::FeedError;
 use chestnut_quarantine::{Fingerprint, Report};
-use chestnut_unit::{Time, Wall};
+use chestnut_unit::{Time, WallTime};
 use futures::future::BoxFuture;
 use slog::{info, warn};
 use tokio::{sync::mpsc, time::sleep_until};
@@ -23,7 +23,7 @@
     /// The crashes under the request, at the time of writing.
     pub report: Report,
     /// The time of writing.
-    pub at: Wall,
+    pub at: WallTime,
 }
 
 /// Access to the quarantine records in the store.
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::ColdCalls;
-use chestnut_conf::{LogSettings, SettingsError, read_settings, span};
+use chestnut_conf::{LogSettings, SettingsError, duration, read_settings};
 use chestnut_unit::{DomainName, MemberId, Share};
 use serde::Deserialize;
 
@@ -110,7 +110,7 @@
     /// Extra calls allowed in any window on top of that ratio.
     pub slack: f64,
     /// Length of the window.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub window: Duration,
 }
 
@@ -127,14 +127,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Times {
     /// Longest time from the stop signal to the end of the process.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub grace: Duration,
     /// How long a leaf keeps serving after it announces that it leaves. No new call may be
     /// sent to it after that.
-    #[serde(with = "span")]
+    #[serde(with = "duration")]
     pub drain: Duration,
     /// How long callers may cache the list of entries.
-    #[serde(with = "span", default = "ttl")]
+    #[serde(with = "duration", default = "ttl")]
     pub ttl: Duration,
 }
 
@@ -192,12 +192,12 @@
     }
 
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
-        let fail = |key, problem: String, mend| {
+        let fail = |key, problem: String, fix| {
             Err(SettingsError::Value {
                 path: PathBuf::from(path),
                 key,
                 problem,
-                mend,
+                fix,
             })
         };
         if self.entry.cores <= 0.0 || self.entry.link <= 0.0 {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -193,7 +193,7 @@
         if from == Upstream::Store {
             let current = lock(&self.cell.state).extra.book.clone();
             if let Some(current) = current {
-                book.share(&current);
+                book.share_rules(&current);
             }
         }
         let mut state = lock(&self.cell.state);
--- a/crates/relay/tests/cold.rs
+++ b/crates/relay/tests/cold.rs
@@ -4,11 +4,11 @@
 
 use std::{collections::BTreeMap, path::Path, time::Duration};
 
-use chestnut_book::{ColdRule, Kind, RouteBook};
+use chestnut_book::{ColdRule, RetrySafety, RouteBook};
 use chestnut_relay::{
     ColdCalls, Declined, LeafEntry, LeafState, Phase, Relay, RelaySettings, Reply,
 };
-use chestnut_unit::{CallRate, LeafId, Run};
+use chestnut_unit::{CallRate, Execution, LeafId};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
 use world::{Answers, Manner, Stage, ask, book_of, entry, gather, peers_address, record, rule};
@@ -31,7 +31,11 @@
         rate: CallRate::per_second(6.0),
         span: WARMUP,
     };
-    let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
+    let rules = vec![rule(
+        "/all/",
+        RetrySafety::Idempotent,
+        gather(&SHARDS, 1000),
+    )];
     book_of(version, rules, Some(cold))
 }
 
@@ -158,7 +162,7 @@
             relays[0].forward(ask(&format!("n{n}"), "/all/x")).await,
         );
         if let Reply::Declined(Declined { run, after, .. }) = reply {
-            assert_eq!((run, after.is_some()), (Run::NotRun, true));
+            assert_eq!((run, after.is_some()), (Execution::NotRun, true));
             assert_eq!(Instant::now(), start, "the refusal was delayed");
             refused += 1;
         }
@@ -284,7 +288,11 @@
 #[tokio::test(start_paused = true)]
 async fn cold_leafs_without_a_rule_are_not_rate_limited() {
     let stage = stage();
-    let rules = vec![rule("/all/", Kind::Idempotent, gather(&SHARDS, 1000))];
+    let rules = vec![rule(
+        "/all/",
+        RetrySafety::Idempotent,
+        gather(&SHARDS, 1000),
+    )];
     stage.store.put_book(book_of(2, rules, None));
     let relays = stage.serving_all(3).await;
     for domain in DOMAINS {
--- a/crates/relay/tests/deadly.rs
+++ b/crates/relay/tests/deadly.rs
@@ -4,9 +4,9 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{Declined, Relay, Reply, Why};
-use chestnut_unit::{LeafId, Reason, Run};
+use chestnut_unit::{Execution, LeafId, Reason};
 use futures::future::{join, join_all};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
@@ -27,7 +27,7 @@
 }
 
 /// A stage with three leafs of each service and one rule, for `target`.
-fn stage(kind: Kind, target: Target) -> Stage {
+fn stage(kind: RetrySafety, target: Target) -> Stage {
     let stage = Stage {
         domains: 3,
         seeds: vec![1, 2, 3],
@@ -66,12 +66,12 @@
 /// Guards against a repeated request that crashes leafs at each try, because entries forget it
 /// after a try or don't share what they know of it.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(name("archive")))]
 #[tokio::test(start_paused = true)]
 async fn requests_that_crash_leafs_are_no_longer_forwarded(
-    #[case] kind: Kind,
+    #[case] kind: RetrySafety,
     #[case] target: Target,
 ) {
     let stage = stage(kind, target);
@@ -125,7 +125,7 @@
         self.refused = self.refused.max(refused);
         match declined(reply) {
             None => self.served += 1,
-            Some(declined) if declined.run == Run::NotRun => self.not_run.push(id),
+            Some(declined) if declined.run == Execution::NotRun => self.not_run.push(id),
             Some(_) => self.failed += 1,
         }
     }
@@ -177,11 +177,14 @@
 /// Guards against a quarantine of other requests whose calls were running on the leafs that
 /// the crashing request took down.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(name("archive")))]
 #[tokio::test(start_paused = true)]
-async fn other_requests_on_crashing_leafs_are_served(#[case] kind: Kind, #[case] target: Target) {
+async fn other_requests_on_crashing_leafs_are_served(
+    #[case] kind: RetrySafety,
+    #[case] target: Target,
+) {
     let stage = stage(kind, target);
     let relays = start_entries(&stage, 6).await;
     let (gap, span) = (Duration::from_millis(1300), Duration::from_secs(40));
@@ -217,11 +220,14 @@
 /// Guards against a quarantine of a harmless popular request that happens to run on leafs
 /// which crash for another reason.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(name("archive")))]
-#[case::once(Kind::Once, Target::One(name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(name("archive")))]
 #[tokio::test(start_paused = true)]
-async fn unrelated_leaf_crashes_quarantine_no_request(#[case] kind: Kind, #[case] target: Target) {
+async fn unrelated_leaf_crashes_quarantine_no_request(
+    #[case] kind: RetrySafety,
+    #[case] target: Target,
+) {
     let stage = stage(kind, target);
     let relays = start_entries(&stage, 6).await;
     let span = Duration::from_secs(60);
@@ -255,7 +261,7 @@
 /// connections has not crashed.
 #[tokio::test(start_paused = true)]
 async fn connection_resets_quarantine_no_request() {
-    let stage = stage(Kind::Once, Target::One(name("archive")));
+    let stage = stage(RetrySafety::Once, Target::One(name("archive")));
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, Manner::Loses);
     }
@@ -269,7 +275,7 @@
 /// Guards against a new entry that forwards what the others refuse.
 #[tokio::test(start_paused = true)]
 async fn a_new_entry_learns_of_quarantined_requests() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&stage, 6).await;
     send_crashing(&relays).await;
     relays.push(stage.serving(7).await);
@@ -282,7 +288,7 @@
 /// was answered.
 #[tokio::test(start_paused = true)]
 async fn a_fixed_request_is_served_again_by_every_entry() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let relays = start_entries(&stage, 6).await;
     send_crashing(&relays).await;
     fix(&stage, &relays).await;
@@ -298,7 +304,7 @@
 /// Guards against leafs that crash under tries sent to several entries at the same time.
 #[tokio::test(start_paused = true)]
 async fn concurrent_tries_stay_within_the_limit() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let relays = start_entries(&stage, 6).await;
     for round in 0..40 {
         let tries = relays.iter().enumerate().map(|(n, relay)| async move {
@@ -315,7 +321,7 @@
 /// a record of it.
 #[tokio::test(start_paused = true)]
 async fn quarantine_survives_a_restart_of_all_entries() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&stage, 6).await;
     let gap = Duration::from_millis(1300);
     send(&relays, CRASHING, gap, Duration::from_secs(10)).await;
@@ -334,7 +340,7 @@
 /// no other entry.
 #[tokio::test(start_paused = true)]
 async fn entries_that_reach_only_the_store_learn_of_quarantine() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let relays = start_entries(&stage, 6).await;
     stage.net.part(&[peers_address(5), peers_address(6)]);
     sleep(Duration::from_secs(5)).await;
@@ -349,7 +355,7 @@
 /// sent.
 #[tokio::test(start_paused = true)]
 async fn records_are_removed_when_the_quarantine_ends() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let relays = start_entries(&stage, 6).await;
     send_crashing(&relays).await;
     assert_eq!(stage.store.records(), 1);
@@ -373,7 +379,7 @@
 /// Guards against a record that is lost because the store did not answer when it was written.
 #[tokio::test(start_paused = true)]
 async fn records_are_written_once_the_store_answers_again() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let relays = start_entries(&stage, 6).await;
     stage.store.answers(Answers::Never);
     send_crashing(&relays).await;
@@ -387,7 +393,7 @@
 /// its record from the store.
 #[tokio::test(start_paused = true)]
 async fn an_operator_can_lift_a_quarantine() {
-    let stage = stage(Kind::Idempotent, search());
+    let stage = stage(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&stage, 6).await;
     send_crashing(&relays).await;
     let refused = relays[0].forward(ask("refused", CRASHING)).await;
--- a/crates/relay/tests/deadly_model.rs
+++ b/crates/relay/tests/deadly_model.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{Relay, Reply, Why};
 use chestnut_unit::{LeafId, Reason};
 use futures::future::join;
@@ -58,9 +58,9 @@
             stage.add_leafs(service, 3, 10);
         }
         let (kind, target) = match rng.random_range(0..3) {
-            0 => (Kind::Idempotent, gather(&SHARDS, 600)),
-            1 => (Kind::Idempotent, Target::One(name("archive"))),
-            _ => (Kind::Once, Target::One(name("archive"))),
+            0 => (RetrySafety::Idempotent, gather(&SHARDS, 600)),
+            1 => (RetrySafety::Idempotent, Target::One(name("archive"))),
+            _ => (RetrySafety::Once, Target::One(name("archive"))),
         };
         stage
             .store
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -7,10 +7,10 @@
     time::Duration,
 };
 
-use chestnut_book::{Kind, RouteBook, Target};
+use chestnut_book::{RetrySafety, RouteBook, Target};
 use chestnut_port::{Content, Item};
 use chestnut_relay::{Declined, Evacuations, LeafEntry, LeafState, Phase, Relay, Reply, Shift};
-use chestnut_unit::{DomainName, LeafId, Run};
+use chestnut_unit::{DomainName, Execution, LeafId};
 use futures::future::join_all;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -47,7 +47,7 @@
 /// A book with one rule, for the `archive` service.
 fn archive_book(version: u64) -> RouteBook {
     let target = Target::One(name("archive"));
-    book(version, vec![rule("/a/", Kind::Idempotent, target)])
+    book(version, vec![rule("/a/", RetrySafety::Idempotent, target)])
 }
 
 /// A stage with one `archive` leaf in each domain.
@@ -166,8 +166,8 @@
     }
     let shards = ["s1", "s2", "s3", "s4"];
     let rules = vec![
-        rule("/most/", Kind::Idempotent, gather(&shards, 750)),
-        rule("/all/", Kind::Idempotent, gather(&shards, 1000)),
+        rule("/most/", RetrySafety::Idempotent, gather(&shards, 750)),
+        rule("/all/", RetrySafety::Idempotent, gather(&shards, 1000)),
     ];
     stage.store.put_book(book(1, rules));
     let relay = stage.serving(1).await;
@@ -194,7 +194,7 @@
     let Reply::Declined(Declined { run, after, .. }) = reply else {
         panic!("{reply:?}");
     };
-    assert_eq!((*run, after.is_some()), (Run::NotRun, true));
+    assert_eq!((*run, after.is_some()), (Execution::NotRun, true));
     assert_eq!(Instant::now(), start, "the refusal was delayed");
 }
 
--- a/crates/relay/tests/feeds_model.rs
+++ b/crates/relay/tests/feeds_model.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use chestnut_book::{Kind, RouteBook, Target};
+use chestnut_book::{RetrySafety, RouteBook, Target};
 use chestnut_relay::{Relay, Reply};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,7 +30,7 @@
 fn version(number: u64) -> RouteBook {
     let prefix = format!("/v{number}/");
     let target = Target::One(name("archive"));
-    book(number, vec![rule(&prefix, Kind::Idempotent, target)])
+    book(number, vec![rule(&prefix, RetrySafety::Idempotent, target)])
 }
 
 async fn serves_version(relay: &Relay, number: u64) -> bool {
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -4,16 +4,16 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{LeafState, Reply, Why};
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use futures::future::join_all;
 use rstest::rstest;
 use tokio::time::{Instant, sleep, timeout};
 use world::{Manner, Stage, ask, book, entry, gather, missing, name, record, rule};
 
 /// A book with one rule, for the `archive` service.
-fn archive_book(kind: Kind) -> chestnut_book::RouteBook {
+fn archive_book(kind: RetrySafety) -> chestnut_book::RouteBook {
     book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
 }
 
@@ -27,7 +27,7 @@
     let target = gather(&["s1", "s2", "s3"], 900);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     let Reply::Merged {
         proofs,
@@ -57,7 +57,7 @@
     let target = gather(&shards, 750);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     let start = Instant::now();
     let reply = relay.forward(ask("r", "/q/x")).await;
@@ -77,13 +77,13 @@
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, Manner::Full);
     }
-    stage.store.put_book(archive_book(Kind::Once));
+    stage.store.put_book(archive_book(RetrySafety::Once));
     let relay = stage.serving(1).await;
     let start = Instant::now();
     let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
         panic!("not declined");
     };
-    assert_eq!(declined.run, Run::NotRun);
+    assert_eq!(declined.run, Execution::NotRun);
     assert!(declined.after.is_some());
     assert!(start.elapsed() < Duration::from_millis(50));
 }
@@ -100,12 +100,12 @@
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, manner.clone());
     }
-    stage.store.put_book(archive_book(Kind::Once));
+    stage.store.put_book(archive_book(RetrySafety::Once));
     let relay = stage.serving(1).await;
     let reply = relay.forward(ask("r", "/a/x")).await;
     assert_eq!(stage.leafs.got().len(), 1);
     match reply {
-        Reply::Declined(declined) => assert_eq!(declined.run, Run::Unknown),
+        Reply::Declined(declined) => assert_eq!(declined.run, Execution::Unknown),
         Reply::Whole(reply) => assert_eq!(reply.answer.status(), 500),
         Reply::Merged { .. } => panic!("not a gather"),
     }
@@ -119,7 +119,7 @@
     let leafs = stage.add_leafs("archive", 3, 10);
     stage.leafs.set(&leafs[0], Manner::Full);
     stage.leafs.set(&leafs[1], Manner::Full);
-    stage.store.put_book(archive_book(Kind::Once));
+    stage.store.put_book(archive_book(RetrySafety::Once));
     let relay = stage.serving(1).await;
     // Retries after refusals count against the budget, which first calls refill.
     let mut answered = 0;
@@ -138,7 +138,7 @@
 async fn hedges_for_a_silent_leaf_stay_within_the_attempts() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 3, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     for _ in 0..60 {
         relay.forward(ask("warm", "/a/x")).await;
@@ -161,7 +161,7 @@
     for leaf in stage.add_leafs("archive", 1, 10) {
         stage.leafs.set(&leaf, Manner::Silent);
     }
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     let reply = timeout(Duration::from_millis(30), relay.forward(ask("r", "/a/x"))).await;
     assert!(reply.is_err());
@@ -177,7 +177,7 @@
     for leaf in stage.add_leafs("archive", 1, 10) {
         stage.leafs.set(&leaf, Manner::Silent);
     }
-    let mut rule = rule("/a/", Kind::Idempotent, Target::One(name("archive")));
+    let mut rule = rule("/a/", RetrySafety::Idempotent, Target::One(name("archive")));
     rule.timeout = Duration::from_millis(700);
     stage.store.put_book(book(1, vec![rule]));
     let relay = stage.serving(1).await;
@@ -185,7 +185,10 @@
     let Reply::Declined(declined) = relay.forward(ask("r", "/a/x")).await else {
         panic!("answered");
     };
-    assert_eq!((declined.why, declined.run), (Why::Timeout, Run::Unknown));
+    assert_eq!(
+        (declined.why, declined.run),
+        (Why::Timeout, Execution::Unknown)
+    );
     assert!(start.elapsed() <= Duration::from_millis(701));
     assert!(stage.leafs.got()[0].left <= Duration::from_millis(700));
 }
@@ -198,7 +201,7 @@
     for leaf in stage.add_leafs("archive", 3, 10) {
         stage.leafs.set(&leaf, Manner::Loses);
     }
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     let requests = 500;
     for n in 0..requests {
@@ -222,7 +225,7 @@
     let target = Target::Split(vec![(name("old"), 70), (name("new"), 30)]);
     stage
         .store
-        .put_book(book(1, vec![rule("/a/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/a/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     for n in 0..300 {
         relay.forward(ask(&format!("r{n}"), "/a/x")).await;
@@ -245,9 +248,12 @@
     let Reply::Declined(declined) = starting.forward(ask("r", "/a/x")).await else {
         panic!("answered");
     };
-    assert_eq!((declined.why, declined.run), (Why::NotReady, Run::NotRun));
+    assert_eq!(
+        (declined.why, declined.run),
+        (Why::NotReady, Execution::NotRun)
+    );
     stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     let Reply::Declined(declined) = relay.forward(ask("r", "/b/x")).await else {
         panic!("answered");
@@ -266,7 +272,7 @@
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 3, 20);
     stage.leafs.set(&leafs[0], Manner::Full);
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     let ids: Vec<String> = (0..300).map(|n| format!("r{n}")).collect();
     for group in ids.chunks(3) {
@@ -287,7 +293,7 @@
         stage.add_leafs(shard, 2, 10);
     }
     let target = gather(&shards, 750);
-    let book = book(1, vec![rule("/q/", Kind::Idempotent, target)]);
+    let book = book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]);
     stage.store.put_book(book);
     let relay = stage.serving(1).await;
     for n in 0..40 {
@@ -323,8 +329,8 @@
 async fn hedges_of_slow_calls_meet_the_latency_objective() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 2, 220);
-    let mut slow = rule("/a/", Kind::Idempotent, Target::One(name("archive")));
-    slow.goal = Duration::from_millis(600);
+    let mut slow = rule("/a/", RetrySafety::Idempotent, Target::One(name("archive")));
+    slow.objective = Duration::from_millis(600);
     slow.timeout = Duration::from_secs(8);
     stage.store.put_book(book(1, vec![slow]));
     let relay = stage.serving(1).await;
@@ -359,12 +365,12 @@
     let target = gather(&["s1", "s2", "s3"], 900);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     let Reply::Declined(declined) = relay.forward(ask("r", "/q/x")).await else {
         panic!("answered");
     };
-    assert_eq!(declined.run, Run::NotRun);
+    assert_eq!(declined.run, Execution::NotRun);
     assert!(declined.after.is_some());
     assert_eq!(stage.leafs.got().len(), 0);
 }
@@ -375,7 +381,7 @@
 async fn draining_leafs_serve_when_no_other_leaf_can() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 2, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let relay = stage.serving(1).await;
     for leaf in &leafs {
         stage
--- a/crates/relay/tests/goals.rs
+++ b/crates/relay/tests/goals.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::Kind;
+use chestnut_book::RetrySafety;
 use chestnut_relay::{Ask, Relay, Reply};
 use tokio::time::{Instant, sleep};
 use world::{Stage, ask, book, gather, missing, rule};
@@ -33,8 +33,8 @@
         stage.add_leafs(shard, 3, FAST_MS);
     }
     stage.add_leafs(shards[3], 3, FAST_MS);
-    let mut rule = rule("/q/", Kind::Idempotent, gather(&shards, 750));
-    rule.goal = OBJECTIVE;
+    let mut rule = rule("/q/", RetrySafety::Idempotent, gather(&shards, 750));
+    rule.objective = OBJECTIVE;
     rule.timeout = timeout;
     stage.store.put_book(book(1, vec![rule]));
     let relay = stage.serving(1).await;
--- a/crates/relay/tests/large_book.rs
+++ b/crates/relay/tests/large_book.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, RouteBook, Rule, Target};
+use chestnut_book::{RetrySafety, RouteBook, Rule, Target};
 use chestnut_relay::{Relay, Reply};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,7 +24,11 @@
 const IN_FORCE: Duration = Duration::from_secs(2);
 
 fn one_rule(prefix: &str) -> Rule {
-    rule(prefix, Kind::Idempotent, Target::One(name("archive")))
+    rule(
+        prefix,
+        RetrySafety::Idempotent,
+        Target::One(name("archive")),
+    )
 }
 
 /// A version with many rules, and one that is found by the version's number.
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use chestnut_book::Kind;
+use chestnut_book::RetrySafety;
 use chestnut_relay::{Declined, Relay, Reply};
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use futures::future::join_all;
 use tokio::time::{Instant, sleep};
 use world::{Manner, Stage, ask, book, gather, missing, rule};
@@ -29,7 +29,7 @@
     let target = gather(&SHARDS, coverage);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     stage
 }
 
@@ -69,7 +69,7 @@
     for (reply, elapsed) in &replies {
         match as_declined(reply) {
             Some(declined) => {
-                assert_eq!(declined.run, Run::NotRun);
+                assert_eq!(declined.run, Execution::NotRun);
                 assert!(declined.after.is_some());
                 assert!(*elapsed <= OBJECTIVE / 2, "queued for {elapsed:?}");
             }
@@ -95,7 +95,7 @@
     send(&relay, 40, Duration::from_millis(20)).await;
     let replies = send(&relay, 200, Duration::ZERO).await;
     let at_once = replies.iter().filter(|(reply, elapsed)| {
-        let not_run = as_declined(reply).is_some_and(|declined| declined.run == Run::NotRun);
+        let not_run = as_declined(reply).is_some_and(|declined| declined.run == Execution::NotRun);
         not_run && *elapsed < Duration::from_millis(5)
     });
     assert!(at_once.count() >= 150);
@@ -135,7 +135,7 @@
     let target = gather(&SHARDS, 1000);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     stage.leafs.set(&shedding[0], Manner::Full);
@@ -166,7 +166,7 @@
     let target = gather(&SHARDS, 750);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     // 167 requests per second; each of the two shards serves 125.
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, RouteBook, Target};
+use chestnut_book::{RetrySafety, RouteBook, Target};
 use chestnut_relay::{LeafEntry, LeafState, Relay, Reply};
 use chestnut_unit::{Incarnation, LeafId};
 use futures::future::join_all;
@@ -12,7 +12,7 @@
 use world::{Manner, Stage, ask, book, entry, name, record, rule};
 
 /// A book with one rule, for the `archive` service.
-fn archive_book(kind: Kind) -> RouteBook {
+fn archive_book(kind: RetrySafety) -> RouteBook {
     book(1, vec![rule("/a/", kind, Target::One(name("archive")))])
 }
 
@@ -25,7 +25,7 @@
 }
 
 /// A stage with leafs in their first incarnation.
-async fn stage(leafs: usize, kind: Kind) -> (Stage, Vec<LeafId>, Relay) {
+async fn stage(leafs: usize, kind: RetrySafety) -> (Stage, Vec<LeafId>, Relay) {
     let stage = Stage::default();
     let ids = stage.add_leafs("archive", leafs, 10);
     for id in &ids {
@@ -58,7 +58,7 @@
 /// incarnation was evicted.
 #[tokio::test(start_paused = true)]
 async fn an_evicted_leaf_is_called_again_after_a_restart() {
-    let (stage, leafs, relay) = stage(3, Kind::Idempotent).await;
+    let (stage, leafs, relay) = stage(3, RetrySafety::Idempotent).await;
     stage.leafs.set(&leafs[0], Manner::Loses);
     for _ in 0..8 {
         calls_to(&stage, &relay, &leafs[0], 40).await;
@@ -79,7 +79,7 @@
 /// incarnation was draining.
 #[tokio::test(start_paused = true)]
 async fn a_draining_leaf_takes_requests_after_a_restart() {
-    let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
+    let (stage, leafs, relay) = stage(1, RetrySafety::Idempotent).await;
     stage
         .store
         .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Draining));
@@ -102,7 +102,7 @@
 /// previous incarnation.
 #[tokio::test(start_paused = true)]
 async fn an_earlier_incarnation_is_not_called_again() {
-    let (stage, leafs, relay) = stage(1, Kind::Idempotent).await;
+    let (stage, leafs, relay) = stage(1, RetrySafety::Idempotent).await;
     let new_address = "10.1.0.2:1".parse().unwrap();
     let restarted = LeafEntry {
         address: new_address,
@@ -125,7 +125,7 @@
 /// restarted, under the same id, during the call.
 #[tokio::test(start_paused = true)]
 async fn a_once_request_is_not_retried_on_a_restarted_leaf() {
-    let (stage, leafs, relay) = stage(1, Kind::Once).await;
+    let (stage, leafs, relay) = stage(1, RetrySafety::Once).await;
     stage
         .leafs
         .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
@@ -151,7 +151,7 @@
 /// previous incarnation, still in flight at the restart, were lost.
 #[tokio::test(start_paused = true)]
 async fn lost_calls_to_an_earlier_incarnation_do_not_affect_the_new_one() {
-    let (stage, leafs, relay) = stage(2, Kind::Idempotent).await;
+    let (stage, leafs, relay) = stage(2, RetrySafety::Idempotent).await;
     stage
         .leafs
         .set(&leafs[0], Manner::LosesAfter(Duration::from_millis(900)));
@@ -177,7 +177,7 @@
 async fn a_leaf_with_an_unreadable_entry_is_not_called() {
     let stage = Stage::default();
     let leafs = stage.add_leafs("archive", 1, 10);
-    stage.store.put_book(archive_book(Kind::Idempotent));
+    stage.store.put_book(archive_book(RetrySafety::Idempotent));
     let entries = [stage.serving(1).await, stage.serving(2).await];
     sleep(Duration::from_secs(8)).await;
     stage.store.spoil_leaf(&leafs[0]);
--- a/crates/relay/tests/regressions.rs
+++ b/crates/relay/tests/regressions.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_flow::lock;
 use chestnut_relay::{LeafState, Phase, Relay, Reply};
 use chestnut_unit::LeafId;
@@ -17,7 +17,7 @@
 
 fn one(version: u64) -> chestnut_book::RouteBook {
     let target = Target::One(name("archive"));
-    book(version, vec![rule("/a/", Kind::Idempotent, target)])
+    book(version, vec![rule("/a/", RetrySafety::Idempotent, target)])
 }
 
 /// Returns the calls that a leaf gets of many requests at once, enough that no leaf
@@ -166,7 +166,7 @@
     let relay = stage.serving(1).await;
     for version in 2..202 {
         let target = Target::One(name("archive"));
-        let mut added = rule("/a/", Kind::Idempotent, target);
+        let mut added = rule("/a/", RetrySafety::Idempotent, target);
         added.name = format!("added {version}");
         stage.store.put_book(book(version, vec![added]));
         sleep(Duration::from_secs(1)).await;
@@ -193,7 +193,7 @@
     let target = gather(&["s1", "s2"], 500);
     stage
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = stage.serving(1).await;
     sleep(Duration::from_secs(1)).await;
     let reply = relay.forward(ask("r", "/q/x")).await;
@@ -208,7 +208,7 @@
     stage.add_leafs("archive", 2, 10);
     let version = |number, prefix: &str| {
         let target = Target::One(name("archive"));
-        book(number, vec![rule(prefix, Kind::Idempotent, target)])
+        book(number, vec![rule(prefix, RetrySafety::Idempotent, target)])
     };
     stage.store.put_book(version(2, "/new/"));
     let relay = stage.serving(1).await;
--- a/crates/relay/tests/spread.rs
+++ b/crates/relay/tests/spread.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use chestnut_book::{BookDelta, BookVersion, CallerLimits, Kind, RouteBook, Rule, Target};
+use chestnut_book::{BookDelta, BookVersion, CallerLimits, RetrySafety, RouteBook, Rule, Target};
 use chestnut_port::unpack;
 use chestnut_relay::{Distance, History, Pull, Spread};
 use chestnut_unit::{ServiceName, Time};
@@ -134,10 +134,10 @@
         name: format!("rule {n}"),
         host: "league.example".to_owned(),
         prefix: format!("/{n}/"),
-        kind: Kind::Idempotent,
+        kind: RetrySafety::Idempotent,
         attempts: 2,
         timeout: Duration::from_secs(2),
-        goal: Duration::from_millis(200),
+        objective: Duration::from_millis(200),
         rank: 1,
         target: Target::One(ServiceName::new("archive").unwrap()),
     };
@@ -159,7 +159,7 @@
         let raw = history.since(BookVersion(have)).unwrap();
         assert_eq!(raw.version, BookVersion(10));
         let delta: BookDelta = unpack(&raw.delta).unwrap();
-        assert_eq!(delta.rules(), rules, "since {have}");
+        assert_eq!(delta.changed_rules(), rules, "since {have}");
         let made = delta.apply(Some(&*version(have))).unwrap();
         assert!(made.rules().eq(version(10).rules()), "since {have}");
     }
--- a/crates/relay/tests/upstream.rs
+++ b/crates/relay/tests/upstream.rs
@@ -4,7 +4,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_fleet::{Addresses, Liveness, Member};
 use chestnut_port::{Batch, Content, FeedError, Item};
 use chestnut_relay::{LeafState, Mirror, Reply, Upstream, UpstreamChoice};
@@ -327,7 +327,7 @@
 
 fn single_rule(version: u64, prefix: &str) -> chestnut_book::RouteBook {
     let target = Target::One(name("archive"));
-    book(version, vec![rule(prefix, Kind::Idempotent, target)])
+    book(version, vec![rule(prefix, RetrySafety::Idempotent, target)])
 }
 
 async fn serves(relay: &chestnut_relay::Relay, path: &'static str) -> bool {
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use chestnut_book::{
-    BookVersion, CallerLimits, ColdRule, Kind, RouteBook, Rule, ServiceRule, Target,
+    BookVersion, CallerLimits, ColdRule, RetrySafety, RouteBook, Rule, ServiceRule, Target,
 };
 use chestnut_flow::{Host, Trace, lock};
 use chestnut_port::{Clock, Message};
@@ -141,7 +141,7 @@
 /// Returns an answer of one record, which holds the service's name.
 pub fn record(service: &str) -> Bytes {
     let mut bytes = service.as_bytes().to_vec();
-    bytes.resize(chestnut_book::RECORD, b' ');
+    bytes.resize(chestnut_book::RECORD_BYTES, b' ');
     bytes.into()
 }
 
@@ -164,7 +164,7 @@
 }
 
 /// Returns a rule that sends requests under `prefix` to `target`.
-pub fn rule(prefix: &str, kind: Kind, target: Target) -> Rule {
+pub fn rule(prefix: &str, kind: RetrySafety, target: Target) -> Rule {
     Rule {
         name: format!("rule {prefix}"),
         host: HOST.to_owned(),
@@ -172,7 +172,7 @@
         kind,
         attempts: 2,
         timeout: Duration::from_secs(2),
-        goal: Duration::from_millis(200),
+        objective: Duration::from_millis(200),
         rank: 1,
         target,
     }
--- a/crates/route/benches/query.rs
+++ b/crates/route/benches/query.rs
@@ -38,7 +38,7 @@
 fn run(table: &mut Table, routes: &Arc<Routes>, rng: &mut ChaCha8Rng) -> usize {
     let mut actions = Vec::new();
     let start = Time::from_millis(10);
-    let config = QueryConfig::new(Time::from_millis(1000), Share::WHOLE);
+    let config = QueryConfig::new(Time::from_millis(1000), Share::FULL);
     let mut cx = Context {
         table,
         now: start,
--- a/crates/route/tests/extra_call_gain.rs
+++ b/crates/route/tests/extra_call_gain.rs
@@ -302,7 +302,7 @@
     };
     let config = QueryConfig {
         objective: start + OBJECTIVE,
-        ..QueryConfig::new(start + DEADLINE, Share::WHOLE)
+        ..QueryConfig::new(start + DEADLINE, Share::FULL)
     };
     let mut query: Query<()> = Query::start(routes, None, config, &mut cx);
     let calls: Vec<CallId> = cx
--- a/crates/route/tests/query_model.rs
+++ b/crates/route/tests/query_model.rs
@@ -128,7 +128,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut actions = Vec::new();
         let mut now = Time::from_millis(100);
-        let config = QueryConfig::new(Time::from_millis(400), Share::WHOLE);
+        let config = QueryConfig::new(Time::from_millis(400), Share::FULL);
         let mut model = Model::default();
         let mut cx = Context { table: &mut table, now, rng: &mut rng, actions: &mut actions };
         let mut query: Query<usize> = Query::start(routes.clone(), None, config, &mut cx);
--- a/crates/route/tests/regressions.rs
+++ b/crates/route/tests/regressions.rs
@@ -57,7 +57,7 @@
     fn start_over(mut table: Table, routes: Routes, now: Time) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut actions = Vec::new();
-        let config = QueryConfig::new(now + Duration::from_secs(1), Share::WHOLE);
+        let config = QueryConfig::new(now + Duration::from_secs(1), Share::FULL);
         let mut cx = Context {
             table: &mut table,
             now,
--- a/crates/scene/src/judge.rs
+++ b/crates/scene/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnut_tier::{Answer, Refusal};
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use serde_json::Value;
 
 /// What a caller was told.
@@ -39,7 +39,7 @@
             }
             Told::Refused(refusal) => {
                 self.refusals += 1;
-                if refusal.execution == Run::NotRun {
+                if refusal.execution == Execution::NotRun {
                     self.not_run.insert(number);
                 }
                 if refusal.receipt.is_empty() {
--- a/crates/scene/src/parse.rs
+++ b/crates/scene/src/parse.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, str::FromStr, time::Duration};
 
-use chestnut_unit::parse_span;
+use chestnut_unit::parse_duration;
 use nom::{
     IResult, Parser,
     branch::alt,
@@ -84,7 +84,7 @@
 
     /// The next bare word, as a span of time.
     pub(crate) fn span(&mut self, what: &str) -> Result<Duration, String> {
-        parse_span(&self.next(what)?).map_err(|e| e.to_string())
+        parse_duration(&self.next(what)?).map_err(|e| e.to_string())
     }
 
     /// Whether the next bare word is `word`; it is passed over if so.
@@ -109,10 +109,10 @@
         }
     }
 
-    /// The value of a key as a span of time, or `default`.
-    pub(crate) fn span_or(&mut self, key: &str, default: Duration) -> Result<Duration, String> {
+    /// The value of a key as a duration, or `unset`.
+    pub(crate) fn span_or(&mut self, key: &str, unset: Duration) -> Result<Duration, String> {
         self.pair(key)
-            .map_or(Ok(default), |v| parse_span(&v).map_err(|e| e.to_string()))
+            .map_or(Ok(unset), |v| parse_duration(&v).map_err(|e| e.to_string()))
     }
 
     /// Checks that nothing is left.
--- a/crates/scene/src/platform.rs
+++ b/crates/scene/src/platform.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use chestnut_conf::{Kind, Object, ObjectKey};
+use chestnut_conf::{Object, ObjectKey, ObjectKind};
 use chestnut_fake::Store;
 use chestnut_port::{Changes, Clock, Listing, Platform, PlatformError, Vm};
 use futures::{FutureExt, future::BoxFuture};
@@ -66,7 +66,7 @@
         .boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move {
             self.travel().await?;
             let got = lock(&self.shared.store).list(kind);
@@ -94,7 +94,7 @@
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         revision: u64,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>> {
--- a/crates/scene/src/run.rs
+++ b/crates/scene/src/run.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use chestnut_conf::{Kind, ObjectKey};
+use chestnut_conf::{ObjectKey, ObjectKind};
 use chestnut_tier::EditError;
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use slog::Logger;
 use tokio::{
     task::JoinSet,
@@ -272,7 +272,7 @@
             life.gate().await;
             let word = match tier.submit(ask).await {
                 Ok(_) => "done",
-                Err(refusal) if refusal.execution == Run::NotRun => "not_run",
+                Err(refusal) if refusal.execution == Execution::NotRun => "not_run",
                 Err(_) => "unknown",
             };
             life.gate().await;
@@ -362,7 +362,7 @@
     id: String,
 ) -> Result<chestnut_tier::EditReply, EditError> {
     let key = ObjectKey {
-        kind: Kind::Organisation,
+        kind: ObjectKind::Organisation,
         name: ORG.to_owned(),
     };
     tier.edit(key, organisation(rate), expected, id).await
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -11,11 +11,11 @@
 };
 
 use bytes::Bytes;
-use chestnut_conf::{Kind, ObjectKey, Settings};
+use chestnut_conf::{ObjectKey, ObjectKind, Settings};
 use chestnut_fake::{Store, World, layout_of};
 use chestnut_port::{Clock, PeerService, Peers};
 use chestnut_tier::{PeerBinder, Ports, QueryRequest, SpawnError, SubmitRequest, Tier};
-use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, Wall};
+use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, WallTime};
 use displaydoc::Display;
 use futures::FutureExt;
 use serde_json::json;
@@ -37,7 +37,7 @@
 /// Deadline of queries.
 const DEADLINE: Duration = Duration::from_millis(800);
 /// Wall time at which every scenario starts.
-const START: Wall = Wall(1_800_000_000_000);
+const START: WallTime = WallTime(1_800_000_000_000);
 
 /// Why a stage can't be set.
 #[derive(Debug, Display)]
@@ -353,7 +353,11 @@
         }
         drop(leafs);
         let value = serde_json::to_value(&layout).expect("plain JSON");
-        self.write(Kind::Layout, &format!("{}.{}", spec.name, version.0), value);
+        self.write(
+            ObjectKind::Layout,
+            &format!("{}.{}", spec.name, version.0),
+            value,
+        );
         self.set_versions(|versions| versions.push(version));
     }
 
@@ -369,7 +373,7 @@
     fn set_versions(&self, change: impl FnOnce(&mut Vec<IndexVersion>)) {
         let spec = &self.world.service[0];
         let key = ObjectKey {
-            kind: Kind::Service,
+            kind: ObjectKind::Service,
             name: spec.name.to_string(),
         };
         let revision = lock(&self.platform.store).peek(&key);
@@ -381,11 +385,11 @@
         };
         change(&mut service.versions);
         let value = serde_json::to_value(&service).expect("plain JSON");
-        self.write(Kind::Service, spec.name.as_str(), value);
+        self.write(ObjectKind::Service, spec.name.as_str(), value);
     }
 
     /// Writes an object as the platform itself does, whatever its faults.
-    fn write(&self, kind: Kind, name: &str, value: serde_json::Value) {
+    fn write(&self, kind: ObjectKind, name: &str, value: serde_json::Value) {
         let key = ObjectKey {
             kind,
             name: name.to_owned(),
@@ -459,7 +463,7 @@
 
     /// Refusals told so far that no record in the platform names.
     pub(crate) fn unrecorded(&self) -> usize {
-        let objects = lock(&self.platform.store).peek_all(Kind::Refusal);
+        let objects = lock(&self.platform.store).peek_all(ObjectKind::Refusal);
         let recorded: BTreeSet<String> = objects
             .iter()
             .flat_map(|object| object.value["records"].as_array().into_iter().flatten())
--- a/crates/scene/src/stage/world.rs
+++ b/crates/scene/src/stage/world.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, Ipv4Addr};
 
-use chestnut_conf::{Kind, ObjectKey, Stored};
+use chestnut_conf::{ObjectKey, ObjectKind, StoredSpec};
 use chestnut_fake::World;
 use serde_json::json;
 
@@ -59,8 +59,8 @@
         "unconfirmed": unconfirmed,
     });
     vec![
-        stored(Kind::Template, "league", template),
-        stored(Kind::Organisation, ORG, organisation(1)),
+        stored(ObjectKind::Template, "league", template),
+        stored(ObjectKind::Organisation, ORG, organisation(1)),
     ]
 }
 
@@ -72,12 +72,12 @@
     })
 }
 
-fn stored(kind: Kind, name: &str, spec: serde_json::Value) -> (ObjectKey, serde_json::Value) {
+fn stored(kind: ObjectKind, name: &str, spec: serde_json::Value) -> (ObjectKey, serde_json::Value) {
     let key = ObjectKey {
         kind,
         name: name.to_owned(),
     };
-    let stored = Stored {
+    let stored = StoredSpec {
         spec,
         edits: Vec::new(),
     };
--- a/crates/tier/src/api.rs
+++ b/crates/tier/src/api.rs
@@ -6,7 +6,8 @@
 use chestnut_fleet::Entry;
 use chestnut_once::Ticket;
 use chestnut_unit::{
-    CallType, Coverage, MemberId, OrgName, Reason, RequestId, Run, ServiceName, Snapshot, Wall,
+    CallType, Coverage, Execution, MemberId, OrgName, Reason, RequestId, ServiceName, Snapshot,
+    WallTime,
 };
 use displaydoc::Display;
 
@@ -83,7 +84,7 @@
     /// What was wrong with this request, for people to read.
     pub detail: String,
     /// Whether a target ran any part of the request.
-    pub execution: Run,
+    pub execution: Execution,
     /// Delay before a retry; `None` if a retry won't help.
     pub retry_after: Option<Duration>,
     /// Other entries to try.
@@ -105,7 +106,7 @@
     /// The ticket.
     pub ticket: Ticket,
     /// When it expires.
-    pub expiry: Wall,
+    pub expiry: WallTime,
 }
 
 /// The entries that a caller may use.
--- a/crates/tier/src/callers.rs
+++ b/crates/tier/src/callers.rs
@@ -166,9 +166,9 @@
 fn explain(tier: &Tier, text: &str) -> Reply {
     match Receipt::decode(text, &tier.shared.receipt_key) {
         Ok(receipt) => {
-            let sentence = receipt.reason.sentence();
+            let message = receipt.reason.message();
             let mut body = json!(receipt);
-            body["sentence"] = sentence.into();
+            body["sentence"] = message.into();
             web::json(StatusCode::OK, body.to_string())
         }
         Err(error) => web::error(StatusCode::NOT_FOUND, &error.to_string()),
@@ -268,7 +268,7 @@
         "refused": true,
         "receipt": refusal.receipt,
         "reason": refusal.reason,
-        "sentence": refusal.reason.sentence(),
+        "sentence": refusal.reason.message(),
         "detail": refusal.detail,
         "run": refusal.execution,
         "retry_after_ms": refusal.retry_after.map(|span| span.as_millis() as u64),
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -7,7 +7,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_conf::{Edit, Evacuation, Kind, Object, ObjectKey, Organisation, Stored, Template};
+use chestnut_conf::{
+    Edit, Evacuation, Object, ObjectKey, ObjectKind, Organisation, StoredSpec, Template,
+};
 use chestnut_port::PlatformError;
 use chestnut_unit::DomainName;
 use serde::de::DeserializeOwned;
@@ -102,7 +104,7 @@
         by: request.author.clone(),
         at: shared.host.clock.wall(),
     };
-    let next = Stored::next(stored.as_ref(), request.spec.clone(), edit);
+    let next = StoredSpec::with_edit(stored.as_ref(), request.spec.clone(), edit);
     let value = serde_json::to_value(next).expect("stored objects serialize to JSON");
     let written = shared
         .platform
@@ -135,12 +137,12 @@
     propagation::apply_and_forward(shared, vec![object], "an edit here");
 }
 
-fn parse_stored(object: &Object) -> Option<Stored> {
+fn parse_stored(object: &Object) -> Option<StoredSpec> {
     serde_json::from_value(object.value.clone()).ok()
 }
 
 /// Finds an edit by id in the history of an object.
-fn find_edit(stored: &Stored, id: &str) -> Option<EditReply> {
+fn find_edit(stored: &StoredSpec, id: &str) -> Option<EditReply> {
     stored
         .edits
         .iter()
@@ -155,26 +157,26 @@
 /// its template.
 pub(crate) fn check(shared: &Shared, request: &EditRequest) -> Result<(), EditError> {
     match request.key.kind {
-        Kind::Template => {
+        ObjectKind::Template => {
             let template: Template = parse(&request.spec)?;
             template.check().map_err(check_error)
         }
-        Kind::Organisation => {
+        ObjectKind::Organisation => {
             let org: Organisation = parse(&request.spec)?;
             let conf = lock(&shared.conf);
-            let Some((_, template)) = conf.book.template(&org.template) else {
+            let Some((_, template)) = conf.objects.template(&org.template) else {
                 let problem = format!("template: {} does not exist", org.template);
                 return Err(EditError::Invalid(problem));
             };
             org.check(&template).map_err(check_error)
         }
-        Kind::Evacuation => {
+        ObjectKind::Evacuation => {
             let _: Evacuation = parse(&request.spec)?;
             let name = DomainName::new(&request.key.name);
             name.map(drop)
                 .map_err(|error| EditError::Invalid(error.to_string()))
         }
-        kind @ (Kind::Service | Kind::Layout | Kind::Refusal) => {
+        kind @ (ObjectKind::Service | ObjectKind::Layout | ObjectKind::Refusal) => {
             let problem = format!("{kind} objects are written by the platform, not edited here");
             Err(EditError::Invalid(problem))
         }
@@ -185,6 +187,6 @@
     T::deserialize(spec).map_err(|error| EditError::Invalid(error.to_string()))
 }
 
-fn check_error(error: chestnut_conf::CheckError) -> EditError {
+fn check_error(error: chestnut_conf::ValidationError) -> EditError {
     EditError::Invalid(error.to_string())
 }
--- a/crates/tier/src/operators.rs
+++ b/crates/tier/src/operators.rs
@@ -1,7 +1,7 @@
 //! HTTP handlers for operators: metrics, health, status and edits.
 
 use chestnut_audit::{Batch, Receipt};
-use chestnut_conf::{Kind, ObjectKey, Stored};
+use chestnut_conf::{ObjectKey, ObjectKind, StoredSpec};
 use hyper::{
     Method, Request, Response, StatusCode,
     body::Incoming,
@@ -85,7 +85,7 @@
         .set(status.confirmed_ms.map_or(-1, |ms| ms as i64));
     metrics
         .digest
-        .set(lock(&shared.conf).book.digest().0 as i64);
+        .set(lock(&shared.conf).objects.digest().0 as i64);
     metrics.probe_bytes.set(status.probe_bytes as i64);
     metrics.pending_records.set(status.records_waiting as i64);
     metrics.in_flight.set(i64::from(status.in_flight));
@@ -110,8 +110,8 @@
     )
 }
 
-fn parse_kind(text: &str) -> Result<Kind, Reply> {
-    text.parse::<Kind>()
+fn parse_kind(text: &str) -> Result<ObjectKind, Reply> {
+    text.parse::<ObjectKind>()
         .map_err(|error| web::error(StatusCode::NOT_FOUND, &error))
 }
 
@@ -121,7 +121,7 @@
         Ok(kind) => kind,
         Err(reply) => return reply,
     };
-    let versions = lock(&tier.shared.conf).book.versions(kind);
+    let versions = lock(&tier.shared.conf).objects.versions(kind);
     web::json(StatusCode::OK, json!(versions).to_string())
 }
 
@@ -131,11 +131,11 @@
         Ok(kind) => kind,
         Err(reply) => return reply,
     };
-    let object = lock(&tier.shared.conf).book.get(kind, name).cloned();
+    let object = lock(&tier.shared.conf).objects.get(kind, name).cloned();
     let Some(object) = object else {
         return web::error(StatusCode::NOT_FOUND, &format!("no {kind} named {name}"));
     };
-    let body = match serde_json::from_value::<Stored>(object.value.clone()) {
+    let body = match serde_json::from_value::<StoredSpec>(object.value.clone()) {
         Ok(stored) => json!({
             "version": object.version, "spec": stored.spec, "edits": stored.edits,
         }),
@@ -233,7 +233,7 @@
         },
     };
     let mut body = json!(receipt);
-    body["sentence"] = receipt.reason.sentence().into();
+    body["sentence"] = receipt.reason.message().into();
     body["record"] = source.into();
     body["detail"] = json!(detail);
     web::json(StatusCode::OK, body.to_string())
@@ -251,7 +251,7 @@
 
 /// Searches the batches that the refusing entry wrote to the platform.
 async fn find_record(tier: &Tier, receipt: &Receipt, text: &str) -> RecordLookup {
-    let Ok(listing) = tier.shared.platform.list(Kind::Refusal).await else {
+    let Ok(listing) = tier.shared.platform.list(ObjectKind::Refusal).await else {
         return RecordLookup::Unavailable;
     };
     let prefix = format!("{}.", receipt.entry);
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -46,7 +46,7 @@
     }
 
     fn objects(&self, have: &BTreeMap<ObjectKey, u64>) -> Vec<Object> {
-        lock(&self.0.conf).book.newer_than(have)
+        lock(&self.0.conf).objects.newer_than(have)
     }
 
     fn push(&self, objects: Vec<Object>) {
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, collections::BTreeSet, sync::Arc, time::Duration};
 
-use chestnut_conf::{Kind, Service as ServiceObject};
+use chestnut_conf::{ObjectKind, Service as ServiceObject};
 use chestnut_fleet::{HolderPlan, Member};
 use chestnut_route::{Backend, BudgetId, Ix, Route, Routes};
 use chestnut_unit::{DomainName, Layout, LeafId, ServiceName};
@@ -73,7 +73,7 @@
 /// Computes the routes of every service and returns the leafs held here.
 pub(crate) fn place_all(shared: &Shared) -> HeldLeafs {
     let (services, layouts) = read_objects(shared);
-    let evacuated = lock(&shared.conf).book.evacuated();
+    let evacuated = lock(&shared.conf).objects.evacuated();
     let members: Vec<Member> = lock(&shared.swim).view.accepting_work().cloned().collect();
     let names: BTreeSet<ServiceName> = services.keys().cloned().collect();
     shared.drop_services(&names);
@@ -106,8 +106,8 @@
 fn read_objects(shared: &Shared) -> Objects {
     let conf = lock(&shared.conf);
     let mut services = BTreeMap::new();
-    for (name, held) in conf.book.list(Kind::Service) {
-        let object = serde_json::from_value::<ServiceObject>(held.value.clone());
+    for (name, stored) in conf.objects.list(ObjectKind::Service) {
+        let object = serde_json::from_value::<ServiceObject>(stored.value.clone());
         match (ServiceName::new(name), object) {
             (Ok(name), Ok(object)) if object.check().is_ok() => {
                 services.insert(name, object);
@@ -119,8 +119,8 @@
         }
     }
     let mut layouts: BTreeMap<ServiceName, Vec<Layout>> = BTreeMap::new();
-    for (name, held) in conf.book.list(Kind::Layout) {
-        match serde_json::from_value::<Layout>(held.value.clone()) {
+    for (name, stored) in conf.objects.list(ObjectKind::Layout) {
+        match serde_json::from_value::<Layout>(stored.value.clone()) {
             Ok(layout) => {
                 let service = layout.snapshot.service.clone();
                 layouts.entry(service).or_default().push(layout);
--- a/crates/tier/src/propagation.rs
+++ b/crates/tier/src/propagation.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_conf::{Applied, Kind, Object};
+use chestnut_conf::{Applied, Object, ObjectKind};
 use slog::{debug, info};
 use tokio::{sync::mpsc, time::sleep};
 
@@ -37,16 +37,16 @@
     let mut new = Vec::new();
     let mut conf = lock(&shared.conf);
     for object in objects {
-        match conf.book.apply(object.clone()) {
+        match conf.objects.apply(object.clone()) {
             Applied::New => new.push(object),
-            Applied::Old => {
+            Applied::Stale => {
                 shared.metrics.stale_objects.inc();
                 debug!(
                     shared.host.log,
                     "conf: ignored stale {} version {}", object.key, object.version
                 );
             }
-            Applied::Same => {}
+            Applied::Unchanged => {}
         }
     }
     if new.is_empty() {
@@ -58,10 +58,12 @@
         info!(shared.host.log, "conf: {} version {} in force", object.key, object.version;
             "from" => from);
     }
-    if new
-        .iter()
-        .any(|o| matches!(o.key.kind, Kind::Service | Kind::Layout | Kind::Evacuation))
-    {
+    if new.iter().any(|o| {
+        matches!(
+            o.key.kind,
+            ObjectKind::Service | ObjectKind::Layout | ObjectKind::Evacuation
+        )
+    }) {
         shared.placement_due.notify_one();
     }
     new
@@ -73,7 +75,7 @@
         sleep(FETCH_DELAY).await;
         let (digest, have) = {
             let conf = lock(&shared.conf);
-            (conf.book.digest(), conf.book.keys())
+            (conf.objects.digest(), conf.objects.keys())
         };
         if digest == peer.digest {
             continue;
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -16,7 +16,7 @@
     AdmitRequest, End, Failure, PartialReason, Query, QueryConfig, Refusal as TargetRefusal,
     Routes, Sheddable,
 };
-use chestnut_unit::{Reason, Run, Share, Time};
+use chestnut_unit::{Execution, Reason, Share, Time};
 use slog::debug;
 
 use crate::{
@@ -79,7 +79,7 @@
     };
     subject.set_versions(&policy);
     match age {
-        Some(confirmed_age) if confirmed_age <= policy.unconfirmed => Ok(EffectivePolicy {
+        Some(confirmed_age) if confirmed_age <= policy.max_unconfirmed => Ok(EffectivePolicy {
             settings: SettingsUsed {
                 template: policy.template,
                 organisation: policy.organisation,
@@ -202,13 +202,13 @@
         debug!(shared.host.log, "admit: query of {} admitted", request.service;
             "request" => subject.request.0, "why" => policy.urgency.as_str());
     }
-    let config = QueryConfig::new(deadline, policy.least);
-    let FanOut { query, run } =
+    let config = QueryConfig::new(deadline, policy.min_coverage);
+    let FanOut { query, execution } =
         fan_out(shared, &service, request, subject, config, &mut running).await?;
     drop(running);
     let coverage = query.coverage();
-    if !coverage.reaches(policy.least) {
-        return Err(coverage_refusal(&query, run));
+    if !coverage.meets(policy.min_coverage) {
+        return Err(coverage_refusal(&query, execution));
     }
     let answer = Answer {
         request_id: subject.request,
@@ -225,7 +225,7 @@
 /// executed. A later run without calls must not hide those of an earlier one.
 struct FanOut {
     query: Query<Bytes>,
-    run: Run,
+    execution: Execution,
 }
 
 /// Runs the query, and restarts it if the pinned snapshot is removed.
@@ -268,8 +268,12 @@
     }
     let query =
         best.ok_or_else(|| Cause::not_run(Reason::NoSnapshot, "no index version has a live leaf"))?;
-    let run = if none_ran { Run::NotRun } else { Run::Partial };
-    Ok(FanOut { query, run })
+    let execution = if none_ran {
+        Execution::NotRun
+    } else {
+        Execution::Partial
+    };
+    Ok(FanOut { query, execution })
 }
 
 /// Pins a snapshot with live leafs, so that all shards answer from it.
@@ -280,11 +284,11 @@
 }
 
 /// Builds the refusal of a query that is below its minimum coverage.
-fn coverage_refusal(query: &Query<Bytes>, run: Run) -> Cause {
+fn coverage_refusal(query: &Query<Bytes>, execution: Execution) -> Cause {
     let coverage = query.coverage();
     let reason = match query.end() {
         Some(End::Partial(PartialReason::Deadline)) => Reason::Deadline,
-        _ if run == Run::NotRun => Reason::TargetRefused,
+        _ if execution == Execution::NotRun => Reason::TargetRefused,
         _ => Reason::Incomplete,
     };
     let missing: Vec<&str> = coverage
@@ -300,7 +304,7 @@
         query.routes().snapshot,
         missing.join(" ")
     );
-    Cause::not_run(reason, detail).execution(run)
+    Cause::not_run(reason, detail).execution(execution)
 }
 
 /// Maximum number of missing shards listed in a refusal.
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chestnut_audit::Batch;
-use chestnut_conf::{Kind, ObjectKey};
+use chestnut_conf::{ObjectKey, ObjectKind};
 use chestnut_port::PlatformError;
 use slog::info;
 use tokio::time::sleep;
@@ -69,7 +69,7 @@
 /// that an earlier write, by this entry or by a peer, succeeded.
 async fn write(shared: &Shared, batch: &Batch) -> bool {
     let key = ObjectKey {
-        kind: Kind::Refusal,
+        kind: ObjectKind::Refusal,
         name: batch.name.clone(),
     };
     let value = serde_json::to_value(batch).expect("records are plain JSON");
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -7,7 +7,7 @@
 
 use chestnut_audit::{Receipt, Record};
 use chestnut_conf::OrgPolicy;
-use chestnut_unit::{CallType, OrgName, Reason, RequestId, Run, ServiceName};
+use chestnut_unit::{CallType, Execution, OrgName, Reason, RequestId, ServiceName};
 use rand::Rng;
 use slog::info;
 
@@ -37,7 +37,7 @@
 /// The reason of a refusal, before its receipt is made.
 pub(crate) struct RefusalCause {
     pub(crate) reason: Reason,
-    pub(crate) execution: Run,
+    pub(crate) execution: Execution,
     pub(crate) detail: String,
     /// Time after which the caller may retry.
     pub(crate) retry_after: Option<Duration>,
@@ -48,15 +48,15 @@
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
-            execution: Run::NotRun,
+            execution: Execution::NotRun,
             detail: detail.into(),
             retry_after: None,
         }
     }
 
     /// Sets how much of the request may have run.
-    pub(crate) fn execution(mut self, run: Run) -> Self {
-        self.execution = run;
+    pub(crate) fn execution(mut self, execution: Execution) -> Self {
+        self.execution = execution;
         self
     }
 
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use chestnut_conf::{ReplicaChoice, RouteSettings};
+use chestnut_conf::{ReplicaSelection, RouteSettings};
 use chestnut_flow::{Cell, State as FlowState, lock};
 use chestnut_route::{Admission, AdmitConfig, Backend, Choice, Ix, Table, TableConfig, Versions};
 use chestnut_unit::{LeafId, MemberId, ServiceName, Time};
@@ -35,9 +35,9 @@
 /// Creates a service without back ends or routes.
 pub(crate) fn new(name: ServiceName, route: &RouteSettings) -> Service {
     let choice = match route.choice {
-        ReplicaChoice::PeakEwma => Choice::PeakEwma,
-        ReplicaChoice::LeastOutstanding => Choice::LeastOutstanding,
-        ReplicaChoice::RoundRobin => Choice::RoundRobin,
+        ReplicaSelection::PeakEwma => Choice::PeakEwma,
+        ReplicaSelection::LeastOutstanding => Choice::LeastOutstanding,
+        ReplicaSelection::RoundRobin => Choice::RoundRobin,
     };
     let table = TableConfig {
         choice,
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -9,7 +9,7 @@
 };
 
 use chestnut_audit::{CheckKey, Copies, Journal, JournalConfig};
-use chestnut_conf::{Book, BookDigest, Kind, OrgPolicy, Settings};
+use chestnut_conf::{ConfigDigest, ConfigSet, ObjectKind, OrgPolicy, Settings};
 use chestnut_fleet::{Confirmation, Entry, Member, Status, Swim, SwimConfig, order_entries};
 pub(crate) use chestnut_flow::lock;
 use chestnut_flow::{Host, Trace};
@@ -41,9 +41,9 @@
 /// The configuration in force and the time of its last confirmation.
 #[derive(Default)]
 pub(crate) struct Conf {
-    pub(crate) book: Book,
+    pub(crate) objects: ConfigSet,
     pub(crate) confirmation: Confirmation,
-    read: BTreeMap<Kind, KindRead>,
+    read: BTreeMap<ObjectKind, KindRead>,
     policies: BTreeMap<OrgName, Option<Arc<OrgPolicy>>>,
 }
 
@@ -53,7 +53,7 @@
         if let Some(policy) = self.policies.get(org) {
             return policy.clone();
         }
-        let policy = self.book.policy(org).map(Arc::new);
+        let policy = self.objects.policy(org).map(Arc::new);
         // Unknown names aren't cached: callers could grow the map without
         // bound.
         if policy.is_some() {
@@ -66,13 +66,14 @@
     /// `asked`. Settings are confirmed as of the older read of the two kinds
     /// that operators edit. A revision older than one already seen comes from a
     /// stale copy and confirms nothing.
-    pub(crate) fn record_read(&mut self, kind: Kind, revision: u64, asked: Time) {
+    pub(crate) fn record_read(&mut self, kind: ObjectKind, revision: u64, asked: Time) {
         let last = self.read.get(&kind).map_or(0, |read| read.revision);
         if revision < last {
             return;
         }
         self.read.insert(kind, KindRead { revision, asked });
-        let both = [Kind::Template, Kind::Organisation].map(|kind| self.read.get(&kind));
+        let both =
+            [ObjectKind::Template, ObjectKind::Organisation].map(|kind| self.read.get(&kind));
         if let [Some(templates), Some(organisations)] = both {
             self.confirmation
                 .platform_synced(templates.asked.min(organisations.asked));
@@ -101,7 +102,7 @@
 /// A peer whose configuration digest differs from that of this entry.
 pub(crate) struct DivergentPeer {
     pub(crate) peer: std::net::SocketAddr,
-    pub(crate) digest: BookDigest,
+    pub(crate) digest: ConfigDigest,
 }
 
 /// Replies of the submissions that are being dispatched, by ticket; repeats of
@@ -278,7 +279,7 @@
         let now = self.now();
         let conf = lock(&self.conf);
         Status {
-            digest: conf.book.digest(),
+            digest: conf.objects.digest(),
             confirmed: conf.confirmation.age(now),
             load: self.in_flight.load(Ordering::Relaxed),
             ..Status::default()
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use chestnut_conf::Kind;
+use chestnut_conf::ObjectKind;
 use chestnut_fleet::{Addresses, Member};
 use chestnut_port::Vm;
 use chestnut_unit::{Incarnation, MemberId};
@@ -56,7 +56,7 @@
 /// if a list failed.
 pub(crate) async fn list_objects(shared: &Arc<Shared>) -> Option<Vec<u64>> {
     let mut revisions = Vec::new();
-    for kind in Kind::SPREAD {
+    for kind in ObjectKind::REPLICATED {
         // A list is only known to be current as of its request.
         let requested = shared.now();
         let listing = shared.platform.list(kind).await.ok()?;
@@ -125,7 +125,7 @@
         };
         lock(&shared.swim).merge_members(&members, shared.now());
         gossip::apply_member_changes(shared);
-        let versions = lock(&shared.conf).book.keys();
+        let versions = lock(&shared.conf).objects.keys();
         if let Ok(objects) = shared.peers().objects(address, versions).await {
             propagation::apply_and_forward(shared, objects, "a peer at start");
         }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use chestnut_conf::{Kind, Versions};
+use chestnut_conf::{ObjectKind, Versions};
 use chestnut_fleet::Liveness;
 use chestnut_route::Backend;
 use chestnut_route::Class;
@@ -83,8 +83,8 @@
         let conf = lock(&shared.conf);
         (
             conf.confirmation.age(now),
-            conf.book.versions(Kind::Template),
-            conf.book.versions(Kind::Organisation),
+            conf.objects.versions(ObjectKind::Template),
+            conf.objects.versions(ObjectKind::Organisation),
         )
     };
     let members = members(shared);
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -14,7 +14,7 @@
 use chestnut_route::{
     Attempt, Ended, Failure, Ix, NotRun, Refusal as TargetRefusal, Routes, choose_replica,
 };
-use chestnut_unit::{Reason, RequestId, Run, Time};
+use chestnut_unit::{Execution, Reason, RequestId, Time};
 use rand::Rng;
 use slog::debug;
 use tokio::{sync::watch, time::timeout};
@@ -87,7 +87,7 @@
         }
         SubmitReply::NotRun(reason) => RefusalCause::not_run(reason, "not run, and not to be run"),
         SubmitReply::Unknown(reason) => {
-            RefusalCause::not_run(reason, "it is not sent again").execution(Run::Unknown)
+            RefusalCause::not_run(reason, "it is not sent again").execution(Execution::Unknown)
         }
     };
     Err(refuse(shared, &subject, cause))
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_conf::Kind;
+use chestnut_conf::ObjectKind;
 use chestnut_fleet::choose_watchers;
 use chestnut_port::PlatformError;
 use chestnut_unit::Time;
@@ -60,7 +60,7 @@
     let Some(revisions) = startup::list_objects(shared).await else {
         return;
     };
-    let watches = Kind::SPREAD
+    let watches = ObjectKind::REPLICATED
         .into_iter()
         .zip(revisions)
         .map(|(kind, revision)| watch_kind(shared.clone(), kind, revision));
@@ -75,7 +75,7 @@
 }
 
 /// Watches one kind of object until the platform fails.
-async fn watch_kind(shared: Arc<Shared>, kind: Kind, mut revision: u64) {
+async fn watch_kind(shared: Arc<Shared>, kind: ObjectKind, mut revision: u64) {
     loop {
         let asked = shared.now();
         let wait = shared.settings.platform.watch;
--- a/crates/unit/src/coverage.rs
+++ b/crates/unit/src/coverage.rs
@@ -53,7 +53,7 @@
     /// Returns whether the answer covers at least the share `minimum` of the
     /// requested shards. False if none was requested.
     #[must_use]
-    pub fn reaches(&self, minimum: Share) -> bool {
+    pub fn meets(&self, minimum: Share) -> bool {
         self.asked > 0 && self.answered as f64 >= minimum.as_f64() * self.asked as f64
     }
 }
--- a/crates/unit/src/lib.rs
+++ b/crates/unit/src/lib.rs
@@ -30,9 +30,9 @@
     ServiceName, ShardName, TemplateName,
 };
 pub use lock::lock;
-pub use reason::{Reason, Run};
-pub use share::{Share, ShareError};
-pub use size::{ByteSize, CallRate, Rate, UnitError, parse_span};
+pub use reason::{Execution, Reason};
+pub use share::{ParseShareError, Share};
+pub use size::{ByteSize, CallRate, ParseUnitError, Rate, parse_duration};
 pub use snapshot::{IndexVersion, Layout, LayoutShard, Snapshot};
-pub use time::{Time, Wall};
+pub use time::{Time, WallTime};
 pub use urgency::Urgency;
--- a/crates/unit/src/reason.rs
+++ b/crates/unit/src/reason.rs
@@ -39,7 +39,7 @@
 
             /// Returns a message for the person who reads the refusal.
             #[must_use]
-            pub fn sentence(self) -> &'static str {
+            pub fn message(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
         }
@@ -110,7 +110,7 @@
 /// Whether any of the refused work may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Run {
+pub enum Execution {
     /// No target ran any of it.
     NotRun,
     /// A target may have run it.
@@ -119,7 +119,7 @@
     Partial,
 }
 
-impl Run {
+impl Execution {
     /// Returns the name used in answers and records.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -131,7 +131,7 @@
     }
 }
 
-impl fmt::Display for Run {
+impl fmt::Display for Execution {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
--- a/crates/unit/src/share.rs
+++ b/crates/unit/src/share.rs
@@ -11,19 +11,19 @@
 
 /// {0:?} is not a share such as 97.5%
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub struct ShareError(String);
+pub struct ParseShareError(String);
 
-impl std::error::Error for ShareError {}
+impl std::error::Error for ParseShareError {}
 
 impl Share {
     /// 100%.
-    pub const WHOLE: Share = Share(1000);
+    pub const FULL: Share = Share(1000);
 
     /// Makes a share of `permille` thousandths, capped at 100%.
     #[must_use]
     pub const fn from_permille(permille: u16) -> Self {
         if permille > 1000 {
-            return Self::WHOLE;
+            return Self::FULL;
         }
         Self(permille)
     }
@@ -36,10 +36,10 @@
 }
 
 impl FromStr for Share {
-    type Err = ShareError;
+    type Err = ParseShareError;
 
-    fn from_str(text: &str) -> Result<Self, ShareError> {
-        let fail = || ShareError(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, ParseShareError> {
+        let fail = || ParseShareError(text.to_owned());
         let number = text.strip_suffix('%').ok_or_else(fail)?;
         let percent: f64 = number.parse().map_err(|_| fail())?;
         if !(0.0..=100.0).contains(&percent) {
--- a/crates/unit/src/size.rs
+++ b/crates/unit/src/size.rs
@@ -7,16 +7,16 @@
 
 /// {text:?} is not {want}
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub struct UnitError {
+pub struct ParseUnitError {
     text: String,
     want: &'static str,
 }
 
-impl std::error::Error for UnitError {}
+impl std::error::Error for ParseUnitError {}
 
 /// Splits `text` into an integer and a unit.
-fn split_unit(text: &str, want: &'static str) -> Result<(u64, String), UnitError> {
-    let fail = || UnitError {
+fn split_unit(text: &str, want: &'static str) -> Result<(u64, String), ParseUnitError> {
+    let fail = || ParseUnitError {
         text: text.to_owned(),
         want,
     };
@@ -34,9 +34,9 @@
 const SIZE_FORMAT: &str = "a size such as 512B, 64KiB or 1MiB";
 
 impl FromStr for ByteSize {
-    type Err = UnitError;
+    type Err = ParseUnitError;
 
-    fn from_str(text: &str) -> Result<Self, UnitError> {
+    fn from_str(text: &str) -> Result<Self, ParseUnitError> {
         let (number, unit) = split_unit(text, SIZE_FORMAT)?;
         let factor: u64 = match unit.as_str() {
             "B" => 1,
@@ -47,7 +47,7 @@
         };
         match number.checked_mul(factor) {
             Some(bytes) if factor > 0 => Ok(Self(bytes)),
-            _ => Err(UnitError {
+            _ => Err(ParseUnitError {
                 text: text.to_owned(),
                 want: SIZE_FORMAT,
             }),
@@ -71,13 +71,13 @@
 pub struct Rate(pub u64);
 
 impl FromStr for Rate {
-    type Err = UnitError;
+    type Err = ParseUnitError;
 
-    fn from_str(text: &str) -> Result<Self, UnitError> {
+    fn from_str(text: &str) -> Result<Self, ParseUnitError> {
         const FORMAT: &str = "a rate such as 510/s";
         match split_unit(text, FORMAT)? {
             (number, unit) if unit == "/s" => Ok(Self(number)),
-            _ => Err(UnitError {
+            _ => Err(ParseUnitError {
                 text: text.to_owned(),
                 want: FORMAT,
             }),
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// The text is not an integer with one of these units, or the value overflows.
-pub fn parse_span(text: &str) -> Result<Duration, UnitError> {
+pub fn parse_duration(text: &str) -> Result<Duration, ParseUnitError> {
     const FORMAT: &str = "a duration such as 52ms, 18s, 5m or 1h";
     let (number, unit) = split_unit(text, FORMAT)?;
     let factor: u64 = match unit.as_str() {
@@ -108,7 +108,7 @@
     };
     match number.checked_mul(factor) {
         Some(ms) if factor > 0 => Ok(Duration::from_millis(ms)),
-        _ => Err(UnitError {
+        _ => Err(ParseUnitError {
             text: text.to_owned(),
             want: FORMAT,
         }),
@@ -160,12 +160,12 @@
 }
 
 impl FromStr for CallRate {
-    type Err = UnitError;
+    type Err = ParseUnitError;
 
-    fn from_str(text: &str) -> Result<Self, UnitError> {
+    fn from_str(text: &str) -> Result<Self, ParseUnitError> {
         let calls = text.strip_suffix("/s").and_then(|calls| calls.parse().ok());
         let calls = calls.filter(|calls: &f64| calls.is_finite() && *calls >= 0.0);
-        calls.map(Self::per_second).ok_or_else(|| UnitError {
+        calls.map(Self::per_second).ok_or_else(|| ParseUnitError {
             text: text.to_owned(),
             want: CALL_FORMAT,
         })
--- a/crates/unit/src/time.rs
+++ b/crates/unit/src/time.rs
@@ -68,26 +68,26 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Wall(pub u64);
+pub struct WallTime(pub u64);
 
-impl Wall {
+impl WallTime {
     /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
-    pub fn since(self, earlier: Wall) -> Duration {
+    pub fn since(self, earlier: WallTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Duration> for Wall {
-    type Output = Wall;
+impl Add<Duration> for WallTime {
+    type Output = WallTime;
 
-    fn add(self, duration: Duration) -> Wall {
+    fn add(self, duration: Duration) -> WallTime {
         let ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
-        Wall(self.0.saturating_add(ms))
+        WallTime(self.0.saturating_add(ms))
     }
 }
 
-impl fmt::Display for Wall {
+impl fmt::Display for WallTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}ms", self.0)
     }
