--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnut_conf::{Kind, Object, ObjectKey};
+use chestnut_conf::{Object, ObjectKey, ObjectKind};
 use chestnut_port::{Changes, Listing, PlatformError, Vm};
 use chestnut_unit::Time;
 use serde::{Deserialize, Serialize};
@@ -114,7 +114,7 @@
 
     /// Returns the latest version of every object of a kind, ignoring faults.
     #[must_use]
-    pub fn peek_all(&self, kind: Kind) -> Vec<Object> {
+    pub fn peek_all(&self, kind: ObjectKind) -> Vec<Object> {
         self.latest_all(kind, self.revision())
     }
 
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// The platform is down.
-    pub fn list(&mut self, kind: Kind) -> Result<Listing, PlatformError> {
+    pub fn list(&mut self, kind: ObjectKind) -> Result<Listing, PlatformError> {
         self.counts.lists += 1;
         self.check_up()?;
         let revision = self.visible_revision();
@@ -149,7 +149,7 @@
     /// # Errors
     ///
     /// The platform is down.
-    pub fn changes(&self, kind: Kind, revision: u64) -> Result<Changes, PlatformError> {
+    pub fn changes(&self, kind: ObjectKind, revision: u64) -> Result<Changes, PlatformError> {
         self.check_up()?;
         let until = self.visible_revision();
         let from = revision.min(until) as usize;
@@ -208,7 +208,7 @@
     }
 
     /// Returns the objects of a kind as of `revision`.
-    fn latest_all(&self, kind: Kind, revision: u64) -> Vec<Object> {
+    fn latest_all(&self, kind: ObjectKind, revision: u64) -> Vec<Object> {
         let mut latest: BTreeMap<&ObjectKey, &Object> = BTreeMap::new();
         for object in &self.history[..revision as usize] {
             if object.key.kind == kind {
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -7,13 +7,13 @@
 //!
 //! ```
 //! use chestnut_once::{Claim, RegistryConfig, TicketRegistry};
-//! use chestnut_unit::{Incarnation, MemberId, Wall};
+//! use chestnut_unit::{Incarnation, MemberId, WallTime};
 //!
 //! let member = MemberId::new("dub-a-1").unwrap();
 //! let mut registry = TicketRegistry::new(member, Incarnation(7), RegistryConfig::default());
-//! let ticket = registry.mint([1; 16], Wall(0)).unwrap();
-//! assert_eq!(registry.claim(&ticket, 99, Wall(1)), Claim::Run);
-//! assert_eq!(registry.claim(&ticket, 99, Wall(2)), Claim::Join);
+//! let ticket = registry.mint([1; 16], WallTime(0)).unwrap();
+//! assert_eq!(registry.claim(&ticket, 99, WallTime(1)), Claim::Run);
+//! assert_eq!(registry.claim(&ticket, 99, WallTime(2)), Claim::Join);
 //! ```
 
 #![warn(clippy::unwrap_used)]
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use chestnut_book::{Rule, Target, Turns};
+use chestnut_book::{RoundRobin, Rule, Target};
 use chestnut_flow::QueueId;
 use chestnut_route::{
     Backend, Budget, BudgetId, Class, ExtraBudget, Ix, Route, Routes, Timeliness,
@@ -43,7 +43,7 @@
     now: Time,
 ) -> Plan {
     let class = class_of(state, rule);
-    state.table.set_objective(class, rule.goal);
+    state.table.set_objective(class, rule.objective);
     let (send_by, timeliness) = send_by(state, rule, class, remaining, now);
     let services = match &rule.target {
         Target::One(service) => vec![service.clone()],
@@ -89,18 +89,18 @@
     let median = state.table.profile(class).calls.median();
     let relay_state = &mut state.extra;
     let Some(kept) = relay_state.rules.get_mut(&rule.name) else {
-        return (rule.goal, Timeliness::InTime);
+        return (rule.objective, Timeliness::InTime);
     };
     let overhead =
         relay_state
             .caller_delays
             .overhead(&mut kept.max_remaining, remaining, rule.timeout, now);
     let send_by = rule
-        .goal
+        .objective
         .saturating_sub(overhead + relay_state.transmission_delay(rule));
     match send_by > median {
         true => (send_by, Timeliness::InTime),
-        false => (rule.goal, Timeliness::Late),
+        false => (rule.objective, Timeliness::Late),
     }
 }
 
@@ -117,10 +117,10 @@
         None if state.table.classes() < MAX_CLASSES => state.table.add_class(),
         None => Class::default(),
     };
-    let turns = Turns::default();
+    let round_robin = RoundRobin::default();
     let kept = RuleState {
         class,
-        turns,
+        round_robin,
         max_remaining: MaxRemaining::default(),
     };
     state.extra.rules.insert(rule.name.clone(), kept);
@@ -136,7 +136,7 @@
 ) -> ServiceName {
     let weights: Vec<u32> = parts.iter().map(|(_, weight)| *weight).collect();
     let kept = state.extra.rules.get_mut(&rule.name);
-    let at = kept.and_then(|kept| kept.turns.next(&weights, draw));
+    let at = kept.and_then(|kept| kept.round_robin.next(&weights, draw));
     parts[at.unwrap_or(0)].0.clone()
 }
 
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{DeclineReason, LeafState, Reply};
 use chestnut_unit::Run;
 use futures::future::join_all;
@@ -15,7 +15,7 @@
 };
 
 /// A book with one rule, for the `archive` service.
-fn archive_book(kind: Kind) -> chestnut_book::RouteBook {
+fn archive_book(kind: RetrySafety) -> chestnut_book::RouteBook {
     book(
         1,
         vec![rule("/a/", kind, Target::One(service_name("archive")))],
@@ -32,7 +32,7 @@
     let target = gather(&["s1", "s2", "s3"], 900);
     cluster
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = cluster.serving(1).await;
     let Reply::Merged {
         signatures,
@@ -62,7 +62,7 @@
     let target = gather(&shards, 750);
     cluster
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = cluster.serving(1).await;
     let start = Instant::now();
     let reply = relay.forward(request("r", "/q/x")).await;
@@ -82,13 +82,13 @@
     for leaf in cluster.add_leafs("archive", 3, 10) {
         cluster.leafs.set_behaviour(&leaf, Behaviour::Sheds);
     }
-    cluster.store.put_book(archive_book(Kind::Once));
+    cluster.store.put_book(archive_book(RetrySafety::Once));
     let relay = cluster.serving(1).await;
     let start = Instant::now();
     let Reply::Declined(declined) = relay.forward(request("r", "/a/x")).await else {
         panic!("not declined");
     };
-    assert_eq!(declined.run, Run::NotRun);
+    assert_eq!(declined.run, Execution::NotRun);
     assert!(declined.retry_after.is_some());
     assert!(start.elapsed() < Duration::from_millis(50));
 }
@@ -105,12 +105,12 @@
     for leaf in cluster.add_leafs("archive", 3, 10) {
         cluster.leafs.set_behaviour(&leaf, behaviour.clone());
     }
-    cluster.store.put_book(archive_book(Kind::Once));
+    cluster.store.put_book(archive_book(RetrySafety::Once));
     let relay = cluster.serving(1).await;
     let reply = relay.forward(request("r", "/a/x")).await;
     assert_eq!(cluster.leafs.received_calls().len(), 1);
     match reply {
-        Reply::Declined(declined) => assert_eq!(declined.run, Run::Unknown),
+        Reply::Declined(declined) => assert_eq!(declined.run, Execution::Unknown),
         Reply::Whole(reply) => assert_eq!(reply.answer.status(), 500),
         Reply::Merged { .. } => panic!("not a gather"),
     }
@@ -124,7 +124,7 @@
     let leafs = cluster.add_leafs("archive", 3, 10);
     cluster.leafs.set_behaviour(&leafs[0], Behaviour::Sheds);
     cluster.leafs.set_behaviour(&leafs[1], Behaviour::Sheds);
-    cluster.store.put_book(archive_book(Kind::Once));
+    cluster.store.put_book(archive_book(RetrySafety::Once));
     let relay = cluster.serving(1).await;
     // Retries after refusals count against the budget, which first calls refill.
     let mut answered = 0;
@@ -143,7 +143,9 @@
 async fn hedges_for_a_silent_leaf_stay_within_the_attempts() {
     let cluster = Cluster::default();
     let leafs = cluster.add_leafs("archive", 3, 10);
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     for _ in 0..60 {
         relay.forward(request("warm", "/a/x")).await;
@@ -172,7 +174,9 @@
     for leaf in cluster.add_leafs("archive", 1, 10) {
         cluster.leafs.set_behaviour(&leaf, Behaviour::Unresponsive);
     }
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     let reply = timeout(
         Duration::from_millis(30),
@@ -194,7 +198,7 @@
     }
     let mut rule = rule(
         "/a/",
-        Kind::Idempotent,
+        RetrySafety::Idempotent,
         Target::One(service_name("archive")),
     );
     rule.timeout = Duration::from_millis(700);
@@ -206,7 +210,7 @@
     };
     assert_eq!(
         (declined.reason, declined.run),
-        (DeclineReason::Timeout, Run::Unknown)
+        (DeclineReason::Timeout, Execution::Unknown)
     );
     assert!(start.elapsed() <= Duration::from_millis(701));
     assert!(cluster.leafs.received_calls()[0].left <= Duration::from_millis(700));
@@ -222,7 +226,9 @@
             .leafs
             .set_behaviour(&leaf, Behaviour::DropsConnection);
     }
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     let requests = 500;
     for n in 0..requests {
@@ -246,7 +252,7 @@
     let target = Target::Split(vec![(service_name("old"), 70), (service_name("new"), 30)]);
     cluster
         .store
-        .put_book(book(1, vec![rule("/a/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/a/", RetrySafety::Idempotent, target)]));
     let relay = cluster.serving(1).await;
     for n in 0..300 {
         relay.forward(request(&format!("r{n}"), "/a/x")).await;
@@ -271,10 +277,12 @@
     };
     assert_eq!(
         (declined.reason, declined.run),
-        (DeclineReason::NotReady, Run::NotRun)
+        (DeclineReason::NotReady, Execution::NotRun)
     );
     cluster.add_leafs("archive", 1, 10);
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     let Reply::Declined(declined) = relay.forward(request("r", "/b/x")).await else {
         panic!("answered");
@@ -293,7 +301,9 @@
     let cluster = Cluster::default();
     let leafs = cluster.add_leafs("archive", 3, 20);
     cluster.leafs.set_behaviour(&leafs[0], Behaviour::Sheds);
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     let ids: Vec<String> = (0..300).map(|n| format!("r{n}")).collect();
     for group in ids.chunks(3) {
@@ -314,7 +324,7 @@
         cluster.add_leafs(shard, 2, 10);
     }
     let target = gather(&shards, 750);
-    let book = book(1, vec![rule("/q/", Kind::Idempotent, target)]);
+    let book = book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]);
     cluster.store.put_book(book);
     let relay = cluster.serving(1).await;
     for n in 0..40 {
@@ -357,7 +367,7 @@
     let leafs = cluster.add_leafs("archive", 2, 220);
     let mut slow = rule(
         "/a/",
-        Kind::Idempotent,
+        RetrySafety::Idempotent,
         Target::One(service_name("archive")),
     );
     slow.goal = Duration::from_millis(600);
@@ -397,12 +407,12 @@
     let target = gather(&["s1", "s2", "s3"], 900);
     cluster
         .store
-        .put_book(book(1, vec![rule("/q/", Kind::Idempotent, target)]));
+        .put_book(book(1, vec![rule("/q/", RetrySafety::Idempotent, target)]));
     let relay = cluster.serving(1).await;
     let Reply::Declined(declined) = relay.forward(request("r", "/q/x")).await else {
         panic!("answered");
     };
-    assert_eq!(declined.run, Run::NotRun);
+    assert_eq!(declined.run, Execution::NotRun);
     assert!(declined.retry_after.is_some());
     assert_eq!(cluster.leafs.received_calls().len(), 0);
 }
@@ -413,7 +423,9 @@
 async fn draining_leafs_serve_when_no_other_leaf_can() {
     let cluster = Cluster::default();
     let leafs = cluster.add_leafs("archive", 2, 10);
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let relay = cluster.serving(1).await;
     for leaf in &leafs {
         cluster
--- a/crates/relay/tests/large_book.rs
+++ b/crates/relay/tests/large_book.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, RouteBook, Rule, Target};
+use chestnut_book::{RetrySafety, RouteBook, Rule, Target};
 use chestnut_relay::{Relay, Reply};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +26,7 @@
 fn one_rule(prefix: &str) -> Rule {
     rule(
         prefix,
-        Kind::Idempotent,
+        RetrySafety::Idempotent,
         Target::One(service_name("archive")),
     )
 }
--- a/crates/relay/tests/leaf_restart.rs
+++ b/crates/relay/tests/leaf_restart.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::{Kind, RouteBook, Target};
+use chestnut_book::{RetrySafety, RouteBook, Target};
 use chestnut_relay::{LeafRegistration, LeafState, Relay, Reply};
 use chestnut_unit::{Incarnation, LeafId};
 use futures::future::join_all;
@@ -12,7 +12,7 @@
 use world::{Behaviour, Cluster, book, leaf_entry, record, request, rule, service_name};
 
 /// A book with one rule, for the `archive` service.
-fn archive_book(kind: Kind) -> RouteBook {
+fn archive_book(kind: RetrySafety) -> RouteBook {
     book(
         1,
         vec![rule("/a/", kind, Target::One(service_name("archive")))],
@@ -28,7 +28,7 @@
 }
 
 /// A cluster with leafs in their first incarnation.
-async fn cluster(leafs: usize, kind: Kind) -> (Cluster, Vec<LeafId>, Relay) {
+async fn cluster(leafs: usize, kind: RetrySafety) -> (Cluster, Vec<LeafId>, Relay) {
     let cluster = Cluster::default();
     let ids = cluster.add_leafs("archive", leafs, 10);
     for id in &ids {
@@ -66,7 +66,7 @@
 /// incarnation was evicted.
 #[tokio::test(start_paused = true)]
 async fn an_evicted_leaf_is_called_again_after_a_restart() {
-    let (cluster, leafs, relay) = cluster(3, Kind::Idempotent).await;
+    let (cluster, leafs, relay) = cluster(3, RetrySafety::Idempotent).await;
     cluster
         .leafs
         .set_behaviour(&leafs[0], Behaviour::DropsConnection);
@@ -89,7 +89,7 @@
 /// incarnation was draining.
 #[tokio::test(start_paused = true)]
 async fn a_draining_leaf_takes_requests_after_a_restart() {
-    let (cluster, leafs, relay) = cluster(1, Kind::Idempotent).await;
+    let (cluster, leafs, relay) = cluster(1, RetrySafety::Idempotent).await;
     cluster
         .store
         .put_leaf(&leafs[0], incarnation_entry(1, LeafState::Draining));
@@ -112,7 +112,7 @@
 /// previous incarnation.
 #[tokio::test(start_paused = true)]
 async fn an_earlier_incarnation_is_not_called_again() {
-    let (cluster, leafs, relay) = cluster(1, Kind::Idempotent).await;
+    let (cluster, leafs, relay) = cluster(1, RetrySafety::Idempotent).await;
     let new_address = "10.1.0.2:1".parse().unwrap();
     let restarted = LeafRegistration {
         address: new_address,
@@ -139,7 +139,7 @@
 /// restarted, under the same id, during the call.
 #[tokio::test(start_paused = true)]
 async fn a_once_request_is_not_retried_on_a_restarted_leaf() {
-    let (cluster, leafs, relay) = cluster(1, Kind::Once).await;
+    let (cluster, leafs, relay) = cluster(1, RetrySafety::Once).await;
     cluster.leafs.set_behaviour(
         &leafs[0],
         Behaviour::DropsConnectionAfter(Duration::from_millis(900)),
@@ -166,7 +166,7 @@
 /// previous incarnation, still in flight at the restart, were lost.
 #[tokio::test(start_paused = true)]
 async fn lost_calls_to_an_earlier_incarnation_do_not_affect_the_new_one() {
-    let (cluster, leafs, relay) = cluster(2, Kind::Idempotent).await;
+    let (cluster, leafs, relay) = cluster(2, RetrySafety::Idempotent).await;
     cluster.leafs.set_behaviour(
         &leafs[0],
         Behaviour::DropsConnectionAfter(Duration::from_millis(900)),
@@ -193,7 +193,9 @@
 async fn a_leaf_with_an_unreadable_entry_is_not_called() {
     let cluster = Cluster::default();
     let leafs = cluster.add_leafs("archive", 1, 10);
-    cluster.store.put_book(archive_book(Kind::Idempotent));
+    cluster
+        .store
+        .put_book(archive_book(RetrySafety::Idempotent));
     let entries = [cluster.serving(1).await, cluster.serving(2).await];
     sleep(Duration::from_secs(8)).await;
     cluster.store.corrupt_leaf(&leafs[0]);
--- a/crates/relay/tests/objectives.rs
+++ b/crates/relay/tests/objectives.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use chestnut_book::Kind;
+use chestnut_book::RetrySafety;
 use chestnut_relay::{Relay, RelayRequest, Reply};
 use tokio::time::{Instant, sleep};
 use world::{Cluster, book, gather, missing, request, rule};
@@ -33,8 +33,8 @@
         cluster.add_leafs(shard, 3, FAST_MS);
     }
     cluster.add_leafs(shards[3], 3, FAST_MS);
-    let mut rule = rule("/q/", Kind::Idempotent, gather(&shards, 750));
-    rule.goal = OBJECTIVE;
+    let mut rule = rule("/q/", RetrySafety::Idempotent, gather(&shards, 750));
+    rule.objective = OBJECTIVE;
     rule.timeout = timeout;
     cluster.store.put_book(book(1, vec![rule]));
     let relay = cluster.serving(1).await;
--- a/crates/relay/tests/quarantine.rs
+++ b/crates/relay/tests/quarantine.rs
@@ -4,9 +4,9 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use chestnut_book::{Kind, Target};
+use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{DeclineReason, Declined, Relay, Reply};
-use chestnut_unit::{LeafId, Reason, Run};
+use chestnut_unit::{Execution, LeafId, Reason};
 use futures::future::{join, join_all};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
@@ -27,7 +27,7 @@
 }
 
 /// A cluster with three leafs of each service and one rule, for `target`.
-fn cluster(kind: Kind, target: Target) -> Cluster {
+fn cluster(kind: RetrySafety, target: Target) -> Cluster {
     let cluster = Cluster {
         domains: 3,
         seeds: vec![1, 2, 3],
@@ -68,12 +68,12 @@
 /// Guards against a repeated request that crashes leafs at each try, because entries forget it
 /// after a try or don't share what they know of it.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
-#[case::once(Kind::Once, Target::One(service_name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(service_name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
 async fn requests_that_crash_leafs_are_no_longer_forwarded(
-    #[case] kind: Kind,
+    #[case] kind: RetrySafety,
     #[case] target: Target,
 ) {
     let cluster = cluster(kind, target);
@@ -131,7 +131,7 @@
         self.refused = self.refused.max(refused);
         match declined(reply) {
             None => self.served += 1,
-            Some(declined) if declined.run == Run::NotRun => self.not_run.push(id),
+            Some(declined) if declined.run == Execution::NotRun => self.not_run.push(id),
             Some(_) => self.failed += 1,
         }
     }
@@ -185,11 +185,14 @@
 /// Guards against a quarantine of other requests whose calls were running on the leafs that
 /// the crashing request took down.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
-#[case::once(Kind::Once, Target::One(service_name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(service_name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
-async fn other_requests_on_crashing_leafs_are_served(#[case] kind: Kind, #[case] target: Target) {
+async fn other_requests_on_crashing_leafs_are_served(
+    #[case] kind: RetrySafety,
+    #[case] target: Target,
+) {
     let cluster = cluster(kind, target);
     let relays = start_entries(&cluster, 6).await;
     let (gap, span) = (Duration::from_millis(1300), Duration::from_secs(40));
@@ -225,11 +228,14 @@
 /// Guards against a quarantine of a harmless popular request that happens to run on leafs
 /// which crash for another reason.
 #[rstest]
-#[case::search(Kind::Idempotent, search())]
-#[case::one_leaf(Kind::Idempotent, Target::One(service_name("archive")))]
-#[case::once(Kind::Once, Target::One(service_name("archive")))]
+#[case::search(RetrySafety::Idempotent, search())]
+#[case::one_leaf(RetrySafety::Idempotent, Target::One(service_name("archive")))]
+#[case::once(RetrySafety::Once, Target::One(service_name("archive")))]
 #[tokio::test(start_paused = true)]
-async fn unrelated_leaf_crashes_quarantine_no_request(#[case] kind: Kind, #[case] target: Target) {
+async fn unrelated_leaf_crashes_quarantine_no_request(
+    #[case] kind: RetrySafety,
+    #[case] target: Target,
+) {
     let cluster = cluster(kind, target);
     let relays = start_entries(&cluster, 6).await;
     let span = Duration::from_secs(60);
@@ -263,7 +269,7 @@
 /// connections has not crashed.
 #[tokio::test(start_paused = true)]
 async fn connection_resets_quarantine_no_request() {
-    let cluster = cluster(Kind::Once, Target::One(service_name("archive")));
+    let cluster = cluster(RetrySafety::Once, Target::One(service_name("archive")));
     for leaf in cluster.add_leafs("archive", 3, 10) {
         cluster
             .leafs
@@ -279,7 +285,7 @@
 /// Guards against a new entry that forwards what the others refuse.
 #[tokio::test(start_paused = true)]
 async fn a_new_entry_learns_of_quarantined_requests() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
     relays.push(cluster.serving(7).await);
@@ -292,7 +298,7 @@
 /// was answered.
 #[tokio::test(start_paused = true)]
 async fn a_fixed_request_is_served_again_by_every_entry() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
     fix(&cluster, &relays).await;
@@ -308,7 +314,7 @@
 /// Guards against leafs that crash under tries sent to several entries at the same time.
 #[tokio::test(start_paused = true)]
 async fn concurrent_tries_stay_within_the_limit() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let relays = start_entries(&cluster, 6).await;
     for round in 0..40 {
         let tries = relays.iter().enumerate().map(|(n, relay)| async move {
@@ -327,7 +333,7 @@
 /// a record of it.
 #[tokio::test(start_paused = true)]
 async fn quarantine_survives_a_restart_of_all_entries() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&cluster, 6).await;
     let gap = Duration::from_millis(1300);
     send(&relays, CRASHING, gap, Duration::from_secs(10)).await;
@@ -346,7 +352,7 @@
 /// no other entry.
 #[tokio::test(start_paused = true)]
 async fn entries_that_reach_only_the_store_learn_of_quarantine() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let relays = start_entries(&cluster, 6).await;
     cluster.net.isolate(&[peer_address(5), peer_address(6)]);
     sleep(Duration::from_secs(5)).await;
@@ -361,7 +367,7 @@
 /// sent.
 #[tokio::test(start_paused = true)]
 async fn records_are_removed_when_the_quarantine_ends() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
     assert_eq!(cluster.store.records(), 1);
@@ -385,7 +391,7 @@
 /// Guards against a record that is lost because the store did not answer when it was written.
 #[tokio::test(start_paused = true)]
 async fn records_are_written_once_the_store_answers_again() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let relays = start_entries(&cluster, 6).await;
     cluster.store.set_answers(Availability::Unresponsive);
     send_crashing(&relays).await;
@@ -399,7 +405,7 @@
 /// its record from the store.
 #[tokio::test(start_paused = true)]
 async fn an_operator_can_lift_a_quarantine() {
-    let cluster = cluster(Kind::Idempotent, search());
+    let cluster = cluster(RetrySafety::Idempotent, search());
     let mut relays = start_entries(&cluster, 6).await;
     send_crashing(&relays).await;
     let refused = relays[0].forward(request("refused", CRASHING)).await;
--- a/crates/scene/src/judge.rs
+++ b/crates/scene/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnut_tier::{Answer, Refusal};
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use serde_json::Value;
 
 /// Outcome of a query as its caller sees it.
@@ -42,7 +42,7 @@
             }
             Reply::Refused(refusal) => {
                 self.refusals += 1;
-                if refusal.execution == Run::NotRun {
+                if refusal.execution == Execution::NotRun {
                     self.not_run.insert(number);
                 }
                 if refusal.receipt.is_empty() {
--- a/crates/scene/src/parse.rs
+++ b/crates/scene/src/parse.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, str::FromStr, time::Duration};
 
-use chestnut_unit::parse_span;
+use chestnut_unit::parse_duration;
 use nom::{
     IResult, Parser,
     branch::alt,
@@ -85,7 +85,7 @@
 
     /// Reads the next bare word as a duration.
     pub(crate) fn span(&mut self, what: &str) -> Result<Duration, String> {
-        parse_span(&self.next(what)?).map_err(|e| e.to_string())
+        parse_duration(&self.next(what)?).map_err(|e| e.to_string())
     }
 
     /// Consumes the next bare word if it is `word`; returns whether it was.
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Removes the value of a key and parses it as a duration; `default` if it
+    /// Removes the value of a key and parses it as a duration; `unset` if it
     /// is not given.
-    pub(crate) fn span_or(&mut self, key: &str, default: Duration) -> Result<Duration, String> {
+    pub(crate) fn span_or(&mut self, key: &str, unset: Duration) -> Result<Duration, String> {
         self.pair(key)
-            .map_or(Ok(default), |v| parse_span(&v).map_err(|e| e.to_string()))
+            .map_or(Ok(unset), |v| parse_duration(&v).map_err(|e| e.to_string()))
     }
 
     /// Fails if words are left unread.
--- a/crates/scene/src/platform.rs
+++ b/crates/scene/src/platform.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use chestnut_conf::{Kind, Object, ObjectKey};
+use chestnut_conf::{Object, ObjectKey, ObjectKind};
 use chestnut_fake::Store;
 use chestnut_port::{Changes, Clock, Listing, Platform, PlatformError, Vm};
 use futures::{FutureExt, future::BoxFuture};
@@ -75,7 +75,7 @@
         .boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move {
             self.round_trip().await?;
             let result = lock(&self.shared.store).list(kind);
@@ -103,7 +103,7 @@
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         revision: u64,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, PlatformError>> {
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -11,11 +11,11 @@
 };
 
 use bytes::Bytes;
-use chestnut_conf::{Kind, ObjectKey, Settings};
+use chestnut_conf::{ObjectKey, ObjectKind, Settings};
 use chestnut_fake::{Store, World, layout_of};
 use chestnut_port::{Clock, PeerService, Peers};
 use chestnut_tier::{PeerBinder, Ports, QueryRequest, SpawnError, SubmitRequest, Tier};
-use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, Wall};
+use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, WallTime};
 use displaydoc::Display;
 use futures::FutureExt;
 use serde_json::json;
@@ -36,8 +36,8 @@
 const INBOX_CAPACITY: usize = 256;
 /// Deadline of queries and submissions.
 const DEADLINE: Duration = Duration::from_millis(800);
-/// Wall clock time at which every scenario starts.
-const START: Wall = Wall(1_800_000_000_000);
+/// WallTime clock time at which every scenario starts.
+const START: WallTime = WallTime(1_800_000_000_000);
 
 /// Why an entry can't be started.
 #[derive(Debug, Display)]
@@ -362,7 +362,11 @@
         }
         drop(leafs);
         let value = serde_json::to_value(&layout).expect("plain JSON");
-        self.write(Kind::Layout, &format!("{}.{}", spec.name, version.0), value);
+        self.write(
+            ObjectKind::Layout,
+            &format!("{}.{}", spec.name, version.0),
+            value,
+        );
         self.set_versions(|versions| versions.push(version));
     }
 
@@ -379,7 +383,7 @@
     fn set_versions(&self, change: impl FnOnce(&mut Vec<IndexVersion>)) {
         let spec = &self.world.service[0];
         let key = ObjectKey {
-            kind: Kind::Service,
+            kind: ObjectKind::Service,
             name: spec.name.to_string(),
         };
         let revision = lock(&self.platform.store).peek(&key);
@@ -391,11 +395,11 @@
         };
         change(&mut service.versions);
         let value = serde_json::to_value(&service).expect("plain JSON");
-        self.write(Kind::Service, spec.name.as_str(), value);
+        self.write(ObjectKind::Service, spec.name.as_str(), value);
     }
 
     /// Writes an object on the platform's side, regardless of its faults.
-    fn write(&self, kind: Kind, name: &str, value: serde_json::Value) {
+    fn write(&self, kind: ObjectKind, name: &str, value: serde_json::Value) {
         let key = ObjectKey {
             kind,
             name: name.to_owned(),
@@ -470,7 +474,7 @@
 
     /// Returns the number of refusals without a record in the platform.
     pub(crate) fn unrecorded(&self) -> usize {
-        let objects = lock(&self.platform.store).peek_all(Kind::Refusal);
+        let objects = lock(&self.platform.store).peek_all(ObjectKind::Refusal);
         let recorded: BTreeSet<String> = objects
             .iter()
             .flat_map(|object| object.value["records"].as_array().into_iter().flatten())
