--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -6,7 +6,7 @@
 
 use chestnut_book::{RetrySafety, Target};
 use chestnut_relay::{DeclineReason, LeafState, Reply};
-use chestnut_unit::Run;
+use chestnut_unit::Execution;
 use futures::future::join_all;
 use rstest::rstest;
 use tokio::time::{Instant, sleep, timeout};
@@ -370,7 +370,7 @@
         RetrySafety::Idempotent,
         Target::One(service_name("archive")),
     );
-    slow.goal = Duration::from_millis(600);
+    slow.objective = Duration::from_millis(600);
     slow.timeout = Duration::from_secs(8);
     cluster.store.put_book(book(1, vec![slow]));
     let relay = cluster.serving(1).await;
