--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -29,6 +29,8 @@
 }
 
 impl Default for AdmitConfig {
+    /// A limit that starts at 16 requests and adapts to run times, and a queue
+    /// of 256 requests.
     fn default() -> Self {
         Self {
             initial_limit: 16,
@@ -88,20 +90,21 @@
 /// Order of the queue: by urgency, then by deadline, then by request number.
 type Key = (Urgency, Time, RequestId);
 
-/// Largest part of the time to its deadline that a refusable request may spend
-/// in the queue; beyond it an early refusal serves the caller better.
+/// Largest expected wait in the queue of a sheddable request, as a share of the
+/// time to its deadline. Beyond it the request is refused on arrival.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// Number of consecutive releases that may bypass less urgent requests before
-/// one of the least urgent runs. Requests of urgency `now` aren't subject to
-/// it.
+/// Consecutive releases that may bypass less urgent requests before one of the
+/// least urgent runs. Requests of urgency `now` aren't subject to it.
 const MAX_BYPASSES: u32 = 15;
-/// Requests of urgency `now` may exceed the limit by one part in this many.
+/// Requests of urgency `now` may exceed the concurrency limit by one part in
+/// this many, rounded up.
 const NOW_EXTRA_DIVISOR: u32 = 2;
-/// Weight of a new run time in the moving average.
+/// Weight of a new run time in the moving average that predicts waits and retry
+/// delays.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// Shortest retry delay given with a refusal.
+/// Shortest retry delay given with a refusal, before jitter.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest retry delay given with a refusal.
+/// Longest retry delay given with a refusal, before jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Admission control of one service at one entry.
@@ -124,7 +127,8 @@
 }
 
 impl Admission {
-    /// Creates admission control with nothing running or queued.
+    /// Creates admission control at the configured initial limit, with nothing
+    /// running or queued.
     #[must_use]
     pub fn new(config: AdmitConfig) -> Self {
         Self {
@@ -156,8 +160,14 @@
         self.limit.get()
     }
 
-    /// Decides on a new request. Queued requests that are refused in its favour
-    /// are appended to `out`.
+    /// Decides whether a new request runs, is queued or is refused.
+    ///
+    /// It runs if the limit allows it and no request of at least its urgency is
+    /// queued. Otherwise it is refused if the expected wait and run time exceed
+    /// its deadline, if it is sheddable and the wait takes more than half of
+    /// the time left, or if the queue is full and holds no sheddable request
+    /// after it. One that gives way to it in a full queue is refused and
+    /// appended to `out`. `rng` draws the jitter of retry delays.
     pub fn offer(
         &mut self,
         request: AdmitRequest,
@@ -185,8 +195,9 @@
         Decision::Wait
     }
 
-    /// Records the end of a request that ran, and appends queued requests that
-    /// now run or expire to `out`.
+    /// Records the end of a request that ran: updates the mean run time and an
+    /// adaptive limit, and frees its slot. Appends queued requests that now run
+    /// or expire to `out`; `rng` draws the jitter of retry delays.
     pub fn record_end(
         &mut self,
         stats: RequestStats,
@@ -207,18 +218,21 @@
     }
 
     /// Frees the slot of a running request whose caller has disconnected,
-    /// without recording a run time.
+    /// without recording a run time. Appends queued requests that now run or
+    /// expire to `out`.
     pub fn release_slot(&mut self, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
         self.running = self.running.saturating_sub(1);
         self.release(now, rng, out);
     }
 
-    /// Removes a queued request whose caller has disconnected.
+    /// Removes a queued request whose caller has disconnected; does nothing if
+    /// it isn't queued.
     pub fn remove_queued(&mut self, id: RequestId) {
         self.queue.retain(|(_, _, queued), _| *queued != id);
     }
 
-    /// Refuses queued requests that can no longer meet their deadline.
+    /// Refuses queued requests whose deadline is less than the mean run time
+    /// away, and appends them to `out`.
     pub fn expire(&mut self, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
         let run_time = Duration::from_secs_f64(self.run_mean);
         let expired: Vec<Key> = self
@@ -237,7 +251,9 @@
         }
     }
 
-    /// Time at which [`Admission::expire`] has to be called next.
+    /// Time at which [`Admission::expire`] has to be called next: the mean run
+    /// time before the earliest deadline in the queue. `None` if the queue is
+    /// empty.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         let run_time = Duration::from_secs_f64(self.run_mean);
@@ -245,6 +261,8 @@
         Some(earliest - run_time)
     }
 
+    /// Expires queued requests, then starts the next ones while the limit
+    /// allows it. Appends both to `out`.
     fn release(&mut self, now: Time, rng: &mut dyn Rng, out: &mut Vec<Release>) {
         self.expire(now, rng, out);
         while let Some(key) = self.next_to_run() {
@@ -281,8 +299,9 @@
             .is_some_and(|first| first.0 <= urgency)
     }
 
-    /// The queued request that runs next. After [`MAX_BYPASSES`] it is one of
-    /// the least urgent, unless a request of urgency `now` is queued.
+    /// The queued request that runs next, or `None` if the queue is empty.
+    /// After [`MAX_BYPASSES`] it is one of the least urgent, unless a request
+    /// of urgency `now` is queued.
     fn next_to_run(&self) -> Option<Key> {
         let first = *self.queue.keys().next()?;
         if first.0 == Urgency::Now || self.bypasses < MAX_BYPASSES {
@@ -293,9 +312,9 @@
         self.queue.range(from..).next().map(|(key, _)| *key)
     }
 
-    /// Counts a release that bypasses less urgent requests. It is called only
-    /// when the request really runs: counting every check would use up the turn
-    /// of the least urgent requests.
+    /// Counts a release that bypasses less urgent requests, or resets the count
+    /// if it bypasses none. It is called only when the request really runs:
+    /// counting every check would use up the turn of the least urgent requests.
     fn count_bypass(&mut self, key: Key) {
         let bypassing = self
             .queue
@@ -305,14 +324,16 @@
         self.bypasses = if bypassing { self.bypasses + 1 } else { 0 };
     }
 
-    /// Seconds that a request with `key` is expected to be queued.
+    /// Seconds that a request with `key` is expected to be queued, from the
+    /// requests ahead of it, the mean run time and the limit.
     fn expected_wait(&self, key: Key) -> f64 {
         let ahead = self.queue.range(..key).count() + 1;
         ahead as f64 * self.run_mean / f64::from(self.limit.get().max(1))
     }
 
-    /// Refuses the least urgent refusable request in the queue if it comes
-    /// after `key`. Returns whether there was one.
+    /// Refuses the last sheddable request in the queue for overload, if it
+    /// comes after `key`, and appends it to `out`. Returns whether there was
+    /// one.
     fn displace_after(&mut self, key: Key, rng: &mut dyn Rng, out: &mut Vec<Release>) -> bool {
         let last = self
             .queue
@@ -332,6 +353,7 @@
         true
     }
 
+    /// Returns a refusal with a retry delay; the queue isn't changed.
     fn refuse(&self, reason: Reason, rng: &mut dyn Rng) -> Decision {
         Decision::Refuse {
             reason,
@@ -340,7 +362,8 @@
     }
 
     /// Retry delay for a refused caller: the time in which the queue drains,
-    /// with random jitter so that callers refused together don't return
+    /// within [`MIN_RETRY_DELAY`] and [`MAX_RETRY_DELAY`], times a random
+    /// factor from 0.5 to 1.5 so that callers refused together don't return
     /// together.
     fn retry_delay(&self, rng: &mut dyn Rng) -> Duration {
         let pending = self.queue.len() as f64 + f64::from(self.running);
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -24,7 +24,8 @@
     at: Time,
 }
 
-/// One attempt at calling one back end, in state `S`.
+/// One attempt at calling one back end, in state `S`: [`Planned`], [`Queued`] or
+/// [`Sent`].
 #[derive(Debug)]
 pub struct Attempt<S> {
     to: Ix,
@@ -138,6 +139,7 @@
         self.end(AttemptOutcome::Unknown)
     }
 
+    /// Ends the attempt with `outcome`.
     fn end(self, outcome: AttemptOutcome) -> Ended {
         Ended {
             to: self.to,
@@ -159,8 +161,9 @@
 pub struct NotRun(());
 
 impl NotRun {
-    /// Returns the proof if every attempt ended unsent or refused. A request
-    /// without attempts was not run.
+    /// Returns the proof if every attempt in `ends` ended unsent or refused, and
+    /// `None` otherwise. `ends` must hold all attempts of the request; without
+    /// any it was not run.
     #[must_use]
     pub fn prove(ends: &[Ended]) -> Option<Self> {
         let not_run = |end: &Ended| {
--- a/crates/route/src/backend.rs
+++ b/crates/route/src/backend.rs
@@ -66,6 +66,9 @@
 }
 
 impl Default for TableConfig {
+    /// Choice by peak durations, hedges for late calls, budgets of 8 % of first
+    /// calls for hedges and 10 % for retries, guard on and no backoff for
+    /// stalls.
     fn default() -> Self {
         Self {
             choice: Choice::PeakEwma,
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -85,13 +85,13 @@
         self.share = share.as_f64();
     }
 
-    /// Allows `quota` calls in any `window` in addition to the share. Half of the quota
-    /// is the bucket's capacity and the other half is refilled over the window; tokens
-    /// above the capacity are discarded.
+    /// Allows `quota` calls in any `window` in addition to the share. The bucket's
+    /// capacity becomes half of the quota, but at least one call where the quota is,
+    /// and the rest is refilled over the window. Tokens above the new capacity are
+    /// dropped.
     ///
-    /// The capacity is at least one call where the quota is: half of a small quota
-    /// would be less than a call and could never be spent. For a quota below one call,
-    /// a reserve saved from first calls pays instead.
+    /// For a quota below one call, whose half could never be spent alone, a reserve
+    /// saved from first calls adds the missing part.
     pub fn set_quota(&mut self, quota: f64, window: Duration) {
         self.burst = match quota >= 1.0 {
             true => (quota / 2.0).max(1.0),
@@ -105,14 +105,16 @@
         };
     }
 
-    /// Refills the bucket for the time that has passed.
+    /// Adds the tokens of the quota for the time since the last refill; none without a
+    /// quota.
     pub fn refill(&mut self, now: Time) {
         let earned = self.rate * now.since(self.updated).as_secs_f64();
         self.deposit(earned);
         self.updated = self.updated.max(now);
     }
 
-    /// Adds the tokens earned by `calls` first calls.
+    /// Adds the tokens earned by `calls` first calls, to the reserve if there is one.
+    /// Those above the capacity are discarded.
     pub fn earn(&mut self, calls: usize) {
         let earned = self.share * calls as f64;
         match &mut self.reserve {
@@ -124,6 +126,8 @@
         }
     }
 
+    /// Adds `earned` tokens up to the capacity; counts them and the discarded rest in
+    /// the totals.
     fn deposit(&mut self, earned: f64) {
         let uncapped = self.tokens + earned;
         self.tokens = uncapped.min(self.burst);
@@ -131,19 +135,21 @@
         self.totals.discarded += uncapped - self.tokens;
     }
 
+    /// Tokens that can be spent now, in calls: those in the bucket and in the reserve.
     fn available(&self) -> f64 {
         let reserve = self.reserve.as_ref();
         self.tokens + reserve.map_or(0.0, |reserve| reserve.available(self.share, self.updated))
     }
 
-    /// Spends one extra call; returns false if the budget doesn't allow it.
+    /// Spends one extra call; returns false and spends nothing if the budget doesn't
+    /// allow it.
     #[must_use]
     pub fn spend(&mut self) -> bool {
         self.spend_cost(1.0)
     }
 
-    /// Spends an extra call that costs its target `cost` of a whole call; returns false
-    /// if the budget doesn't allow it.
+    /// Spends an extra call that costs its target `cost` of a whole call, from the
+    /// reserve first; returns false and spends nothing if the budget doesn't allow it.
     #[must_use]
     pub fn spend_cost(&mut self, cost: f64) -> bool {
         if self.available() < cost {
@@ -156,7 +162,8 @@
         true
     }
 
-    /// The filled part of the capacity, from 0 to 1.
+    /// The filled part of the capacity of bucket and reserve, from 0 to 1; 0 without
+    /// capacity.
     #[must_use]
     pub fn fill_level(&self) -> f64 {
         let reserve = self.reserve.as_ref();
--- a/crates/route/src/call_counts.rs
+++ b/crates/route/src/call_counts.rs
@@ -24,7 +24,7 @@
 }
 
 impl CallCounts {
-    /// Extra calls per first call.
+    /// Hedges and retries per first call.
     #[must_use]
     pub fn extra(&self) -> f64 {
         (self.hedges + self.retries) as f64 / self.first.max(1) as f64
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -6,13 +6,11 @@
 
 use crate::{Bounds, BudgetId, Class, Ix, Table, choose::tiers};
 
-/// Multiple of the class's median duration above which a call shrinks its back
-/// end's window. Random variation seldom exceeds it; a queue as long as the
-/// slots does.
+/// Multiple of the class's median duration above which a call is late and
+/// shrinks its back end's window.
 const LATE_MEDIANS: f64 = 3.0;
-/// Fraction of the latency objective above which a call is late regardless of
-/// the median: no time is left for a second call. It detects overload of a
-/// whole service, where the median rises too.
+/// Fraction of the latency objective above which a call is late whatever the
+/// median, which rises too when the whole service is overloaded.
 const LATE_OBJECTIVE: f64 = 0.5;
 /// Number of finished calls of a class before any is classified as late.
 const SAMPLES_NEEDED: u64 = 32;
@@ -20,7 +18,7 @@
 /// together count once.
 const REFUSAL_ROUND: Duration = Duration::from_millis(20);
 
-/// Lower bound on a call's expected duration, which keeps rates finite.
+/// Lower bound on a call's expected duration, which keeps drain rates finite.
 const SPAN_MIN: Duration = Duration::from_micros(100);
 
 impl Table {
@@ -35,20 +33,23 @@
         self.profiles[class.index()].objective = Some(objective);
     }
 
-    /// Returns the number of calls that may be in flight at a back end.
+    /// Returns the number of calls that may be in flight at a back end,
+    /// `u32::MAX` without bounds.
     #[must_use]
     pub fn window(&self, ix: Ix) -> u32 {
         self.states[ix.index()].window.size()
     }
 
-    /// Returns whether a back end has capacity for one more call.
+    /// Returns whether a back end has fewer calls in flight than its window
+    /// allows.
     #[must_use]
     pub fn has_capacity(&self, ix: Ix) -> bool {
         let state = &self.states[ix.index()];
         state.outstanding < state.window.size()
     }
 
-    /// Returns whether any of `replicas` can be called now.
+    /// Returns whether any of `replicas` can be called for `version` now: one
+    /// of the best tier that isn't empty has capacity.
     pub(crate) fn any_free(&self, replicas: &[Ix], version: IndexVersion, now: Time) -> bool {
         // Fast path: a healthy replica usually has capacity, and sorting the
         // replicas into tiers for every shard of every query is expensive.
@@ -71,7 +72,8 @@
     }
 
     /// Returns the rate, in calls of `class` per second, at which capacity is
-    /// freed at the best tier of `replicas`.
+    /// freed at the best tier of `replicas`; 0 if none may be called for
+    /// `version`.
     pub(crate) fn drain_rate(
         &self,
         class: Class,
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Adjusts a window after a call that was answered after `span`.
+    /// Adjusts a window after a call that was answered after `span`: shrinks it
+    /// if the call was late, and grows it otherwise.
     pub(crate) fn adjust_window(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
         if self.shrink_if_late(class, ix, span, now) {
             return;
@@ -115,7 +118,7 @@
         state.window.grow(state.outstanding);
     }
 
-    /// Shrinks a window if a call unanswered for `span` is late; returns
+    /// Shrinks a window if a call that has taken `span` is late; returns
     /// whether it is.
     pub(crate) fn shrink_if_late(
         &mut self,
@@ -131,13 +134,14 @@
         late.is_some()
     }
 
-    /// Shrinks a window after a call that was refused for lack of capacity.
+    /// Shrinks a window after a call that was shed, at most once per
+    /// [`REFUSAL_ROUND`].
     pub(crate) fn shrink_for_refusal(&mut self, ix: Ix, now: Time) {
         self.states[ix.index()].window.shrink(REFUSAL_ROUND, now);
     }
 
-    /// Returns the duration above which a call of `class` is late, if enough
-    /// calls have finished.
+    /// Returns the duration above which a call of `class` is late, from its
+    /// median and objective; `None` until enough calls have finished.
     fn late_after(&self, class: Class) -> Option<Duration> {
         let profile = &self.profiles[class.index()];
         if profile.calls.count() < SAMPLES_NEEDED {
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -52,9 +52,10 @@
     }
 }
 
-/// Chooses the replica that gets the next call for `version`. Replicas in
-/// `tried`, those that are leaving, those that lack the snapshot and those
-/// without capacity are never chosen.
+/// Chooses the replica that gets the next call for `version` by the table's
+/// policy; `rng` serves random choices and ties. Replicas in `tried` and those
+/// that [`Table::is_open`] rules out are never chosen. Returns `None` if no
+/// replica is left, or if none of the best tier has capacity.
 pub fn choose_replica(
     table: &mut Table,
     replicas: &[Ix],
@@ -74,7 +75,8 @@
     pick_replica(table, &candidates, now, rng)
 }
 
-/// Replicas that may be called, in tiers from best to worst: healthy ones; all
+/// Replicas that may be called for `version` and aren't in `tried`, in tiers
+/// from best to worst: healthy ones (not suspected, evicted or in backoff); all
 /// but suspected ones; all. A replica in backoff is preferred to a suspected
 /// one, which may be gone.
 pub(crate) fn tiers(
@@ -103,6 +105,8 @@
     [healthy, confirmed, open]
 }
 
+/// Picks one of `candidates` by the table's policy and advances the policy's
+/// state. A single candidate is returned as it is; `None` if there is none.
 fn pick_replica(table: &mut Table, candidates: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
     if candidates.len() <= 1 {
         return candidates.first().copied();
@@ -118,6 +122,8 @@
     }
 }
 
+/// Draws two different candidates and returns the one with fewer outstanding
+/// calls. There must be at least two.
 fn better_of_two(table: &Table, candidates: &[Ix], rng: &mut dyn Rng) -> Ix {
     let first = random_below(rng, candidates.len());
     let second = (first + 1 + random_below(rng, candidates.len() - 1)) % candidates.len();
@@ -140,14 +146,18 @@
         .map(|(_, ix)| ix)
 }
 
+/// Score for [`Choice::PeakEwma`], lowest best: the decaying peak duration, at
+/// least a typical one, times the outstanding calls plus one.
 fn peak_score(table: &Table, ix: Ix, now: Time) -> f64 {
     let state = &table.states[ix.index()];
     let peak = state.estimate.peak_at(now).max(table.typical_nanos());
     peak * f64::from(state.outstanding + 1)
 }
 
-/// Expected duration of a call. The moving average already includes queueing
-/// caused by other entries; outstanding calls of this entry are added per slot.
+/// Score for [`Choice::Predicted`], lowest best: the expected duration of a
+/// call, raised by outstanding calls per slot and by penalties. The moving
+/// average already includes queueing caused by other entries; outstanding calls
+/// of this entry are added.
 fn predicted_score(table: &Table, ix: Ix, now: Time) -> f64 {
     let state = &table.states[ix.index()];
     let load = f64::from(state.outstanding) / f64::from(state.slots.max(1));
@@ -155,8 +165,8 @@
     expected * (1.0 + OUTSTANDING_WEIGHT * load) * table.score_penalty(ix, now)
 }
 
-/// Weight of this entry's outstanding calls. It is above 1 because other
-/// entries that see the same state send about as many calls themselves.
+/// Weight of this entry's outstanding calls per slot. Above 1, since other
+/// entries that see the same state send about as many calls.
 const OUTSTANDING_WEIGHT: f64 = 3.0;
 
 /// A uniformly random number below `bound`.
--- a/crates/route/src/cold.rs
+++ b/crates/route/src/cold.rs
@@ -7,9 +7,8 @@
 
 use crate::{Ix, Table};
 
-/// Window over which calls to a cold leaf are counted. It is longer than the second to
-/// which its rate limit applies by the delay between the decision to call and the
-/// sending.
+/// Window over which calls to a cold leaf are counted: the second of its rate limit,
+/// plus the delay between the decision to call and the sending.
 pub const COLD_WINDOW: Duration = Duration::from_millis(1250);
 
 /// What this entry may send to each cold leaf of a service.
@@ -35,6 +34,7 @@
 }
 
 impl ColdLimit {
+    /// Number of recorded calls in the [`COLD_WINDOW`] before `now`.
     fn recent_calls(&self, now: Time) -> usize {
         let recent = self.calls.iter().rev();
         recent
@@ -42,6 +42,8 @@
             .count()
     }
 
+    /// Whether a call may be sent at `now`: always once the back end is warm, before
+    /// that only from `callable_from` on, under an unexpired permit that isn't used up.
     fn allows_call(&self, now: Time) -> bool {
         now >= self.until
             || now >= self.callable_from
@@ -49,6 +51,8 @@
                 && self.recent_calls(now) < self.permit.max_calls as usize
     }
 
+    /// Records a call at `now` unless the back end is warm, and drops those that left
+    /// the window.
     fn record_call(&mut self, now: Time) {
         if now >= self.until {
             return;
@@ -63,7 +67,7 @@
 
 impl Table {
     /// Rate-limits calls to a back end that is cold until `until`. No call is allowed
-    /// before [`Table::permit`].
+    /// before [`Table::permit`]. If it is already limited, only the end is extended.
     pub fn start_cold_limit(&mut self, ix: Ix, until: Time, now: Time) {
         let state = &mut self.states[ix.index()];
         let callable_from = state.last_call.map_or(Time::ZERO, |at| at + COLD_WINDOW);
@@ -80,20 +84,20 @@
         }
     }
 
-    /// Sets the permit for a cold back end; does nothing for a warm one.
+    /// Sets the permit for a cold back end; does nothing for one without a rate limit.
     pub fn permit(&mut self, ix: Ix, permit: ColdPermit) {
         if let Some(cold) = &mut self.states[ix.index()].cold {
             cold.permit = permit;
         }
     }
 
-    /// Removes the rate limit of a back end that is warm.
+    /// Removes the rate limit of a back end that is warm, whatever its end.
     pub fn end_cold_limit(&mut self, ix: Ix) {
         self.states[ix.index()].cold = None;
     }
 
-    /// Time until which calls to a cold back end are permitted; `None` if it is not
-    /// rate-limited.
+    /// Expiry of the permit of a cold back end; `None` if it isn't rate-limited or is
+    /// warm by `now`.
     #[must_use]
     pub fn permitted_until(&self, ix: Ix, now: Time) -> Option<Time> {
         let cold = self.states[ix.index()].cold.as_ref();
@@ -108,7 +112,8 @@
         cold.is_some_and(|cold| !cold.allows_call(now))
     }
 
-    /// Records the time of a call, for the rate limit of a cold back end.
+    /// Records the time of a call as the last one, and for the rate limit of a cold
+    /// back end.
     pub(crate) fn record_call_time(&mut self, ix: Ix, now: Time) {
         let state = &mut self.states[ix.index()];
         state.last_call = Some(now);
--- a/crates/route/src/damped.rs
+++ b/crates/route/src/damped.rs
@@ -17,11 +17,12 @@
 /// Length of a window. Shorter than in the source, to suit calls that take
 /// milliseconds.
 const WINDOW_SPAN: Duration = Duration::from_secs(1);
-/// Smallest weight of a replica. It keeps samples coming in place of the
-/// source's probes.
+/// Smallest weight of a replica in the random choice. It keeps samples coming
+/// in place of the source's probes.
 const MIN_WEIGHT: f64 = 0.05;
 
-/// Statistics of one back end in one window.
+/// Statistics of one back end in one window: durations, answered calls,
+/// requests sent to it, and its rank at the window's end.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     /// Sum of call durations, in nanoseconds.
@@ -48,7 +49,8 @@
         window.samples += 1;
     }
 
-    /// Picks a replica at random, weighted by its damped share.
+    /// Picks a replica at random, weighted by its damped share, and counts the
+    /// request for it. Returns `None` without candidates.
     pub fn pick(&mut self, candidates: &[Ix], now: Time, rng: &mut dyn Rng) -> Option<Ix> {
         self.advance(now);
         let weights: Vec<f64> = candidates.iter().map(|ix| self.weight(*ix)).collect();
@@ -66,8 +68,8 @@
         Some(chosen)
     }
 
-    /// Mean rank weighted by the requests of each window, at least
-    /// [`MIN_WEIGHT`].
+    /// Mean rank over the past windows, weighted by the requests of each, at
+    /// least [`MIN_WEIGHT`]; 1 for a back end without records.
     fn weight(&self, ix: Ix) -> f64 {
         let Some(windows) = self.windows.get(&ix) else {
             return 1.0;
@@ -78,6 +80,7 @@
         (weight / requests.max(1.0)).max(MIN_WEIGHT)
     }
 
+    /// Ranks and closes the windows that ended by `now`.
     fn advance(&mut self, now: Time) {
         let current = now.as_nanos() / WINDOW_SPAN.as_nanos() as u64;
         let steps = current.saturating_sub(self.current).min(WINDOWS as u64);
@@ -91,8 +94,8 @@
         }
     }
 
-    /// Ranks the back ends by smoothed duration; the fastest gets the highest
-    /// rank.
+    /// Ranks the back ends of the current window by smoothed duration; the
+    /// fastest gets the highest rank.
     fn rank(&mut self) {
         let mut order: Vec<(f64, Ix)> = self
             .windows
@@ -108,8 +111,8 @@
     }
 }
 
-/// Moving average of the durations, weighted by recency and samples (equation 1
-/// of the source).
+/// Moving average of the durations in nanoseconds, weighted by recency and
+/// samples (equation 1 of the source); 0 without samples.
 fn smoothed(windows: &[Window; WINDOWS]) -> f64 {
     let mut sum = 0.0;
     let mut weights = 0.0;
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -26,7 +26,8 @@
 }
 
 impl Estimate {
-    /// Records the duration of an answered call.
+    /// Records the duration of an answered call in the average, clipped, and in
+    /// the peak.
     pub fn record(&mut self, span: Duration, now: Time) {
         let sample = span.as_nanos() as f64;
         self.peak = self.peak_at(now).max(sample);
@@ -39,15 +40,16 @@
     }
 
     /// Records a call that was cancelled after `span`. It counts only if it
-    /// already took longer than expected.
+    /// already took longer than the average, or if there is none yet.
     pub fn record_at_least(&mut self, span: Duration, now: Time) {
         if self.mean.is_none_or(|mean| span.as_nanos() as f64 > mean) {
             self.record(span, now);
         }
     }
 
-    /// Expected duration of a call in nanoseconds, where a typical back end of
-    /// the service takes `typical`.
+    /// Expected duration of a call in nanoseconds: the average, which decays
+    /// towards `typical`, the duration at a typical back end of the service.
+    /// `typical` if no call was recorded.
     #[must_use]
     pub fn mean_at(&self, now: Time, typical: f64) -> f64 {
         match self.mean {
@@ -69,11 +71,13 @@
     }
 }
 
+/// Part of a value, from 1 towards 0, that remains at this age.
 fn decay(age: Duration) -> f64 {
     (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
 
-/// Longest duration that is recorded exactly, in microseconds.
+/// Longest duration that is recorded, in microseconds; longer ones count as
+/// this.
 const SPAN_MAX_US: u64 = 60_000_000;
 /// Significant digits of recorded durations.
 const SIGNIFICANT_DIGITS: u8 = 2;
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Records the duration of one call.
+    /// Records the duration of one call. The cached quantiles are recomputed
+    /// after every few samples, or at each sample while there are few.
     pub fn record(&mut self, span: Duration) {
         let us = u64::try_from(span.as_micros()).unwrap_or(SPAN_MAX_US);
         self.new.saturating_record(us.clamp(1, SPAN_MAX_US));
@@ -136,24 +141,27 @@
         self.old.len() + self.new.len()
     }
 
-    /// The median at the latest refresh.
+    /// The median at the latest refresh, zero before the first sample.
     #[must_use]
     pub fn median(&self) -> Duration {
         self.median
     }
 
-    /// The high quantile at the latest refresh.
+    /// The quantile given to [`Quantiles::new`] at the latest refresh, zero
+    /// before the first sample.
     #[must_use]
     pub fn high(&self) -> Duration {
         self.high
     }
 
+    /// Recomputes the cached quantiles.
     fn refresh(&mut self) {
         self.unrefreshed = 0;
         self.median = self.value_at(0.5);
         self.high = self.value_at(self.quantile);
     }
 
+    /// The quantile over both windows: the mean of theirs, weighted by samples.
     fn value_at(&self, quantile: f64) -> Duration {
         let (a, b) = (self.old.len() as f64, self.new.len() as f64);
         let value = |h: &Histogram<u32>| h.value_at_quantile(quantile) as f64;
--- a/crates/route/src/evict.rs
+++ b/crates/route/src/evict.rs
@@ -7,10 +7,11 @@
 
 use crate::{Ix, Table};
 
-/// Evicted back ends among `replicas`: at most a third of them, or one of two.
-/// If most replicas look faulty, the cause is probably this entry or the whole
-/// service, and evicting them all would cause an outage. One of two may go, so
-/// that an unresponsive replica doesn't delay half of the queries.
+/// Evicted back ends among `replicas`, the first ones up to a third of all, or
+/// one of two. If most replicas look faulty, the cause is probably this entry
+/// or the whole service, and evicting them all would cause an outage. One of
+/// two may go, so that an unresponsive replica doesn't delay half of the
+/// queries.
 #[must_use]
 pub(crate) fn evicted_among(table: &Table, replicas: &[Ix], now: Time) -> BTreeSet<Ix> {
     let limit = match replicas.len() {
--- a/crates/route/src/extra_budget.rs
+++ b/crates/route/src/extra_budget.rs
@@ -8,12 +8,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BudgetId(pub(crate) u32);
 
-/// Cost of a retry after a shed call, as a fraction of an executed call.
+/// Cost of a retry after a shed call in a split budget, as a fraction of an executed
+/// call.
 const SHED_COST: f64 = 0.25;
-/// Fraction of a joint budget that any extra call may spend; below it, calls with the
-/// highest gain come first. A larger fraction lets queries that lack several shards
-/// exhaust the budget; a fraction of zero withholds hedges for the last missing shard
-/// in normal operation.
+/// Part of a joint budget's capacity, from full, that any extra call may spend. When
+/// more is spent, the gain that a call needs rises from 0 to 1 at an empty budget.
 const FREE_FRACTION: f64 = 0.25;
 
 /// A budget's decision on a call.
@@ -28,6 +27,7 @@
 }
 
 impl SpendResult {
+    /// Returns `Paid` if the budget had enough, and `OverBudget` otherwise.
     fn paid_if(enough: bool) -> Self {
         match enough {
             true => Self::Paid,
@@ -63,14 +63,16 @@
         }
     }
 
-    /// Adds the tokens that accrue with time until `now`.
+    /// Adds the tokens that a joint budget accrues with time until `now`. Split
+    /// budgets accrue none.
     pub fn refill(&mut self, now: Time) {
         if let Self::Joint(budget) = self {
             budget.refill(now);
         }
     }
 
-    /// Adds the tokens earned by `calls` first calls.
+    /// Adds the tokens earned by `calls` first calls, to both budgets if they are
+    /// split.
     pub fn earn(&mut self, calls: usize) {
         match self {
             Self::Split { hedges, retries } => {
@@ -82,7 +84,9 @@
     }
 
     /// Pays for a call of `kind` whose answer gains `gain` (0 to 1), if the budget
-    /// allows it. The less of a joint budget is left, the higher the gain must be.
+    /// allows it. First calls cost nothing, and neither do reroutes in a split budget.
+    /// The less of a joint budget is left, the higher the gain must be; a split budget
+    /// ignores it.
     pub fn spend(&mut self, kind: CallKind, gain: f64) -> SpendResult {
         match (self, kind) {
             (_, CallKind::First) => SpendResult::Paid,
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -46,8 +46,8 @@
 }
 
 impl Failure {
-    /// Whether the failure counts against the back end. Shutting down, lacking
-    /// a snapshot and a broken connection don't.
+    /// Whether the failure counts in the back end's failure rate. Of refusals
+    /// only shedding does; a silent connection doesn't.
     pub(crate) fn is_target_fault(self) -> bool {
         match self {
             Self::NotSent | Self::Lost | Self::Failed => true,
--- a/crates/route/src/hedge.rs
+++ b/crates/route/src/hedge.rs
@@ -15,9 +15,9 @@
     /// Outstanding calls of a query are hedged once most of its shards have
     /// answered and the calls take longer than usual for the service.
     Late {
-        /// A call is late when it exceeds its expected duration by at most this
-        /// multiple of the median. The cap matters when stragglers are so many
-        /// that the quantile is a straggler's duration.
+        /// Cap on how far beyond its expected duration a call is late, as a
+        /// multiple of the median duration. It matters when stragglers are so
+        /// many that the quantile is a straggler's duration.
         times: f64,
         /// Largest share of missing shards at which a query may hedge. If more
         /// are missing the whole service is slow, and extra calls would slow it
@@ -26,22 +26,23 @@
     },
 }
 
-/// Delay until enough calls of a service were recorded.
+/// Delay of [`Hedge::Late`] until enough calls of a service were recorded.
 const DEFAULT_DELAY: Duration = Duration::from_millis(50);
 /// Number of recorded calls needed to derive a delay from them.
 const SAMPLES_NEEDED: u64 = 32;
-/// Shortest delay, above the resolution of the runtime's timers.
+/// Shortest delay of [`Hedge::Late`], above the resolution of the runtime's
+/// timers.
 const MIN_DELAY: Duration = Duration::from_micros(500);
 
-/// Cap on the expected duration, as a multiple of the median. A call to a back
-/// end known to be slow is hedged as early as one to a usual one, because its
-/// query has to wait for it all the same.
+/// Cap on the expected duration, as a multiple of the median: a call to a slow
+/// back end is hedged as early, since its query waits for it all the same.
 const MAX_EXPECTED_MEDIANS: f64 = 1.5;
 
 impl Hedge {
-    /// Delay between sending a call and hedging it. The call is expected to
-    /// take `expected`; `calls` are the durations of the service's calls, and
-    /// `excess` is by how much they exceeded their expected durations.
+    /// Delay between sending a call and hedging it, or `None` if the policy
+    /// makes no hedges. The call is expected to take `expected`; `calls` are
+    /// the durations of the service's calls, and `excess` is by how much they
+    /// exceeded their expected durations.
     #[must_use]
     pub fn delay(
         &self,
@@ -62,7 +63,9 @@
         }
     }
 
-    /// Whether a query that lacks `missing` of `asked` shards may hedge now.
+    /// Whether a query that lacks `missing` of `asked` shards may hedge now:
+    /// with a fixed delay always; with [`Hedge::Late`] if at most one or at
+    /// most the policy's share is missing.
     #[must_use]
     pub fn is_late(&self, missing: usize, asked: usize) -> bool {
         match *self {
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -4,11 +4,13 @@
 
 use chestnut_unit::Time;
 
-/// Lowest limit. With a single slot, one straggler would stop the service.
+/// Lowest concurrency limit outside of probes, in requests. With a single slot,
+/// one straggler would stop the service.
 const MIN_LIMIT: f64 = 2.0;
-/// Highest limit, which bounds memory use.
+/// Highest concurrency limit, in requests, which bounds memory use.
 const MAX_LIMIT: f64 = 4096.0;
-/// Length of a window whose mean run time is compared with the baseline.
+/// Minimum length of a window whose mean run time is compared with the
+/// baseline.
 const WINDOW: Duration = Duration::from_millis(100);
 /// Number of requests that a window needs before it is evaluated.
 const MIN_WINDOW_SAMPLES: u32 = 16;
@@ -17,7 +19,7 @@
 const QUEUE_SHARE: f64 = 0.15;
 /// Part of the distance to the desired limit that one window covers.
 const STEP_SHARE: f64 = 0.3;
-/// Run times are clipped at this multiple of the baseline, so that a few
+/// Multiple of the baseline at which run times are clipped, so that a few
 /// requests that wait for stragglers don't look like overload.
 const CLIP_FACTOR: f64 = 2.0;
 /// Share of calls that must be shed before the limit shrinks. Fewer only show
@@ -32,7 +34,7 @@
 /// Time at the start of a probe whose requests are ignored, as they began
 /// before it.
 const PROBE_WARMUP: Duration = Duration::from_millis(40);
-/// Factor on the limit during a probe.
+/// Factor on the limit during a probe, which keeps the targets unsaturated.
 const PROBE_FACTOR: f64 = 0.4;
 /// Weight of a measured baseline above the current one. Probes under sustained
 /// overload measure too much, so the baseline rises slowly.
@@ -55,11 +57,13 @@
 }
 
 impl Average {
+    /// Adds one run time in seconds.
     fn add(&mut self, seconds: f64) {
         self.sum += seconds;
         self.count += 1;
     }
 
+    /// The mean in seconds; 0 without samples.
     fn mean(&self) -> f64 {
         self.sum / f64::from(self.count.max(1))
     }
@@ -101,7 +105,8 @@
 }
 
 impl Limit {
-    /// Creates a limit that starts at `initial` requests.
+    /// Creates a limit that starts at `initial` requests, moved into the fixed
+    /// bounds.
     #[must_use]
     pub fn new(initial: u32) -> Self {
         Self {
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Number of requests that may run at once.
+    /// Number of requests that may run at once; lower during a probe.
     #[must_use]
     pub fn get(&self) -> u32 {
         match self.phase {
@@ -126,7 +131,9 @@
         }
     }
 
-    /// Records a request that ended while `running` requests were running.
+    /// Records a request that ended while `running` requests, itself included,
+    /// were running. Adapts the limit when a window ends, and starts or ends
+    /// probes.
     pub fn record(&mut self, stats: RequestStats, running: u32, now: Time) {
         self.calls += stats.calls;
         self.shed_calls += stats.shed_calls;
@@ -149,6 +156,9 @@
         }
     }
 
+    /// Adds a run time to the probe that began at `since`, unless it falls into
+    /// the warm-up. Once the probe has lasted long enough, sets the baseline
+    /// and ends it.
     fn record_probe(&mut self, span: Duration, since: Time, now: Time) {
         let age = now.since(since);
         if age >= PROBE_WARMUP {
@@ -167,6 +177,8 @@
         self.start = now;
     }
 
+    /// Adapts the limit to the mean run time and the shed calls of the window,
+    /// and starts the next one.
     fn close_window(&mut self, now: Time) {
         let mean = self.window.mean();
         let baseline = self.baseline.unwrap_or(mean);
--- a/crates/route/src/orglimit.rs
+++ b/crates/route/src/orglimit.rs
@@ -5,7 +5,8 @@
 use chestnut_conf::OrgLimits;
 use chestnut_unit::{OrgName, Time};
 
-/// Span of the rate limit that may be saved up as a burst.
+/// Span of the rate limit that may be saved up as a burst; also the retry delay
+/// at the concurrency limit.
 const BURST_SPAN: Duration = Duration::from_secs(1);
 /// Time without requests after which an organisation's limiter may be dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -25,6 +26,7 @@
 }
 
 impl OrgLimiter {
+    /// Creates a limiter with a full bucket and no request in flight.
     fn new(now: Time) -> Self {
         Self {
             tokens: f64::INFINITY,
@@ -33,6 +35,9 @@
         }
     }
 
+    /// Takes a token and counts a request in flight, under `limits` divided by
+    /// `entries` but at least one request each. At a limit it takes neither and
+    /// returns the retry delay.
     fn admit(&mut self, limits: &OrgLimits, entries: usize, now: Time) -> Result<(), Duration> {
         let entries = entries.max(1) as f64;
         let rate = limits.rate.0 as f64 / entries;
@@ -59,7 +64,9 @@
 }
 
 impl OrgLimiters {
-    /// Admits a request of an organisation.
+    /// Admits a request of an organisation under its limits divided by
+    /// `entries`, and counts it until [`OrgLimiters::release`]. With many
+    /// limiters it drops idle ones first.
     ///
     /// # Errors
     ///
@@ -82,7 +89,8 @@
         limiter.admit(limits, entries, now)
     }
 
-    /// Records the end of a request that was admitted.
+    /// Records the end of a request that was admitted; does nothing for an
+    /// unknown organisation.
     pub fn release(&mut self, org: &OrgName) {
         if let Some(limiter) = self.limiters.get_mut(org) {
             limiter.in_flight = limiter.in_flight.saturating_sub(1);
--- a/crates/route/src/penalty.rs
+++ b/crates/route/src/penalty.rs
@@ -16,15 +16,16 @@
 const SLOW_START_FACTOR: f64 = 3.0;
 /// Duration of slow start, over which the factor of a new leaf falls to 1.
 const SLOW_START: Duration = Duration::from_secs(10);
-/// Exponent of the success rate by which a score is divided. It is above 1
-/// because a failed call costs an extra call or part of the answer, which is
-/// worse than a short wait in a queue.
+/// Exponent of the success rate by which a score is divided. Above 1, since a
+/// failed call costs an extra call or part of the answer.
 const FAILURE_EXPONENT: i32 = 3;
 /// Lowest success rate used, so that scores stay finite.
 const MIN_SUCCESS_RATE: f64 = 0.1;
 
 impl Table {
-    /// Factor by which hints, slow start, distance and failures raise a score.
+    /// Factor, 1 or more, by which hints, slow start, distance and failures
+    /// raise a back end's predicted score. It is 1 with the guard off; back
+    /// ends added at time zero have no slow start.
     #[must_use]
     pub(crate) fn score_penalty(&self, ix: Ix, now: Time) -> f64 {
         let state = &self.states[ix.index()];
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -23,21 +23,24 @@
 }
 
 /// Time without any answer after which a connection with outstanding calls
-/// counts as quiet and is probed. Stragglers seldom take as long, and a
-/// needless probe is cheap.
+/// counts as quiet and is probed. Stragglers seldom take as long.
 pub const QUIET_TIMEOUT: Duration = Duration::from_millis(40);
-/// Cooldown after a refused connection, before the next one is opened.
+/// Time after a refused connection in which the pool opens no other one.
 const REFUSED_COOLDOWN: Duration = Duration::from_millis(100);
 
+/// One connection: whether it is open, its calls in flight, and since when they
+/// have had no answer.
 #[derive(Clone, Debug)]
 struct Conn {
     ready: bool,
     outstanding: u32,
-    /// Since when calls are outstanding without any answer; `None` if none is.
+    /// Since when calls have had no answer, abandoned ones included; `None` if
+    /// none waits for one.
     quiet_since: Option<Time>,
 }
 
 impl Conn {
+    /// Whether calls have had no answer for longer than [`QUIET_TIMEOUT`].
     fn is_quiet(&self, now: Time) -> bool {
         self.quiet_since
             .is_some_and(|since| now.since(since) > QUIET_TIMEOUT)
@@ -65,9 +68,10 @@
 }
 
 impl Pool {
-    /// Creates a pool of at most `max` connections, and up to `spare` more
-    /// while all are quiet. Both together must stay within this entry's share
-    /// of the leaf's connections.
+    /// Creates an empty pool. Beyond the first connection, others up to `max`
+    /// (at least 1) plus `spare` in all are opened only while all are quiet.
+    /// Both together must stay within this entry's share of the leaf's
+    /// connections.
     #[must_use]
     pub fn new(max: usize, spare: usize) -> Self {
         Self {
@@ -104,7 +108,9 @@
         self.conns.keys().copied().collect()
     }
 
-    /// Selects the connection for a new call.
+    /// Selects the connection for a new call: of the open ones, quiet ones last,
+    /// that with the fewest outstanding calls. Without an open one it registers
+    /// a connection to open, unless one is being opened or the cooldown runs.
     pub fn pick(&mut self, now: Time) -> Pick {
         let best = self
             .conns
@@ -122,8 +128,8 @@
     }
 
     /// Checks for quiet connections; to be called [`QUIET_TIMEOUT`] after a call
-    /// was sent. Returns a connection to open if all are quiet and the limits
-    /// allow one.
+    /// was sent. Registers and returns a connection to open if all are quiet,
+    /// none is being opened, and the limits and the cooldown allow one.
     pub fn check(&mut self, now: Time) -> Option<ConnId> {
         let opening = self.conns.values().any(|conn| !conn.ready);
         let all_quiet = self.conns.values().all(|conn| conn.is_quiet(now));
@@ -140,27 +146,28 @@
         quiet.map(|(id, _)| *id).collect()
     }
 
-    /// Records the answer to a probe: the connection is slow, not silent.
+    /// Records the answer to a probe: the connection is slow, not silent, and
+    /// counts as quiet again only [`QUIET_TIMEOUT`] after `now`.
     pub fn probe_answered(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.quiet_since = (conn.outstanding > 0).then_some(now);
         }
     }
 
-    /// Records that a connection is open.
+    /// Records that a connection is open, so that calls can use it.
     pub fn opened(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.ready = true;
         }
     }
 
-    /// Records that a connection could not be opened.
+    /// Removes a connection that could not be opened and starts the cooldown.
     pub fn refused(&mut self, id: ConnId, now: Time) {
         self.conns.remove(&id);
         self.cooldown_until = now + REFUSED_COOLDOWN;
     }
 
-    /// Records that a connection was closed.
+    /// Removes a connection that was closed.
     pub fn closed(&mut self, id: ConnId) {
         self.conns.remove(&id);
     }
@@ -173,7 +180,7 @@
         }
     }
 
-    /// Records that a call was answered.
+    /// Records that a call was answered; the connection is no longer quiet.
     pub fn answered(&mut self, id: ConnId, now: Time) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.outstanding = conn.outstanding.saturating_sub(1);
@@ -189,10 +196,12 @@
         }
     }
 
+    /// Whether the limits and the cooldown allow another connection.
     fn may_open(&self, now: Time) -> bool {
         self.conns.len() < self.max + self.spare && now >= self.cooldown_until
     }
 
+    /// Registers a connection that is being opened and returns its new id.
     fn start_opening(&mut self) -> ConnId {
         let id = ConnId(self.next_id);
         self.next_id += 1;
--- a/crates/route/src/profile.rs
+++ b/crates/route/src/profile.rs
@@ -17,11 +17,11 @@
 }
 
 /// Quantile of call durations above which a call is late. Its complement is the
-/// rate of hedges in normal operation, which must stay well below the hedge
-/// budget so that tokens are left for stragglers.
+/// usual rate of hedges, which must stay well below the hedge budget.
 const LATE_QUANTILE: f64 = 0.99;
 
-/// Quantiles of the recent calls of one class.
+/// Quantiles of the recent call durations of one class and of their excess over
+/// the expected ones, with the latency objective.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// Durations of the calls.
@@ -33,6 +33,8 @@
 }
 
 impl Default for Profile {
+    /// No calls recorded and no objective; the high quantiles are the 99th
+    /// percentile.
     fn default() -> Self {
         Self {
             calls: Quantiles::new(LATE_QUANTILE),
--- a/crates/route/src/query/calls.rs
+++ b/crates/route/src/query/calls.rs
@@ -14,8 +14,10 @@
 const RECHECK_DELAY: Duration = Duration::from_millis(2);
 
 impl<P> Query<P> {
-    /// Calls other replicas for shards whose calls have all ended, if the query
-    /// allows it.
+    /// Calls other replicas for shards whose calls have all ended. Does nothing
+    /// if an earlier call may have run and must not be repeated, or if the
+    /// deadline is too near. A retry waits while the query needs a first
+    /// answer; shards that all replicas shed back off.
     pub(super) fn retry(&mut self, uncovered: &[usize], kind: CallKind, cx: &mut Context<'_>) {
         let may_have_run = kind == CallKind::Retry && self.config.repeat == Repeat::OnlyIfNotRun;
         if may_have_run || cx.now + HOP_ALLOWANCE >= self.config.deadline {
@@ -31,9 +33,12 @@
         }
     }
 
-    /// Hedges the shards that are late and sets the time of the next check.
-    /// Each delay is fixed when its call is sent: if it were recomputed at each
-    /// check, a small rise would make late shards wait for another whole delay.
+    /// Records which back ends delay the late shards, hedges these if the query
+    /// is idempotent, and sets the time of the next check. Before the midpoint
+    /// it waits until few shards are missing; while the query needs a first
+    /// answer it makes no hedges. Each delay is fixed when its call is sent: if
+    /// it were recomputed at each check, a small rise would make late shards
+    /// wait for another whole delay.
     pub(super) fn hedge(&mut self, cx: &mut Context<'_>) {
         self.next_check = Time::MAX;
         if self.needs_first_answer() {
@@ -69,9 +74,9 @@
         }
     }
 
-    /// Returns whether few shards or few calls are missing. One call to a peer
-    /// covers many shards: if it hangs, most shards may be missing although
-    /// nothing else is wrong.
+    /// Returns whether few shards or few calls are missing, by the policy
+    /// `hedge`. One call to a peer covers many shards: if it hangs, most shards
+    /// may be missing although nothing else is wrong.
     pub(super) fn few_missing(&self, hedge: Hedge) -> bool {
         let live = |call: &&Call| matches!(call.state, CallState::Live(_));
         let calls = self.calls.iter().filter(live).count();
@@ -113,17 +118,17 @@
         }
     }
 
-    /// Moves a hedge forward so that its answer can meet the latency objective,
-    /// but not below the duration of a typical call: otherwise the budget would
-    /// be spent on calls that are not late.
+    /// Returns `due`, or an earlier time for the hedge so that its answer can
+    /// meet the latency objective, but not below the duration of a typical
+    /// call: otherwise the budget would be spent on calls that are not late.
     fn advance_hedge(&self, due: Time, cx: &Context<'_>) -> Time {
         let median = cx.table.profile(self.config.class).calls.median();
         let latest = self.config.objective - median.mul_f64(HEDGE_HEADROOM);
         due.min(latest.max(cx.now + median.mul_f64(HEDGE_DELAY_MIN)))
     }
 
-    /// Pays for a call of `kind` from the budget of its shards; returns whether
-    /// it is paid.
+    /// Pays for a call of `kind` from the budget of its first shard and counts
+    /// the outcome; a first call also earns tokens. Returns whether it is paid.
     fn pay(&mut self, kind: CallKind, shards: &[usize], cx: &mut Context<'_>) -> bool {
         let Some(first) = shards.first() else {
             return false;
@@ -151,8 +156,9 @@
         paid == SpendResult::Paid
     }
 
-    /// Chooses the replica for a shard's next call, if one may be called and a
-    /// hedge there could answer in time.
+    /// Chooses the replica for a shard's next call. Returns `None` if the
+    /// shard's attempts are used up, if no replica may be called or has
+    /// capacity, or if a hedge there could not answer in time.
     pub(super) fn choose_for(
         &self,
         position: usize,
@@ -181,7 +187,8 @@
         (!too_late).then_some(to)
     }
 
-    /// Sends a call for `shards` to a back end and sets its hedge time.
+    /// Emits a call for `shards` to a back end, records it in the table, and
+    /// sets the time from which it is late.
     pub(super) fn send(
         &mut self,
         to: Ix,
@@ -233,7 +240,8 @@
         }
     }
 
-    /// Cancels a call, if it is in flight.
+    /// Cancels a call that is in flight: records it in the table as cancelled
+    /// and emits [`Action::Cancel`]. Does nothing if the call has ended.
     pub(super) fn cancel(&mut self, id: CallId, cx: &mut Context<'_>) {
         let Some(attempt) = self.take(id) else {
             return;
@@ -249,7 +257,7 @@
     }
 }
 
-/// Returns the kind of call that replaces a failed one.
+/// Returns the kind of call that replaces one that failed with `failure`.
 pub(super) fn kind_after(failure: Failure, repeat: Repeat) -> CallKind {
     match failure {
         // Silence proves nothing: a call that must run at most once may have
@@ -265,12 +273,14 @@
     }
 }
 
-/// Time before the objective at which a hedge is sent, in median calls.
+/// Time before the latency objective by which a hedge is sent, in median call
+/// durations.
 const HEDGE_HEADROOM: f64 = 1.5;
-/// Minimum delay of a hedge, in median calls.
+/// Minimum delay to which a hedge is moved forward, in median call durations.
 const HEDGE_DELAY_MIN: f64 = 1.5;
 /// Returns whether a shard may be called again after every replica was tried:
-/// to replace a failed call, or after a backoff if it was shed.
+/// to replace a failed call, or after a backoff if it was shed, up to
+/// [`MAX_ROUNDS`] calls per replica.
 pub(super) fn may_repeat<P>(kind: CallKind, shard: &Shard<P>, replicas: &[Ix]) -> bool {
     let replaces = match kind {
         CallKind::Retry | CallKind::Reroute => true,
--- a/crates/route/src/query/completion.rs
+++ b/crates/route/src/query/completion.rs
@@ -5,16 +5,17 @@
 use super::{CallId, Context, End, HOP_ALLOWANCE, PartialReason, Query};
 
 impl<P> Query<P> {
-    /// Returns whether the latency objective has passed and the answer has the
-    /// minimum coverage.
+    /// Returns whether the latency objective has passed and the merged shards, at
+    /// least one, reach the minimum coverage.
     pub(super) fn is_sufficient(&self, now: Time) -> bool {
         let merged = self.shards.len() - self.pending;
         now >= self.config.objective && merged > 0 && self.has_min_coverage(merged)
     }
 
     /// Returns whether the minimum coverage is reached and all missing shards have
-    /// only unresponsive back ends. Each query still calls one of them first, so a
-    /// recovered back end is detected by the next query.
+    /// only unresponsive back ends; false without an objective before the
+    /// deadline. Each query still calls one of them first, so a recovered back end
+    /// is detected by the next query.
     pub(super) fn only_unresponsive_left(&self, cx: &Context<'_>) -> bool {
         let merged = self.shards.len() - self.pending;
         if self.config.objective >= self.config.deadline || !self.has_min_coverage(merged) {
@@ -29,7 +30,8 @@
         })
     }
 
-    /// Returns the positions of the shards without a back end that may be called.
+    /// Returns the positions of the shards without a back end that may be called
+    /// for the pinned version.
     pub(super) fn unavailable(&self, cx: &Context<'_>) -> Vec<usize> {
         let version = self.version();
         let is_unavailable = |position: &usize| {
@@ -45,7 +47,8 @@
         shards as f64 >= self.config.min_coverage.as_f64() * self.shards.len() as f64
     }
 
-    /// Ends the query if no further shard can be merged or none is needed.
+    /// Ends the query if it is complete or sufficient, or if no further shard or
+    /// too few for minimum coverage can be merged. Otherwise continues a trial.
     pub(super) fn check_end(&mut self, cx: &mut Context<'_>) {
         if self.end.is_some() {
             return;
@@ -77,7 +80,9 @@
         self.continue_trial(cx);
     }
 
-    /// Returns why the `exhausted` shards have no call in flight and get none.
+    /// Returns why the `exhausted` shards have no call in flight and get none: the
+    /// deadline is too near, no replica of one of them may be called, or else no
+    /// replica is left to try.
     pub(super) fn partial_reason(&self, exhausted: &[usize], cx: &Context<'_>) -> PartialReason {
         if cx.now + HOP_ALLOWANCE >= self.config.deadline {
             return PartialReason::Deadline;
@@ -98,7 +103,8 @@
         }
     }
 
-    /// Ends the query: leaves the capacity queue and cancels all calls in flight.
+    /// Ends the query with `end`: leaves the capacity queue and cancels all calls
+    /// in flight.
     pub(super) fn finish(&mut self, end: End, cx: &mut Context<'_>) {
         self.end = Some(end);
         self.leave_queue(cx);
--- a/crates/route/src/query/mod.rs
+++ b/crates/route/src/query/mod.rs
@@ -22,7 +22,8 @@
 /// Time reserved per hop for an answer to travel from a back end to the caller.
 const HOP_ALLOWANCE: Duration = Duration::from_millis(1);
 
-/// State of one shard of the query.
+/// One shard of the query: its merged part, the back ends called for it, and its
+/// calls.
 #[derive(Debug)]
 struct Shard<P> {
     route: usize,
@@ -43,7 +44,7 @@
     backed_off: bool,
 }
 
-/// Whether a call is in flight.
+/// Whether a call is in flight, with its sent attempt, or has ended.
 #[derive(Debug)]
 enum CallState {
     Live(Attempt<Sent>),
@@ -70,7 +71,8 @@
     pub actions: &'a mut Vec<Action>,
 }
 
-/// One query. `P` is the partial result of one shard.
+/// One query: its shards with the parts merged so far, its calls, and how it
+/// ended. `P` is the partial result of one shard.
 #[derive(Debug)]
 pub struct Query<P> {
     routes: Arc<Routes>,
@@ -108,7 +110,10 @@
 }
 
 impl<P> Query<P> {
-    /// Starts a query over all shards of `routes`, or over those in `subset`.
+    /// Starts a query over all shards of `routes`, or over those at the positions
+    /// in `subset`: makes the first calls, or queues it for capacity. Ends it
+    /// without a call if too few shards for minimum coverage have an open back
+    /// end.
     pub fn start(
         routes: Arc<Routes>,
         subset: Option<&[usize]>,
@@ -150,8 +155,11 @@
         query
     }
 
-    /// Handles an answer. Drops parts of another snapshot, of shards that this
-    /// call did not request, and of shards already merged.
+    /// Handles the answer to call `id`, made from snapshot `version`; `parts`
+    /// holds pairs of a shard's position in the query and its part. Drops parts
+    /// of another snapshot, of shards that this call did not request, and of
+    /// shards already merged. Then retries shards that it left out, cancels calls
+    /// no longer needed, and may end the query.
     pub fn answer(
         &mut self,
         id: CallId,
@@ -178,7 +186,9 @@
         self.check_end(cx);
     }
 
-    /// Handles the failure of a call.
+    /// Handles the failure of a call: records it in the table, and retries its
+    /// shards that have no other call in flight, or ends the query. Does nothing
+    /// for a call that has already ended.
     pub fn fail(&mut self, id: CallId, failure: Failure, cx: &mut Context<'_>) {
         let Some(attempt) = self.take(id) else {
             return;
@@ -203,7 +213,9 @@
         self.check_end(cx);
     }
 
-    /// Handles the passing of time.
+    /// Handles the passing of time: ends the query at its deadline, or at the
+    /// objective with minimum coverage; makes deferred calls that are due, and
+    /// hedges late shards. A queued query checks for capacity.
     pub fn tick(&mut self, cx: &mut Context<'_>) {
         if self.end.is_some() {
             return;
@@ -229,7 +241,8 @@
         }
     }
 
-    /// Reverts the count of a call that did not run.
+    /// Reverts the count of a call that did not run, so that it doesn't count as
+    /// an attempt at its shards.
     fn revert_run(&mut self, id: CallId) {
         for position in &self.calls[id.0 as usize].shards {
             let shard = &mut self.shards[*position];
@@ -237,14 +250,16 @@
         }
     }
 
-    /// Ends a query whose caller is gone.
+    /// Ends a query whose caller is gone, as if its deadline had passed, and
+    /// cancels its calls. Does nothing if it has ended.
     pub fn cancel_all(&mut self, cx: &mut Context<'_>) {
         if self.end.is_none() {
             self.finish(End::Partial(PartialReason::Deadline), cx);
         }
     }
 
-    /// Returns when [`Query::tick`] must be called next.
+    /// Returns when [`Query::tick`] must be called next: at the next check, the
+    /// deadline or the objective, whichever is first.
     #[must_use]
     pub fn next_tick(&self) -> Time {
         let started = self.queued.is_empty();
@@ -276,7 +291,8 @@
         self.withheld
     }
 
-    /// Returns proof that no target ran any part of the query, if there is one.
+    /// Returns proof that no target ran any part of the query; `None` while a
+    /// call is in flight or if one may have run.
     #[must_use]
     pub fn not_run(&self) -> Option<NotRun> {
         let live = self
@@ -342,11 +358,13 @@
             .filter_map(|shard| shard.part.map(|part| (shard.route, part)))
     }
 
+    /// Returns the index version of the pinned snapshot.
     fn version(&self) -> IndexVersion {
         self.routes.snapshot.version
     }
 
-    /// Marks a call as done and returns its attempt, if it was in flight.
+    /// Marks a call as done and returns its attempt, or `None` if it was not in
+    /// flight.
     fn take(&mut self, id: CallId) -> Option<Attempt<Sent>> {
         let call = self.calls.get_mut(id.0 as usize)?;
         match std::mem::replace(&mut call.state, CallState::Done) {
@@ -355,6 +373,8 @@
         }
     }
 
+    /// Stores the parts that call `id` requested and that are still missing;
+    /// counts the others as dropped.
     fn merge(&mut self, id: CallId, parts: Vec<(usize, P)>, cx: &mut Context<'_>) {
         let asked = std::mem::take(&mut self.calls[id.0 as usize].shards);
         for (position, part) in parts {
@@ -370,7 +390,8 @@
     }
 
     /// Detaches a call that has ended from its shards. Those still missing and
-    /// without another call in flight are retried or given up.
+    /// without another call in flight are retried by a call of kind `again`,
+    /// unless the query has ended; calls no longer needed are cancelled.
     fn detach(&mut self, id: CallId, again: CallKind, cx: &mut Context<'_>) {
         let shards = std::mem::take(&mut self.calls[id.0 as usize].shards);
         let mut uncovered = Vec::new();
@@ -393,7 +414,8 @@
 }
 
 impl<P> Shard<P> {
-    /// Returns when the shard must be checked next.
+    /// Returns when the shard must be checked next: when its deferred call is
+    /// due, or else when its latest call is late.
     fn next(&self) -> Time {
         self.deferred.map_or(self.late_at, |deferred| deferred.at)
     }
@@ -404,6 +426,8 @@
         self.part.is_none() && self.live == 0 && self.deferred.is_none()
     }
 
+    /// Creates a missing shard without calls; `route` is its position in the
+    /// pinned routes.
     fn new(route: usize) -> Self {
         Self {
             route,
--- a/crates/route/src/query/trial.rs
+++ b/crates/route/src/query/trial.rs
@@ -12,7 +12,8 @@
 const MAX_LOST: usize = 3;
 
 impl<P> Query<P> {
-    /// Returns whether the query must get a first answer before it calls more back ends.
+    /// Returns whether the query must get a first answer before it calls more back ends:
+    /// none has answered, and it is suspected or has lost [`MAX_LOST`] calls.
     pub(super) fn needs_first_answer(&self) -> bool {
         let suspected = self.config.trust == Trust::Suspected || self.lost >= MAX_LOST;
         suspected && !self.answered
@@ -27,7 +28,7 @@
     }
 
     /// Records that a back end has answered, so the request does not crash those that run
-    /// it, and makes the calls deferred for that.
+    /// it, and makes the calls deferred for that. Later answers change nothing.
     pub(super) fn record_first_answer(&mut self, cx: &mut Context<'_>) {
         if self.answered || self.end.is_some() {
             return;
@@ -50,8 +51,8 @@
         self.next_check = self.next_check.min(self.next_due(cx.now));
     }
 
-    /// Returns the time of the earliest deferred call, apart from those that wait for a
-    /// first answer.
+    /// Returns the time of the earliest deferred call, or [`Time::MAX`] if all wait for a
+    /// first answer or there is none.
     pub(super) fn next_deferred(&self) -> Time {
         let waiting = self.shards.iter().filter_map(|shard| shard.deferred);
         waiting
@@ -60,8 +61,9 @@
             .unwrap_or(Time::MAX)
     }
 
-    /// Continues a query that waits for a first answer when no call in flight can bring
-    /// it: calls the next shard if no call was lost, and ends the query otherwise.
+    /// Continues a query that waits for a first answer when no call, in flight or
+    /// deferred, can bring it: calls the next shard if no call was lost, and ends the
+    /// query otherwise.
     pub(super) fn continue_trial(&mut self, cx: &mut Context<'_>) {
         let waits =
             |deferred: Option<Deferred>| deferred.is_some_and(|deferred| deferred.at == Time::MAX);
--- a/crates/route/src/query/wait.rs
+++ b/crates/route/src/query/wait.rs
@@ -9,22 +9,21 @@
 };
 use crate::{BudgetId, Ix};
 
-/// Delay before the first check for capacity: about the time for a busy back end to free
-/// a slot.
+/// Minimum delay between two checks for capacity: about the time for a busy back end to
+/// free a slot.
 const CAPACITY_RECHECK: Duration = Duration::from_millis(4);
 /// Divisor of the time since the query's start that gives later delays: queries that
 /// will be late anyway leave the capacity to those that can be in time.
 const RECHECK_DIVISOR: u32 = 4;
-/// Divisor of the time to the latency objective that limits the wait before the first
-/// call; the calls need the rest. A query that would wait longer, judging by the queue
-/// and the drain rate, ends at once.
+/// Divisor of the time from the query's start to its latency objective that limits the
+/// wait for capacity before the first call; the calls need the rest.
 const QUEUE_DIVISOR: u32 = 2;
-/// Divisor of the time to the latency objective within which a caller that receives an
-/// error can retry and still meet the objective.
+/// Divisor of the time from the query's start to its latency objective that gives the
+/// time until which a caller can still retry after an error and meet the objective.
 const RETRY_DIVISOR: u32 = 2;
 /// Backoff of a shard that every replica shed: long enough for a slot to be freed.
 const SHED_BACKOFF: Duration = Duration::from_millis(4);
-/// Maximum number of calls of one query to each replica of a shard.
+/// Maximum number of calls of one query for a shard, as a multiple of its replicas.
 pub(super) const MAX_ROUNDS: usize = 2;
 
 /// Capacity that a query lacks before its first call.
@@ -47,9 +46,10 @@
 }
 
 impl<P> Query<P> {
-    /// Makes the first calls if enough shards have capacity for minimum coverage.
-    /// Otherwise queues the query without calls: calls to the shards that have capacity
-    /// would be wasted.
+    /// Makes the first calls if enough shards have capacity for minimum coverage; a
+    /// query that needs a first answer makes only one. Otherwise queues the query
+    /// without calls, or ends it if it would wait too long: calls to the shards that
+    /// have capacity would be wasted.
     pub(super) fn make_first_calls(&mut self, cx: &mut Context<'_>) {
         if let Some(shortage) = self.shortage(cx) {
             self.enqueue(shortage, cx);
@@ -70,10 +70,10 @@
         self.check_end(cx);
     }
 
-    /// Returns the shards to call first and those to defer. Where other queries are
-    /// queued for a shard that this one can do without, the shard is left to them:
-    /// otherwise a query that needs the capacity less would take it from one that then
-    /// gets no answer at all.
+    /// Returns the positions of the shards to call first and of those to defer. Where
+    /// other queries are queued for a shard that this one can do without, the shard is
+    /// left to them: otherwise a query that needs the capacity less would take it from
+    /// one that then gets no answer at all.
     fn split_first_calls(&self, cx: &Context<'_>) -> (Vec<usize>, Vec<usize>) {
         let version = self.version();
         let route = |position: usize| &self.routes.shards[self.shards[position].route];
@@ -92,7 +92,8 @@
         })
     }
 
-    /// Returns the capacity that the query lacks for minimum coverage, if any.
+    /// Returns the capacity that the query lacks for minimum coverage, or `None` if
+    /// enough shards have capacity.
     fn shortage(&self, cx: &Context<'_>) -> Option<Shortage> {
         let version = self.version();
         let routes = self.shards.iter().map(|s| s.route);
@@ -121,7 +122,9 @@
         })
     }
 
-    /// Queues the query for capacity, or ends it if it would wait too long.
+    /// Queues the query for capacity, or keeps it queued. Ends it as
+    /// [`PartialReason::NoCapacity`] if it has waited too long or, judging by the queue
+    /// and the drain rate, would.
     fn enqueue(&mut self, shortage: Shortage, cx: &mut Context<'_>) {
         let until = self.start + self.config.objective.since(self.start) / QUEUE_DIVISOR;
         let new = self.queued.is_empty();
@@ -147,20 +150,22 @@
         self.next_check = self.check_time(cx.now).min(until);
     }
 
-    /// Removes the query from the capacity queue.
+    /// Removes the query from the capacity queue; does nothing if it isn't queued.
     pub(super) fn leave_queue(&mut self, cx: &mut Context<'_>) {
         for budget in std::mem::take(&mut self.queued) {
             cx.table.dequeue(budget);
         }
     }
 
-    /// Returns when to check for capacity again.
+    /// Returns when to check for capacity again; the interval grows with the query's
+    /// age.
     fn check_time(&self, now: Time) -> Time {
         now + CAPACITY_RECHECK.max(now.since(self.start) / RECHECK_DIVISOR)
     }
 
-    /// Defers the call of a shard that has no call in flight, if its back ends only lack
-    /// capacity.
+    /// Defers the call of a shard that has no call in flight, if a back end may be
+    /// called for it and only lacks capacity. Hedges and shards without attempts left
+    /// aren't deferred.
     pub(super) fn defer_for_capacity(&mut self, position: usize, kind: CallKind, cx: &Context<'_>) {
         let shard = &self.shards[position];
         let attempts = shard.ran < self.config.max_attempts;
@@ -179,10 +184,12 @@
         }
     }
 
-    /// Defers calls that no budget paid for. A query of a single shard fails instead,
-    /// since a new request costs no more than the call over budget and no other shard's
-    /// work is lost. So does a query that needs several such shards while its caller can
-    /// still retry in time: the wait would rarely succeed and would make the retry late.
+    /// Defers calls other than hedges that no budget paid for. From the latency
+    /// objective on, or without one before the deadline, it defers none. A query of a
+    /// single shard fails instead, since a new request costs no more than the call over
+    /// budget and no other shard's work is lost. So does a query that needs several such
+    /// shards while its caller can still retry in time: the wait would rarely succeed
+    /// and would make the retry late.
     pub(super) fn defer_for_budget(&mut self, shards: &[usize], kind: CallKind, cx: &Context<'_>) {
         let alone = self.shards.len() == 1;
         if kind == CallKind::Hedge || alone || cx.now >= self.config.objective {
@@ -202,7 +209,8 @@
         }
     }
 
-    /// Defers a shard's call to `at`, unless that is too near the deadline.
+    /// Defers a shard's call to `at` and moves the next check up to it. Does nothing if
+    /// that is too near the deadline.
     fn defer_call(&mut self, position: usize, kind: CallKind, at: Time) {
         if at + HOP_ALLOWANCE >= self.config.deadline {
             return;
@@ -212,7 +220,8 @@
     }
 
     /// Defers a retry of shards that every replica shed by a backoff, in which a slot
-    /// may be freed.
+    /// may be freed. Skips shards that have a call in flight or deferred, or have used
+    /// up their calls.
     pub(super) fn back_off(&mut self, uncovered: &[usize], cx: &Context<'_>) {
         for position in uncovered {
             let shard = &self.shards[*position];
@@ -237,7 +246,8 @@
         yields
     }
 
-    /// Makes the deferred calls that are due.
+    /// Makes the deferred calls that are due, except first calls that yield to queued
+    /// queries, and ends the query if no more can be merged.
     pub(super) fn make_due_calls(&mut self, cx: &mut Context<'_>) {
         // Shards due for the same reason are called together, since one call may request
         // several shards from a back end.
--- a/crates/route/src/reserve.rs
+++ b/crates/route/src/reserve.rs
@@ -4,8 +4,8 @@
 
 use chestnut_unit::Time;
 
-/// Part of the tokens earned that may be saved up, and that is deducted from the earnings
-/// in return. A larger part allows larger bursts and fewer extra calls overall.
+/// Part of the tokens earned that may be saved up, and that is deducted from the
+/// earnings. A larger part allows larger bursts and fewer extra calls overall.
 const RESERVE_SHARE: f64 = 0.25;
 /// Number of buckets in which the first calls of a window are counted.
 const BUCKETS: u64 = 4;
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Adds the earnings of `calls` first calls; returns the tokens that are discarded.
+    /// Counts `calls` first calls that each earn `share`, and saves three quarters of the
+    /// tokens up to the capacity; returns the tokens that are discarded.
     pub(crate) fn earn(&mut self, calls: usize, share: f64, now: Time) -> f64 {
         self.advance(now);
         let count = u32::try_from(calls).unwrap_or(u32::MAX);
@@ -52,19 +53,20 @@
         earned - (self.saved - before)
     }
 
-    /// Withdraws up to `cost` tokens; returns how many.
+    /// Withdraws up to `cost` tokens; returns how many were available.
     pub(crate) fn withdraw(&mut self, cost: f64, share: f64, now: Time) -> f64 {
         let withdrawn = self.available(share, now).min(cost);
         self.saved = self.available(share, now) - withdrawn;
         withdrawn
     }
 
-    /// Tokens that can be withdrawn now.
+    /// Tokens that can be withdrawn now: those saved, up to the present capacity.
     pub(crate) fn available(&self, share: f64, now: Time) -> f64 {
         self.saved.min(self.capacity(share, now))
     }
 
-    /// Largest number of tokens that can be saved now.
+    /// Largest number of tokens that can be saved now: a quarter of what the first calls
+    /// of the last window earned.
     pub(crate) fn capacity(&self, share: f64, now: Time) -> f64 {
         let elapsed = usize::try_from(self.bucket_at(now).saturating_sub(self.current));
         let elapsed = elapsed.unwrap_or(self.calls.len()).min(self.calls.len());
@@ -73,11 +75,14 @@
         RESERVE_SHARE * share * calls as f64
     }
 
+    /// Number of the bucket that contains `now`, counted from time zero.
     fn bucket_at(&self, now: Time) -> u64 {
         let bucket = self.bucket.as_nanos().max(1);
         u64::try_from(now.since(Time::ZERO).as_nanos() / bucket).unwrap_or(u64::MAX)
     }
 
+    /// Starts the bucket that contains `now` if it is a later one, and drops the calls of
+    /// buckets that left the window.
     fn advance(&mut self, now: Time) {
         let current = self.bucket_at(now);
         let elapsed = current.saturating_sub(self.current);
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -25,16 +25,16 @@
 /// Points for a call that was cancelled late: the fault may be in its connection,
 /// which the pool detects first.
 const POINTS_LATE: u32 = 1;
-/// Duration of the first eviction; each consecutive one doubles it.
+/// Duration of the first eviction; each further one without an answer in between
+/// doubles it.
 const EVICT_FIRST: Duration = Duration::from_millis(500);
 /// Maximum duration of an eviction.
 const EVICT_MAX: Duration = Duration::from_secs(30);
 /// Backoff after a refused call: long enough for a slot to be freed, short enough not
 /// to leave the leaf idle.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
-/// Time between the first and the latest late call, without an answer in between,
-/// after which a back end is unresponsive. It must exceed the time over which a short
-/// pause makes calls late.
+/// Time from the first to the latest late call, without an answer in between, from
+/// which a back end is unresponsive. Must exceed the effect of a short pause.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(300);
 /// Nanoseconds in the common unit to which calls of several classes are scaled.
 const UNIT_NANOS: f64 = 1e6;
@@ -52,7 +52,8 @@
     pub failure: Failure,
 }
 
-/// State of one back end.
+/// What the entry knows of one back end: its load, durations and window, failures and
+/// evictions, and whether it may be called.
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     /// The back end.
@@ -116,7 +117,7 @@
 }
 
 impl Table {
-    /// Creates an empty table.
+    /// Creates a table without back ends, with the default budget and class.
     #[must_use]
     pub fn new(config: TableConfig) -> Self {
         Self {
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Returns the index of a back end, which is added if it is new.
+    /// Returns the index of a back end. A new one is added as available since `now`;
+    /// of a known one only `slots`, the calls that it runs concurrently, is updated.
     pub fn add(&mut self, backend: Backend, slots: u32, now: Time) -> Ix {
         if let Some(ix) = self.index.get(&backend) {
             self.states[ix.index()].slots = slots;
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Returns the index of a known back end.
+    /// Returns the index of a back end, or `None` if it is unknown or retired.
     #[must_use]
     pub fn find(&self, backend: &Backend) -> Option<Ix> {
         self.index.get(backend).copied()
@@ -192,7 +194,8 @@
         &self.states[ix.index()].backend
     }
 
-    /// Marks a back end as leaving, or as available again after a restart.
+    /// Marks a back end as leaving, so that it gets no calls, or as available again
+    /// after a restart, with a new slow start at `now`.
     pub fn set_leaving(&mut self, ix: Ix, leaving: bool, now: Time) {
         let state = &mut self.states[ix.index()];
         if state.leaving && !leaving {
@@ -202,7 +205,7 @@
     }
 
     /// Excludes a back end from all calls while its failure domain is evacuated, or
-    /// readmits it. Its state is kept, but it is cold again once readmitted.
+    /// readmits it. Its state is kept, but slow start begins again once readmitted.
     pub fn set_excluded(&mut self, ix: Ix, excluded: bool, now: Time) {
         let state = &mut self.states[ix.index()];
         if state.excluded && !excluded {
@@ -217,9 +220,9 @@
         self.states[ix.index()].excluded
     }
 
-    /// Sets the factor (1 or more) by which the health or load endpoint rates the back
-    /// end worse than its calls do. It affects only the order of back ends; it never
-    /// evicts one, because endpoints lag and can be wrong.
+    /// Sets the factor by which the health or load endpoint rates the back end worse
+    /// than its calls do, limited to 1 to 2. It affects only the order of back ends;
+    /// it never evicts one, because endpoints lag and can be wrong.
     pub fn set_hint(&mut self, ix: Ix, factor: f64) {
         self.states[ix.index()].hint = factor.clamp(1.0, MAX_HINT_FACTOR);
     }
@@ -315,7 +318,8 @@
         totals.fold(BudgetTotals::default(), BudgetTotals::add)
     }
 
-    /// Returns the durations of recent calls of a class.
+    /// Returns the profile of a class: durations of its recent calls, and its
+    /// objective.
     #[must_use]
     pub fn profile(&self, class: Class) -> &Profile {
         &self.profiles[class.index()]
@@ -337,7 +341,8 @@
         }
     }
 
-    /// Returns the duration of a typical call in the common unit.
+    /// Returns the duration of a typical call in nanoseconds of the common unit: the
+    /// median of a single class, otherwise a constant.
     pub(crate) fn typical_nanos(&self) -> f64 {
         if self.profiles.len() == 1 {
             self.profiles[0].calls.median().as_nanos() as f64
@@ -346,17 +351,18 @@
         }
     }
 
-    /// Returns the evictions since the last call of this function.
+    /// Returns and clears the evictions since the last call of this function.
     pub fn take_evictions(&mut self) -> Vec<Eviction> {
         std::mem::take(&mut self.new_evictions)
     }
 
-    /// Returns all back ends.
+    /// Returns all back ends except retired ones.
     pub fn backends(&self) -> impl Iterator<Item = (Ix, &Backend)> {
         self.index.iter().map(|(backend, ix)| (*ix, backend))
     }
 
-    /// Records that a call is sent.
+    /// Records that a call is sent to a back end at `now`, for its calls in flight and
+    /// its cold limit.
     pub fn sent(&mut self, ix: Ix, now: Time) {
         self.states[ix.index()].outstanding += 1;
         self.record_call_time(ix, now);
@@ -367,7 +373,9 @@
         self.answered_in(Class::default(), ix, span, now);
     }
 
-    /// Records an answer after `span` to a call of `class`.
+    /// Records an answer after `span` to a call of `class`: updates the durations, the
+    /// window and the failure rate, and clears the back end's failure points, eviction
+    /// and stall.
     pub fn answered_in(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
         let expected = self.expected_span(class, ix, now);
         let profile = &mut self.profiles[class.index()];
@@ -387,7 +395,10 @@
         state.failure_rate.record(Outcome::Success, now);
     }
 
-    /// Records the failure of a call.
+    /// Records the failure of a call. Faults of the target raise its failure rate;
+    /// lost, unsent and failed calls add failure points and may evict it. A lack of
+    /// capacity starts a short backoff, shedding also shrinks the window, and draining
+    /// marks it as leaving.
     pub fn failed(&mut self, ix: Ix, failure: Failure, now: Time) {
         let state = &mut self.states[ix.index()];
         state.outstanding = state.outstanding.saturating_sub(1);
@@ -410,8 +421,10 @@
         }
     }
 
-    /// Records a call that was cancelled unanswered after `span`. Late cancellations
-    /// count as failures: a frozen or silent back end never fails a call by itself.
+    /// Records a call that was cancelled unanswered after `span`, in the estimate and
+    /// the window. If it was late enough for a hedge (without hedges, three medians)
+    /// and calls of `class` are known, it adds failure points: a frozen or silent back
+    /// end never fails a call by itself.
     pub fn cancelled(&mut self, class: Class, ix: Ix, span: Duration, now: Time) {
         let profile = &self.profiles[class.index()];
         let known = profile.calls.count() > 0;
@@ -438,8 +451,9 @@
         state.unanswered = Some((first, now));
     }
 
-    /// Returns whether a back end is unavailable, or has let calls run late for longer
-    /// than a pause without answering any.
+    /// Returns whether a back end is unavailable (leaving, excluded, evicted or at its
+    /// cold limit), or has let calls run late for longer than a pause without
+    /// answering any.
     #[must_use]
     pub(crate) fn is_unresponsive(&self, ix: Ix, now: Time) -> bool {
         let state = &self.states[ix.index()];
@@ -450,15 +464,17 @@
         state.leaving || state.excluded || unanswered || evicted || self.is_rate_limited(ix, now)
     }
 
-    /// Marks a back end as lacking a snapshot for a while.
+    /// Marks a back end as lacking the snapshot `version`, so that it isn't called for
+    /// it during the next second.
     pub fn mark_missing(&mut self, ix: Ix, version: IndexVersion, now: Time) {
         let state = &mut self.states[ix.index()];
         state.missing.retain(|_, until| now < *until);
         state.missing.insert(version, now + SNAPSHOT_BACKOFF);
     }
 
-    /// Returns whether a back end may be sent work of `version`, regardless of
-    /// evictions.
+    /// Returns whether a back end may be called for `version`: it isn't leaving,
+    /// excluded, at its cold limit or known to lack the snapshot. Evictions, backoffs
+    /// and capacity don't count.
     #[must_use]
     pub fn is_open(&self, ix: Ix, version: IndexVersion, now: Time) -> bool {
         let state = &self.states[ix.index()];
@@ -469,7 +485,8 @@
         !state.leaving && !state.excluded && !lacking && !self.is_rate_limited(ix, now)
     }
 
-    /// Returns whether a back end is in backoff after a refused or late call.
+    /// Returns whether a back end is in backoff after a refused or late call; never
+    /// with the guard off.
     #[must_use]
     pub(crate) fn in_backoff(&self, ix: Ix, now: Time) -> bool {
         let state = &self.states[ix.index()];
@@ -482,7 +499,8 @@
         self.states[ix.index()].suspected
     }
 
-    /// Returns the expected duration of a call of `class` in nanoseconds.
+    /// Returns the expected duration of a call of `class` in nanoseconds; the typical
+    /// one if no call to the back end was recorded.
     #[must_use]
     pub fn expected_nanos(&self, class: Class, ix: Ix, now: Time) -> f64 {
         let estimate = &self.states[ix.index()].estimate;
@@ -495,7 +513,8 @@
         Duration::from_nanos(self.expected_nanos(class, ix, now) as u64)
     }
 
-    /// Returns the delay between sending a call of `class` to `ix` and its hedge.
+    /// Returns the delay between sending a call of `class` to `ix` and its hedge, or
+    /// `None` if the policy makes no hedges.
     #[must_use]
     pub(crate) fn hedge_delay(&self, class: Class, ix: Ix, now: Time) -> Option<Duration> {
         let expected = self.expected_span(class, ix, now);
@@ -504,7 +523,9 @@
         hedge.delay(expected, &profile.calls, &profile.excess)
     }
 
-    /// Adds failure points to a back end and evicts it once it has too many.
+    /// Adds failure points to a back end. At [`EVICT_POINTS`] evicts it, unless it
+    /// already is, and records the eviction for [`Table::take_evictions`]. Does
+    /// nothing with the guard off.
     fn add_points(&mut self, points: u32, ix: Ix, failure: Failure, now: Time) {
         if self.config.guard == Guard::Off {
             return;
--- a/crates/route/src/versions.rs
+++ b/crates/route/src/versions.rs
@@ -57,7 +57,8 @@
 
     /// Returns the newest version of which every shard has an open back end.
     /// Without one, returns the version with the highest share of open shards
-    /// (the newest of equals), for templates that accept partial answers.
+    /// (the newest of equals), for templates that accept partial answers;
+    /// `None` if no shard is open.
     #[must_use]
     pub fn pin(&self, table: &Table, now: Time) -> Option<Arc<Routes>> {
         let complete = self
@@ -70,12 +71,14 @@
             .or_else(|| self.highest_coverage(table, now))
     }
 
-    /// Returns the routes of one version.
+    /// Returns the routes of one version, or `None` if it isn't kept.
     #[must_use]
     pub fn get(&self, version: IndexVersion) -> Option<Arc<Routes>> {
         self.routes.get(&version).cloned()
     }
 
+    /// Returns the version with the highest share of open shards in whole
+    /// permille, the newest of equals; `None` if all shares are 0.
     fn highest_coverage(&self, table: &Table, now: Time) -> Option<Arc<Routes>> {
         let share =
             |routes: &Routes| open_shards(routes, table, now) * 1000 / routes.shards.len().max(1);
@@ -88,6 +91,8 @@
     }
 }
 
+/// Counts the shards with at least one back end that may be called for the
+/// version.
 fn open_shards(routes: &Routes, table: &Table, now: Time) -> usize {
     let version = routes.snapshot.version;
     routes
--- a/crates/route/src/window.rs
+++ b/crates/route/src/window.rs
@@ -4,9 +4,8 @@
 
 use chestnut_unit::Time;
 
-/// Factor on the window for a late or refused call. Repeated decreases soon
-/// reach the lower bound; a single pause of a back end, which counts once, costs
-/// a fifth.
+/// Factor on the window's size for a late or refused call, at most once per
+/// round.
 const DECREASE_FACTOR: f64 = 0.8;
 
 /// Bounds on a window's size, in calls.
@@ -21,7 +20,8 @@
 
 impl Bounds {
     /// Returns the bounds for one of `entries` entries that call a back end with
-    /// `slots` slots, where this entry may open `connections` connections.
+    /// `slots` slots, where this entry may open `connections` connections: the
+    /// minimum is its part of the slots, rounded up, and both are at least 1.
     #[must_use]
     pub fn share(slots: u32, entries: usize, connections: usize) -> Self {
         let entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
@@ -52,6 +52,7 @@
 }
 
 impl Default for Window {
+    /// No limit until the first bounds are set.
     fn default() -> Self {
         Self {
             size: f64::INFINITY,
@@ -62,14 +63,16 @@
 }
 
 impl Window {
-    /// Returns the number of calls that may be in flight.
+    /// Returns the number of calls that may be in flight, `u32::MAX` without
+    /// bounds.
     #[must_use]
     pub fn size(&self) -> u32 {
         self.size as u32
     }
 
-    /// Sets the bounds. The first bounds start the window at twice the share of
-    /// the slots, so that entries that start together don't fill every queue.
+    /// Sets the bounds and moves the size into them. The first bounds start the
+    /// window at twice the share of the slots, so that entries that start
+    /// together don't fill every queue.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         let size = match self.bounds {
             None => f64::from(bounds.min) * 2.0,
@@ -99,6 +102,7 @@
         self.size = self.bounded(self.size * DECREASE_FACTOR);
     }
 
+    /// Returns `size` moved into the bounds; infinite without bounds.
     fn bounded(&self, size: f64) -> f64 {
         self.bounds.map_or(f64::INFINITY, |bounds| {
             size.clamp(f64::from(bounds.min), f64::from(bounds.max))
