--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -20,6 +20,8 @@
 /// platform.
 const REPORT_EXPIRY: Duration = Duration::from_secs(30);
 
+/// The last report of a peer: when it arrived, the digest of the peer's
+/// settings, and how long before that they were confirmed (`None` if never).
 #[derive(Clone, Copy, Debug)]
 struct PeerReport {
     at: Time,
@@ -42,6 +44,7 @@
 }
 
 impl Default for Confirmation {
+    /// Settings that were never confirmed, without reports of peers.
     fn default() -> Self {
         Self {
             at: LastConfirmed::Never,
@@ -56,7 +59,9 @@
         self.advance(now);
     }
 
-    /// Records a peer's message, received while this entry's digest was `own`.
+    /// Stores the report in a peer's message, received while this entry's digest
+    /// was `own`. If both digests are equal, the peer's confirmation counts for
+    /// this entry too, dated by its age.
     pub fn peer_reported(&mut self, message: &Message, own: BookDigest, now: Time) {
         let report = PeerReport {
             at: now,
@@ -72,8 +77,11 @@
         }
     }
 
-    /// Confirms the settings during an outage of the platform if all members in
-    /// `present` recently reported the digest `own` and had it confirmed before.
+    /// Confirms the settings during an outage of the platform, as of the oldest
+    /// report, if all members in `present` recently reported the digest `own`
+    /// and had it confirmed before. Does nothing if these settings were never
+    /// confirmed here or `present` is empty.
+    ///
     /// `present` lists all other members not confirmed gone
     /// ([`View::not_confirmed_gone`](crate::View)). A member that only stopped
     /// answering counts as present, so that the minority side of a partition
@@ -120,6 +128,8 @@
         }
     }
 
+    /// Moves the last confirmation forward to `at`; an earlier time changes
+    /// nothing.
     fn advance(&mut self, at: Time) {
         let later = match self.at {
             LastConfirmed::Never => true,
--- a/crates/fleet/src/entries.rs
+++ b/crates/fleet/src/entries.rs
@@ -18,14 +18,15 @@
     pub domain: DomainName,
 }
 
-/// Entries whose numbers of running requests differ by less than about this are
-/// ordered at random.
+/// Divisor of the number of running requests; entries with the same quotient
+/// are ordered at random.
 const LOAD_STEP: u32 = 8;
 
 /// Returns the entries that accept new work in the order in which a caller
-/// should try them: those in its own failure domain first, then by load. Ties
-/// are broken at random, so that callers that ask at the same time don't all
-/// choose the same entry.
+/// should try them: those in `domain`, the caller's own failure domain if
+/// known, then by load. `own_load` is the number of requests that this entry
+/// runs. Ties are broken at random by `rng`, so that callers that ask at the
+/// same time don't all choose the same entry.
 #[must_use]
 pub fn order_entries(
     swim: &Swim,
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -6,9 +6,8 @@
 
 use crate::Member;
 
-/// An update is sent this many times the number of decimal digits of the number
-/// of members. More would fill the messages and delay refutations until after
-/// the suspicion timeout.
+/// Times that an update is sent, per decimal digit of the number of members.
+/// More would delay refutations until after the suspicion timeout.
 const RETRANSMIT_FACTOR: u32 = 4;
 
 /// The newest update about each member, with the number of times it was sent.
@@ -24,7 +23,8 @@
     }
 
     /// Returns at most `max_updates` updates for the next message, those sent
-    /// least often first.
+    /// least often first, and counts them as sent. Drops an update once it was
+    /// sent often enough for a membership of `members`.
     pub fn take(&mut self, max_updates: usize, members: usize) -> Vec<Member> {
         let limit = RETRANSMIT_FACTOR * (members.max(1).ilog10() + 1);
         let mut order: Vec<(u32, MemberId)> = self
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -77,7 +77,8 @@
     Unknown,
 }
 
-/// Durations that govern leases.
+/// Validity of a lease, counted from the send of its write, and the unused time between
+/// two holders.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
     /// Validity of a lease, counted from when the write that took or renewed it was sent.
@@ -95,9 +96,11 @@
 const RENEWALS: u32 = 3;
 /// Interval for listing the leases again while none is available.
 const RELIST_INTERVAL: Duration = Duration::from_millis(500);
-/// Backoff after a call without a known outcome.
+/// Fixed backoff after a call that failed or has no known outcome.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
+/// The last observed holder and revision of a lease, and when the revision was first
+/// observed.
 #[derive(Clone, Debug)]
 struct Observed {
     owner: Option<Owner>,
@@ -107,6 +110,8 @@
     first_seen: Time,
 }
 
+/// The lease that the entry holds: its revision, when it expires, and when it is to be
+/// renewed or released.
 #[derive(Clone, Debug)]
 struct Holding {
     id: LeaseId,
@@ -151,7 +156,8 @@
         }
     }
 
-    /// Returns the lease whose share may be used at `now`, and when it expires.
+    /// Returns the lease whose share may be used at `now`, and when it expires; `None` if
+    /// none is held, or it has expired or is about to be released.
     #[must_use]
     pub fn valid_lease(&self, now: Time) -> Option<(LeaseId, Time)> {
         let holding = self.holding.as_ref()?;
@@ -165,8 +171,10 @@
         self.holding.is_some()
     }
 
-    /// Returns the call to make now, if any. The caller must have at most one call in
-    /// flight.
+    /// Returns the call to make now, if any; the caller must have at most one call in
+    /// flight. If a lease is `wanted` it takes or renews one, otherwise it releases the
+    /// held one after the grace. An expired lease is dropped. During a backoff it makes
+    /// no call.
     pub fn next_call(&mut self, wanted: bool, now: Time) -> Option<LeaseCall> {
         if now < self.backoff_until {
             return None;
@@ -199,6 +207,8 @@
         }
     }
 
+    /// Returns the write that takes the first available lease, or a request for the list
+    /// if there is none from within [`RELIST_INTERVAL`]; `None` if no lease is available.
     fn find_available(&self, now: Time) -> Option<LeaseCall> {
         let recent = self
             .listed_at
@@ -217,6 +227,9 @@
             })
     }
 
+    /// Whether a lease may be taken at `now`: it is free, the store names this entry as
+    /// its holder, or the term and grace of another holder have passed since its revision
+    /// was first observed.
     fn is_available(&self, observed: &Observed, now: Time) -> bool {
         match &observed.owner {
             None => true,
@@ -232,7 +245,8 @@
         observed.first_seen + self.times.term + self.times.grace
     }
 
-    /// Records the leases that the store listed.
+    /// Records the leases that the store listed at `now`. Those that `records` lacks are
+    /// recorded as free and without a revision.
     pub fn on_list(&mut self, records: Vec<LeaseRecord>, now: Time) {
         self.listed_at = Some(now);
         let mut records: BTreeMap<LeaseId, LeaseRecord> = records
@@ -246,6 +260,8 @@
         }
     }
 
+    /// Records the holder and revision of a lease as first observed at `now`; does
+    /// nothing if the revision is the known one.
     fn observe(&mut self, id: LeaseId, owner: Option<Owner>, revision: Option<u64>, now: Time) {
         let known = self.observed.get(&id);
         if known.is_some_and(|observed| observed.revision == revision) {
@@ -262,7 +278,9 @@
         );
     }
 
-    /// Records the outcome of a write that was sent at `sent`.
+    /// Records the outcome of the write of `owner` to lease `id` that was sent at `sent`.
+    /// An applied write starts, renews or ends the holding. A conflict ends it unless the
+    /// store still names this entry as the holder. An unknown outcome starts the backoff.
     pub fn on_reply(
         &mut self,
         id: LeaseId,
@@ -299,12 +317,14 @@
         }
     }
 
-    /// Records that a call failed and starts the backoff.
+    /// Starts the fixed backoff after a failed call, in which no other is made; nothing
+    /// else changes.
     pub fn on_failure(&mut self, now: Time) {
         self.backoff_until = now + RETRY_BACKOFF;
     }
 
-    /// Returns when [`Leases::next_call`] may next return a call.
+    /// Returns when [`Leases::next_call`] may next return a call; [`Time::MAX`] if no
+    /// lease is held or wanted.
     #[must_use]
     pub fn wake(&self, wanted: bool, now: Time) -> Time {
         let due = match (&self.holding, wanted) {
@@ -328,8 +348,8 @@
 }
 
 impl LeaseId {
-    /// Returns the share of `limit` that belongs to the lease. The shares of all leases add
-    /// up to `limit`.
+    /// Returns the share of `limit` that belongs to the lease. Shares differ by at most
+    /// one and add up to `limit` over all leases.
     #[must_use]
     pub fn share(self, limit: u32) -> u32 {
         let leases = u32::from(LEASE_COUNT);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -26,7 +26,8 @@
     pub peers: SocketAddr,
 }
 
-/// The gossiped state of a member.
+/// The gossiped state of a member: its identity, addresses, health, capacity and
+/// load, and the successors for its tickets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name of the member.
@@ -69,7 +70,8 @@
 const MAX_SUCCESSORS: usize = 3;
 
 impl Member {
-    /// Creates the state of a member that has just started.
+    /// Creates the state of a member that has just started: alive, at version 0,
+    /// of unknown capacity and without load.
     #[must_use]
     pub fn starting(
         id: MemberId,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Whether it accepts new work.
+    /// Whether it accepts new work: it is neither gone nor leaving.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.liveness != Liveness::Gone && !self.leaving
@@ -124,8 +126,8 @@
         *self != before
     }
 
-    /// Adds successors of this and earlier incarnations, dropping those of the
-    /// oldest.
+    /// Adds successors of this and earlier incarnations without replacing known
+    /// ones, and keeps only those of the latest three incarnations.
     pub fn add_successors(&mut self, successors: &BTreeMap<Incarnation, Successor>) {
         for (incarnation, successor) in successors {
             self.successors
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -8,14 +8,13 @@
 
 use crate::Member;
 
-/// Shares of a leaf's connections that stay unused. While views differ after a
-/// change, one member too many may hold a leaf; the spare share keeps the total
-/// within the limit.
+/// Shares of a leaf's connections that stay unused, so that one holder too
+/// many, while views differ, doesn't exceed the limit.
 const SPARE_SHARES: u32 = 1;
 
 /// Returns the number of members that hold a leaf accepting `connections`
-/// connections when each opens at most `share` of them. At least one, so that
-/// the leaf stays reachable.
+/// connections when each opens at most `share` of them and one share stays
+/// spare. At least one, so that the leaf stays reachable.
 #[must_use]
 pub fn holder_count(connections: u32, share: u32) -> usize {
     let shares = connections / share.max(1);
@@ -30,8 +29,10 @@
 }
 
 impl HolderPlan {
-    /// Assigns holders to each group of `service` by rendezvous hashing, so
-    /// that a change of one member moves only the groups that it holds.
+    /// Assigns holders to each group of `service`, named `name`, by rendezvous
+    /// hashing, so that a change of one member moves only the groups that it
+    /// holds. The leaf of a group that accepts the fewest connections decides
+    /// the number of holders.
     #[must_use]
     pub fn new(name: &ServiceName, service: &Service, members: &[Member], share: u32) -> Self {
         let mut groups: BTreeMap<u32, (usize, BTreeSet<&DomainName>)> = BTreeMap::new();
@@ -76,7 +77,7 @@
 
     /// Returns the `count` members that hold the group `key`: the
     /// highest-scoring one of each failure domain in `domains`, then the
-    /// highest-scoring others.
+    /// highest-scoring others. Fewer if there are fewer members.
     #[must_use]
     pub fn holders_of(
         &self,
@@ -117,8 +118,8 @@
     }
 }
 
-/// Returns the members of a failure domain that watch the platform for the
-/// others.
+/// Returns the `count` of `members`, those of a failure domain, that watch the
+/// platform for the others; the same on all entries that know the same members.
 #[must_use]
 pub fn choose_watchers<'a>(
     members: impl Iterator<Item = &'a Member>,
@@ -131,7 +132,8 @@
         .collect()
 }
 
-/// Sorts members by their score for `key`, the highest first.
+/// Sorts members by their score for `key`, the highest first, equal ones by
+/// name.
 fn sort_by_score<'a>(key: &str, members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
     let key = hash(key);
     let mut scored: Vec<(u64, &Member)> = members
@@ -149,7 +151,8 @@
     u64::from_le_bytes(first)
 }
 
-/// Scores a member for a key with the finalizer of `SplitMix64`.
+/// Returns a pseudo-random score of a member for a key, from the hashes of both
+/// (the finalizer of `SplitMix64`).
 fn score(key: u64, member: u64) -> u64 {
     let mut z = key ^ member.rotate_left(32);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fleet/src/serving.rs
+++ b/crates/fleet/src/serving.rs
@@ -35,8 +35,10 @@
 /// A load below one member's capacity divided by this is idle traffic, such as operators'
 /// health checks, and doesn't predict demand.
 const IDLE_DIVISOR: u64 = 20;
-/// Members per serving entry while the deployment is idle.
+/// Members per serving entry while the deployment is idle, from [`MIN_IDLE_BASELINE`] to
+/// [`MAX_BASELINE`] entries.
 const MEMBERS_PER_IDLE_ENTRY: usize = 8;
+/// Lower limit of [`baseline_entries`] while the deployment is idle.
 const MIN_IDLE_BASELINE: usize = 6;
 /// Calls per second that a serving entry needs to make to each leaf to estimate its
 /// latency and to keep its connections open.
@@ -87,8 +89,11 @@
     taken
 }
 
-/// Number of serving entries up to which members of one tier are added whatever the load.
-/// While the deployment is idle this depends on the number of members, `count`.
+/// Number of serving entries up to which members of a tier of this `weight` are added
+/// although their capacity isn't needed. It is the largest number, from [`MIN_ENTRIES`]
+/// to [`MAX_BASELINE`], of entries that each still make enough calls per leaf to estimate
+/// its latency, or else [`MIN_ENTRIES`]. While the deployment is idle, `count`, the
+/// number of members, decides instead ([`MEMBERS_PER_IDLE_ENTRY`]).
 fn baseline_entries(load: u64, leafs: usize, weight: u64, count: usize) -> usize {
     if load * IDLE_DIVISOR < weight {
         return (count / MEMBERS_PER_IDLE_ENTRY).clamp(MIN_IDLE_BASELINE, MAX_BASELINE);
@@ -100,7 +105,7 @@
 }
 
 /// Whether each of `count` serving entries makes enough calls per leaf to estimate
-/// latency.
+/// latency, if they share `load` calls per second to `leafs` leafs equally.
 fn has_enough_samples(load: u64, count: usize, leafs: usize) -> bool {
     load as f64 >= MIN_LEAF_RATE * (count * leafs) as f64
 }
@@ -125,7 +130,7 @@
     tiers
 }
 
-/// Delays a decrease of the number of serving entries.
+/// Delays a decrease of the number of serving entries by a fixed time.
 ///
 /// Reports of a rising load arrive in steps, so the wanted number can drop for a moment.
 /// Entries dropped then would still receive callers, but have no share of the budget for
@@ -137,13 +142,13 @@
     wanted_at: Time,
 }
 
-/// Covers the time for which callers cache the list of entries, and the delay of load
-/// reports.
+/// How long a number of entries stays in use after it was last wanted. Covers the time
+/// for which callers cache the list of entries, and the delay of load reports.
 const DECREASE_DELAY: Duration = Duration::from_secs(10);
 
 impl DelayedDecrease {
     /// Records the number of serving entries that the load needs and returns the number
-    /// to use.
+    /// to use. An increase takes effect at once, a decrease only after the delay.
     pub fn update(&mut self, count: usize, now: Time) -> usize {
         if count >= self.count || now.since(self.wanted_at) >= DECREASE_DELAY {
             self.count = count;
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -39,6 +39,8 @@
 }
 
 impl Default for SwimConfig {
+    /// A probe every 500 ms with 3 indirect probes, 8 updates in a message, and
+    /// incarnations that are kept.
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(500),
@@ -50,8 +52,7 @@
 }
 
 /// Divisor of the probe interval that gives the delay before each retry of an
-/// unanswered probe, sent directly and indirectly. Without retries, lost
-/// datagrams would cause enough false suspicions to fill all messages.
+/// unanswered probe, so that lost datagrams seldom cause false suspicions.
 const RETRY_DIVISOR: u32 = 3;
 /// Maximum number of retries of a probe.
 const MAX_RETRIES: u32 = 2;
@@ -101,15 +102,19 @@
     pub reports: Vec<SuspectReport>,
 }
 
-/// Maximum number of quarantine reports in a message, and in one with more than
-/// [`CROWDED_UPDATES`] member updates. Limited so that a datagram is never
-/// fragmented.
+/// Maximum number of quarantine reports in a message. Limited so that a datagram
+/// is never fragmented.
 const MAX_REPORTS: usize = 4;
+/// Maximum number of quarantine reports in a message with more than
+/// [`CROWDED_UPDATES`] member updates.
 const MAX_REPORTS_CROWDED: usize = 1;
+/// Number of member updates in a message above which it has room for fewer
+/// quarantine reports.
 const CROWDED_UPDATES: usize = 6;
 
 impl Message {
-    /// Attaches as many of the quarantine reports as fit in the message.
+    /// Replaces the quarantine reports of the message by the first of `reports`,
+    /// as many as fit beside its member updates.
     pub fn attach_reports(&mut self, reports: &[SuspectReport]) {
         let max_reports = match self.updates.len() > CROWDED_UPDATES {
             true => MAX_REPORTS_CROWDED,
@@ -128,7 +133,8 @@
     pub message: Message,
 }
 
-/// State of the sender in each message, beside its membership.
+/// What each message tells of its sender beside its membership: digest and
+/// confirmation of the configuration, load, and route book.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// Digest of the configuration.
@@ -141,6 +147,8 @@
     pub book: BookVersion,
 }
 
+/// A probe of this entry without an answer yet: its target, start and number of
+/// retries.
 #[derive(Clone, Debug)]
 struct PendingProbe {
     target: MemberId,
@@ -148,6 +156,8 @@
     retries: u32,
 }
 
+/// A ping sent for another member: the address and sequence number to which its
+/// ack is forwarded, and when it was sent.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     requester: SocketAddr,
@@ -155,10 +165,12 @@
     at: Time,
 }
 
-/// Load changes below the member's capacity divided by this are not published.
+/// Divisor of the member's capacity that gives the margin, beyond a quarter of
+/// the published load, below which load changes are not published.
 const LOAD_DIVISOR: u32 = 32;
 
-/// The failure detector of one entry.
+/// The failure detector of one entry: its membership list, queued updates,
+/// probes in flight, suspicions, and the loads of other members.
 #[derive(Clone, Debug)]
 pub struct Swim {
     config: SwimConfig,
@@ -177,7 +189,8 @@
 }
 
 impl Swim {
-    /// Creates a detector that knows only its own member.
+    /// Creates a detector that knows only its own member, whose state it queues
+    /// for gossip. The first probe is due at `now`.
     #[must_use]
     pub fn new(config: SwimConfig, own: Member, now: Time) -> Self {
         let mut queue = GossipQueue::default();
@@ -203,8 +216,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the number of running requests that a member last reported, or 0
-    /// if unknown.
+    /// Returns the number of running requests in the last message of a member,
+    /// or 0 if it sent none.
     #[must_use]
     pub fn load(&self, id: &MemberId) -> u32 {
         self.loads.get(id).copied().unwrap_or(0)
@@ -239,8 +252,9 @@
         self.queue.add(self.view.own().clone());
     }
 
-    /// Records the calls to leafs per second that this entry makes, and gossips
-    /// them after a change of more than a quarter plus a margin.
+    /// Stores and gossips `load`, the calls to leafs per second that this entry
+    /// makes, if it differs from the published load by more than a quarter plus
+    /// a margin. Otherwise, or once this entry is gone, nothing changes.
     ///
     /// Probes alone reach each member too rarely: members would choose serving
     /// entries from stale loads and switch between too few and all of them.
@@ -259,7 +273,8 @@
         self.queue.add(self.view.own().clone());
     }
 
-    /// Marks this entry as gone. Returns the leave messages to send.
+    /// Marks this entry as gone. Returns the leave messages to send, to up to
+    /// `max_members` members.
     pub fn stop(&mut self, status: Status, max_members: usize) -> Vec<Outgoing> {
         self.view.change_own(|own| own.liveness = Liveness::Gone);
         self.announce(status, max_members)
@@ -313,14 +328,16 @@
             .unwrap_or(self.next_probe_at)
     }
 
-    /// Returns when an unanswered probe is retried.
+    /// Returns when an unanswered probe is next retried; later with a higher
+    /// health multiplier.
     fn retry_at(&self, pending: &PendingProbe) -> Time {
         let retry_delay = self.config.interval / RETRY_DIVISOR * (1 + self.health_multiplier);
         pending.started + retry_delay * (pending.retries + 1)
     }
 
     /// Runs due work: sends probes and retries, suspects members that did not
-    /// answer, and declares expired suspects gone.
+    /// answer, declares expired suspects gone, and forgets old members. Messages
+    /// to send are appended to `out`; `rng` draws the targets.
     pub fn tick(&mut self, status: Status, now: Time, rng: &mut dyn Rng, out: &mut Vec<Outgoing>) {
         self.detect_own_pause(now);
         self.retry_overdue(status, now, rng, out);
@@ -335,7 +352,9 @@
         }
     }
 
-    /// Handles an incoming message.
+    /// Handles a message that arrived from the address `from`: merges its
+    /// updates and the sender's load, and acks a ping, completes a probe or
+    /// relays an indirect one. Messages to send are appended to `out`.
     pub fn receive(
         &mut self,
         message: &Message,
@@ -366,7 +385,10 @@
         }
     }
 
-    /// Applies an update, from a message or from this entry's own detector.
+    /// Applies an update, from a message or from this entry's own detector. One
+    /// about this entry is refuted if need be. One that changes another member
+    /// is gossiped, starts or ends its suspicion, and its [`Change`], if any, is
+    /// recorded for [`Swim::take_changes`].
     fn apply_update(&mut self, update: &Member, now: Time) {
         if update.id == self.view.own().id {
             self.adopt_successors(update);
@@ -395,8 +417,8 @@
         self.queue.add(member);
     }
 
-    /// Adopts successors of this member's earlier incarnations, and gossips
-    /// them.
+    /// Adopts successors of this member's earlier incarnations, and gossips them
+    /// if any is new.
     fn adopt_successors(&mut self, update: &Member) {
         let before = self.view.own().successors.clone();
         self.view
@@ -406,10 +428,11 @@
         }
     }
 
-    /// Refutes an update that declares this entry suspect or gone by raising
-    /// the version. Updates about earlier incarnations need no refutation, since
-    /// the present one overrides them. A later incarnation is answered by
-    /// taking a higher one, if so configured.
+    /// Refutes an update that declares this entry suspect or gone by raising the
+    /// version, and raises the health multiplier; not once this entry is gone
+    /// itself. Updates about earlier incarnations need no refutation, since the
+    /// present one overrides them. A later incarnation is answered by taking a
+    /// higher one, if so configured.
     fn refute(&mut self, update: &Member) {
         let own = self.view.own();
         if update.incarnation > own.incarnation
@@ -432,11 +455,12 @@
         self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
     }
 
+    /// Returns the time after which a suspect member is declared gone.
     fn suspicion_timeout(&self) -> Duration {
         self.config.interval * SUSPECT_INTERVALS
     }
 
-    /// Builds a message that carries queued updates.
+    /// Builds a message that carries queued updates, which count as sent.
     fn message_with_updates(&mut self, kind: MessageKind, seq: u64, status: Status) -> Message {
         let members = self.view.present().count();
         let mut message = self.bare_message(kind, seq, status);
--- a/crates/fleet/src/swim/probing.rs
+++ b/crates/fleet/src/swim/probing.rs
@@ -16,12 +16,10 @@
 const GONE_PROBE_EVERY: u64 = 10;
 
 /// One in this many probes goes to a member of any failure domain when the own
-/// one has at least [`MIN_LOCAL_PEERS`] others. Limits traffic between domains,
-/// while every member is still probed from other domains.
+/// one has at least [`MIN_LOCAL_PEERS`] others. Limits traffic between domains.
 const ANY_DOMAIN_EVERY: u64 = 4;
 /// Number of other members of a failure domain from which on they mostly probe
-/// each other. Crashes are detected as fast, since each member is probed as
-/// often.
+/// each other.
 const MIN_LOCAL_PEERS: usize = 16;
 
 /// The members that a round of probes covers.
@@ -51,7 +49,9 @@
         }
     }
 
-    /// Starts the next probe.
+    /// Starts the next probe: pings a member and waits for its ack. One in
+    /// [`GONE_PROBE_EVERY`] goes to a member that is gone, if there is one. Does
+    /// nothing without a target.
     pub(super) fn probe_next(
         &mut self,
         status: Status,
@@ -78,9 +78,9 @@
         self.pending.insert(self.seq, pending);
     }
 
-    /// Attaches the suspicion about the receiver to a message. Only the
-    /// receiver can refute it, and its gossip may have ended before a partition
-    /// healed.
+    /// Attaches the suspicion about the receiver `to`, or that it is gone, to a
+    /// message without an update about it. Only the receiver can refute it, and
+    /// its gossip may have ended before a partition healed.
     pub(super) fn attach_suspicion(&self, to: &MemberId, message: &mut Message) {
         let known = self.view.get(to).filter(|m| m.liveness != Liveness::Alive);
         if let Some(member) = known
@@ -106,8 +106,9 @@
     }
 
     /// Returns the next member of a shuffled round, so that each is probed once
-    /// per round and the detection time is bounded. If the own failure domain
-    /// has enough members, most probes go to them.
+    /// per round and the detection time is bounded; `None` if no other member is
+    /// present. If the own failure domain has enough members, most probes go to
+    /// them.
     pub(super) fn next_target(&mut self, rng: &mut dyn Rng) -> Option<MemberId> {
         let round = match self.seq.is_multiple_of(ANY_DOMAIN_EVERY) || !self.probes_locally() {
             true => Round::All,
@@ -130,13 +131,16 @@
         None
     }
 
+    /// Whether the own failure domain has at least [`MIN_LOCAL_PEERS`] other
+    /// members.
     fn probes_locally(&self) -> bool {
         let own = &self.view.own().domain;
         let local = self.view.others().filter(|m| m.domain == *own);
         local.take(MIN_LOCAL_PEERS).count() == MIN_LOCAL_PEERS
     }
 
-    /// Returns a random member that is gone without having announced it.
+    /// Returns a random member that is gone without having announced it, or
+    /// `None` if there is none.
     pub(super) fn random_gone(&self, rng: &mut dyn Rng) -> Option<MemberId> {
         let gone: Vec<&Member> = self
             .view
@@ -150,7 +154,7 @@
     }
 
     /// Retries probes that had no answer in time, directly and through other
-    /// members.
+    /// members, each up to [`MAX_RETRIES`] times.
     pub(super) fn retry_overdue(
         &mut self,
         status: Status,
@@ -173,7 +177,8 @@
         }
     }
 
-    /// Pings a member, attaching any suspicion about it.
+    /// Pings a member, attaching any suspicion about it. Does nothing if the
+    /// member is unknown.
     pub(super) fn ping(
         &mut self,
         seq: u64,
@@ -189,7 +194,8 @@
         out.push(Outgoing { to, message });
     }
 
-    /// Asks random members to ping `target` on behalf of this entry.
+    /// Asks random members that are alive, as many as configured, to ping
+    /// `target` on behalf of this entry.
     pub(super) fn request_indirect_pings(
         &mut self,
         seq: u64,
@@ -215,7 +221,9 @@
         }
     }
 
-    /// Suspects the targets of probes that timed out.
+    /// Ends the probes that timed out and raises the health multiplier for each.
+    /// A target that was alive becomes suspect and is pinged again, so that it
+    /// can refute this.
     pub(super) fn suspect_unanswered(
         &mut self,
         status: Status,
@@ -269,8 +277,9 @@
         }
     }
 
-    /// Completes the probe that an ack answers, or forwards the ack of a relayed
-    /// ping to its requester.
+    /// Completes the probe that an ack answers and lowers the health multiplier,
+    /// or forwards the ack of a relayed ping to its requester. Ignores other
+    /// acks.
     pub(super) fn handle_ack(
         &mut self,
         message: &Message,
@@ -291,7 +300,8 @@
         }
     }
 
-    /// Pings `target` on behalf of `requester`, which receives the ack.
+    /// Pings `target` on behalf of `requester`, which receives the ack under its
+    /// own sequence number `seq`. Does nothing if the target is unknown.
     pub(super) fn relay_ping(
         &mut self,
         target: &MemberId,
@@ -316,6 +326,7 @@
     }
 }
 
+/// Shuffles `items` in place.
 fn shuffle<T>(items: &mut [T], rng: &mut dyn Rng) {
     for last in (1..items.len()).rev() {
         items.swap(last, random_below(rng, last + 1));
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -10,8 +10,7 @@
 use crate::{Liveness, Member};
 
 /// How long a member that is confirmed gone is kept. Covers the validity of its
-/// tickets, so that they find its successor, and outlasts gossip, so that a
-/// delayed "alive" update can't revive it.
+/// tickets, and delayed "alive" updates that would revive it.
 const GONE_RETENTION: Duration = Duration::from_secs(900);
 
 /// A membership change that other components react to.
@@ -29,6 +28,8 @@
     None,
 }
 
+/// A member, when its state last changed, and whether the platform confirmed
+/// that it is gone.
 #[derive(Clone, Debug)]
 struct MemberRecord {
     member: Member,
@@ -38,6 +39,7 @@
 }
 
 impl MemberRecord {
+    /// Creates the record of a member whose state changed at `now`.
     fn new(member: Member, now: Time) -> Self {
         Self {
             member,
@@ -82,7 +84,7 @@
         &self.members[&self.own].member
     }
 
-    /// Changes this entry's own state.
+    /// Changes this entry's own state; the caller has to gossip the change.
     pub fn change_own(&mut self, change: impl FnOnce(&mut Member)) {
         if let Some(record) = self.members.get_mut(&self.own) {
             change(&mut record.member);
@@ -95,8 +97,9 @@
         self.members.get(id).map(|record| &record.member)
     }
 
-    /// Merges an update about another member. Returns what changed, and whether
-    /// the update should be gossiped further.
+    /// Merges an update about another member; an unknown member that is gone
+    /// isn't added. Returns what changed, and whether the update should be
+    /// gossiped further.
     pub fn merge(&mut self, update: &Member, now: Time) -> (Change, bool) {
         let Some(record) = self.members.get_mut(&update.id) else {
             if update.liveness == Liveness::Gone {
@@ -115,7 +118,8 @@
         (change_between(&before, &record.member), true)
     }
 
-    /// Removes members that have been confirmed gone for a while.
+    /// Removes members that have been confirmed gone for longer than any of
+    /// their tickets is valid.
     pub fn forget(&mut self, now: Time) {
         self.members
             .retain(|_, m| !m.confirmed_gone() || now.since(m.changed_at) < GONE_RETENTION);
@@ -174,8 +178,9 @@
 
     /// Returns the member that owns the tickets that `issuer` issued in
     /// `incarnation`: that member itself, or the successor that took them over.
-    /// An incarnation newer than the known one counts as the present one; the
-    /// member decides when asked.
+    /// Returns `None` if the one found is unknown, gone, or known in a later
+    /// incarnation. An incarnation newer than the known one counts as the
+    /// present one; the member decides when asked.
     #[must_use]
     pub fn ticket_owner(&self, issuer: &MemberId, incarnation: Incarnation) -> Option<&Member> {
         let (mut id, mut incarnation) = (issuer, incarnation);
@@ -193,6 +198,9 @@
     }
 }
 
+/// Returns the change between two states of a member that others react to;
+/// [`Change::None`] if there is none, such as a refuted suspicion or a new
+/// load.
 fn change_between(before: &Member, after: &Member) -> Change {
     if after.incarnation > before.incarnation {
         return Change::Joined;
