--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -9,7 +9,8 @@
     record::{EPISODE, MIN_CRASHES, SuspectRecord},
 };
 
-/// Records kept. Beyond it the one with the fewest episodes, then the oldest, is dropped.
+/// Records kept. Beyond it the one with the fewest episodes, then the first to expire, is
+/// dropped.
 const MAX_RECORDS: usize = 1024;
 /// Crashes in a report: the first and the latest two, as many as a refusal needs.
 const REPORT_CRASHES: usize = MIN_CRASHES;
@@ -29,15 +30,17 @@
 /// Added to all times, so that crashes from before this entry's start have a time too.
 const CLOCK_OFFSET: Duration = Duration::from_secs(24 * 3600);
 
-/// What one entry reports to another about a request. All spans are ages at the time of
-/// sending.
+/// What one entry reports to another about a request: its last answer, the crashes under
+/// it since, and their episodes. All spans are ages at the time of sending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectReport {
     /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Age of the last answer of a leaf; crashes before it don't count.
+    /// Age of the last answer of a leaf, `None` if none is known; crashes before it don't
+    /// count.
     pub answered: Option<Duration>,
-    /// The leafs that crashed under it, with the ages of the crashes.
+    /// The leafs that crashed under it, with the ages of the crashes: the first and the
+    /// latest two.
     pub crashes: Vec<(LeafHash, Duration)>,
     /// Episodes in which leafs crashed under it.
     pub episodes: u32,
@@ -55,7 +58,8 @@
     }
 }
 
-/// A suspect request: its record and the state of its trial calls and reports.
+/// A suspect request: its record, the cooldown after its trial call, and how often the
+/// record was sent since it changed.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     record: SuspectRecord,
@@ -92,7 +96,8 @@
 }
 
 impl SuspectLedger {
-    /// Decides how an arriving request is handled. [`Handling::Trial`] starts its trial call.
+    /// Decides how an arriving request is handled. [`Handling::Trial`] starts its trial
+    /// call and the cooldown, in which the request is refused.
     pub fn admit(&mut self, key: Fingerprint, now: Time) -> Handling {
         let now = now + CLOCK_OFFSET;
         let Some(suspect) = self.suspects.get_mut(&key) else {
@@ -109,7 +114,8 @@
         handling
     }
 
-    /// Returns how the request would be handled now, without starting a trial call.
+    /// Returns how the record of the request says to handle it now, without starting a
+    /// trial call and whatever the cooldown.
     #[must_use]
     pub fn handling(&self, key: Fingerprint, now: Time) -> Handling {
         let suspect = self.suspects.get(&key);
@@ -124,15 +130,16 @@
         suspect.is_some_and(|suspect| suspect.record.refused_until().is_some())
     }
 
-    /// Returns the report of a request, if it counts as the cause of the crashes under it.
+    /// Returns the report of a request, or `None` if it doesn't count as the cause of the
+    /// crashes under it. The report doesn't count as sent.
     #[must_use]
     pub fn blame_report(&self, key: Fingerprint, now: Time) -> Option<SuspectReport> {
         let suspect = self.suspects.get(&key).filter(|_| self.is_blamed(key))?;
         Some(report(key, &suspect.record, now + CLOCK_OFFSET))
     }
 
-    /// Records that leafs crashed under a call that no leaf answered. Returns whether the
-    /// record changed.
+    /// Records that `leafs` crashed under a call that no leaf answered, and extends the
+    /// cooldown of a trial call. Returns whether the record changed.
     pub fn record_crashes(&mut self, key: Fingerprint, leafs: &[LeafHash], now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
         let suspect = self.suspects.entry(key).or_default();
@@ -155,7 +162,8 @@
         changed
     }
 
-    /// Records that a leaf answered the request. Returns whether the record changed.
+    /// Records that a leaf answered the request: drops its crashes so far and ends the
+    /// cooldown. Returns whether there were any.
     pub fn record_answer(&mut self, key: Fingerprint, now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
         let Some(suspect) = self.suspects.get_mut(&key) else {
@@ -170,7 +178,8 @@
         changed
     }
 
-    /// Merges a report of another entry. Returns whether the record changed.
+    /// Merges a report of another entry, received at `now`; a record that has expired is
+    /// dropped. Returns whether the record changed.
     pub fn merge(&mut self, report: &SuspectReport, now: Time) -> bool {
         let now = now + CLOCK_OFFSET;
         let suspect = self.suspects.entry(report.fingerprint).or_default();
@@ -204,9 +213,10 @@
         changed
     }
 
-    /// Returns the reports for the next message, at most `most`: first changes that start
-    /// or end a refusal, then other changes, the least sent first; then refused requests
-    /// in turn, so that an entry that starts receives all of them.
+    /// Returns the reports for the next message, at most `most`, and counts them as sent:
+    /// first changes that start or end a refusal, then other changes, the least sent
+    /// first; then refused requests in turn, so that an entry that starts receives all of
+    /// them. The number of `members` decides how often a change is sent.
     pub fn next_reports(&mut self, most: usize, members: usize, now: Time) -> Vec<SuspectReport> {
         let now = now + CLOCK_OFFSET;
         let max_sends = SENDS_PER_DIGIT * (members.max(1).ilog10() + 1);
@@ -249,7 +259,8 @@
         })
     }
 
-    /// Records that changes are pushed now, without waiting for other messages.
+    /// Records that changes are pushed now, without waiting for other messages, for the
+    /// times in [`SuspectLedger::push_due`].
     pub fn record_push(&mut self, now: Time) {
         let pacing = &mut self.pacing;
         if now >= pacing.window_start + PUSH_WINDOW {
@@ -287,8 +298,8 @@
         self.suspects.values().filter(refused).count()
     }
 
-    /// Marks a changed record to be sent; `before` is the end of its refusal before the
-    /// change.
+    /// Marks a record to be sent if it has `changed`; `before` is the end of its refusal
+    /// before the change.
     fn mark_changed(&mut self, key: Fingerprint, changed: bool, before: Option<Time>) {
         if let Some(suspect) = self.suspects.get_mut(&key).filter(|_| changed) {
             suspect.sent = 0;
@@ -296,7 +307,8 @@
         }
     }
 
-    /// Returns the next refused request after the one reported last.
+    /// Returns the next refused request after the one reported last, starting again from
+    /// the first, and moves the cursor to it; `None` if none is refused.
     fn next_refused(&mut self, now: Time) -> Option<Fingerprint> {
         let refused = |(_, suspect): &(&Fingerprint, &Suspect)| {
             matches!(suspect.record.handling(now), Handling::Refused(_))
@@ -310,14 +322,15 @@
         next
     }
 
-    /// Makes the report of a request and counts it as sent.
+    /// Makes the report of a request and counts it as sent; `None` if it has no record.
     fn report(&mut self, key: Fingerprint, now: Time) -> Option<SuspectReport> {
         let suspect = self.suspects.get_mut(&key)?;
         suspect.sent = suspect.sent.saturating_add(1);
         Some(report(key, &suspect.record, now))
     }
 
-    /// Drops the least important record if there are too many.
+    /// Drops one record, that with the fewest episodes, then the first to expire, if
+    /// there are too many.
     fn drop_excess(&mut self) {
         if self.suspects.len() <= MAX_RECORDS {
             return;
@@ -333,7 +346,8 @@
     }
 }
 
-/// Makes the report of a record, with ages at `now`.
+/// Makes the report of a record, with ages at `now` and at most [`REPORT_CRASHES`]
+/// crashes.
 fn report(key: Fingerprint, record: &SuspectRecord, now: Time) -> SuspectReport {
     let crashes = record.crashes();
     let latest = crashes.len().saturating_sub(REPORT_CRASHES - 1).max(1);
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -93,7 +93,9 @@
         self.answered_at.is_some_and(|answer| crash.at <= answer)
     }
 
-    /// Adds a crash. Returns whether the record changed.
+    /// Adds a crash and raises the episode count to that of the kept crashes; a full
+    /// record drops one from its middle. Returns false, without a change, for a crash
+    /// that is known or superseded, or that precedes the latest of a full record.
     pub(crate) fn add_crash(&mut self, crash: Crash) -> bool {
         let known =
             |known: &Crash| known.leaf == crash.leaf && abs_diff(known.at, crash.at) < EPISODE;
@@ -115,7 +117,8 @@
         true
     }
 
-    /// Raises the episode count to that of another entry. Returns whether it changed.
+    /// Raises the episode count to that of another entry. Returns whether it changed; it
+    /// doesn't without crashes.
     pub(crate) fn raise_episodes(&mut self, episodes: usize) -> bool {
         let changed = episodes > self.episodes && !self.crashes.is_empty();
         if changed {
@@ -124,8 +127,8 @@
         changed
     }
 
-    /// Records that a leaf answered the request at `at`. Returns whether the record
-    /// changed.
+    /// Records that a leaf answered the request at `at`, drops the crashes until then and
+    /// recounts the episodes. Returns false, without a change, if there are none.
     pub(crate) fn record_answer(&mut self, at: Time) -> bool {
         let superseded = self.crashes.iter().any(|crash| crash.at <= at);
         if !superseded {
@@ -150,7 +153,8 @@
         episodes
     }
 
-    /// Returns the end of the refusal, if the request counts as the cause.
+    /// Returns the end of the refusal, possibly past; `None` with too few crashes or
+    /// episodes for the request to count as the cause.
     pub(crate) fn refused_until(&self) -> Option<Time> {
         let last = self.crashes.last()?;
         if self.crashes.len() < MIN_CRASHES || self.episodes < MIN_EPISODES {
@@ -161,7 +165,8 @@
         Some(last.at + span.min(MAX_REFUSAL))
     }
 
-    /// Returns how the request is handled at `now`.
+    /// Returns how the request is handled at `now`: refused until the end of a refusal,
+    /// otherwise on trial if there are crashes.
     pub(crate) fn handling(&self, now: Time) -> Handling {
         if self.crashes.is_empty() {
             return Handling::Free;
@@ -172,7 +177,8 @@
         }
     }
 
-    /// Returns when the record expires.
+    /// Returns when the record expires: [`RECORD_TTL`] after the last crash, the end of
+    /// the refusal or the last answer, whichever is latest.
     pub(crate) fn expires_at(&self) -> Time {
         let last = self.crashes.last().map(|crash| crash.at);
         let latest = [last, self.refused_until(), self.answered_at]
