--- a/crates/once/src/registry.rs
+++ b/crates/once/src/registry.rs
@@ -41,7 +41,8 @@
     Moved,
 }
 
-/// State of a ticket. `body` is the hash of the submission's body.
+/// State of a ticket: unused, its submission being dispatched, or settled with an
+/// outcome. `body` is the hash of the submission's body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
     Minted,
@@ -57,12 +58,13 @@
     state: State,
 }
 
-/// A ticket and its state, as handed over to a successor.
+/// A ticket as handed over to a successor, with its outcome if it was used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandedTicket {
     /// The ticket.
     pub ticket: Ticket,
-    /// Hash of the body that it was used for, and the outcome.
+    /// Hash of the body that it was used for, and the outcome; `None` if it was not
+    /// used.
     pub settled: Option<(u64, Outcome)>,
 }
 
@@ -76,6 +78,7 @@
 }
 
 impl Default for RegistryConfig {
+    /// Tickets that are valid for ten minutes, of which at most 200,000 are kept.
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(600),
@@ -84,12 +87,11 @@
     }
 }
 
-/// Longest answer, in bytes, that is kept for repeats. A longer one is
-/// replaced by an empty one; the repeat still learns that the submission was
-/// done.
+/// Longest answer, in bytes, that is kept for repeats. A longer one is replaced by
+/// an empty one.
 const MAX_ANSWER: usize = 4096;
-/// How long a ticket is kept after its expiry, to allow for clock skew
-/// between entries.
+/// How long a ticket is kept after its expiry, to allow for clock skew between
+/// entries.
 const CLOCK_SKEW: Duration = Duration::from_secs(30);
 
 /// Key of a ticket: the member and incarnation that minted it, and its
@@ -147,8 +149,9 @@
         self.tickets.is_empty()
     }
 
-    /// Mints a ticket from a random `nonce`. Returns `None` when the registry
-    /// is closed or full.
+    /// Drops tickets as [`TicketRegistry::expire`] does, then mints one from a
+    /// random `nonce`, valid from `wall` on for the configured time. Returns `None`
+    /// when the registry is closed or full.
     pub fn mint(&mut self, nonce: [u8; 16], wall: Wall) -> Option<Ticket> {
         self.expire(wall);
         if self.phase == Phase::Closed || self.tickets.len() >= self.config.capacity {
@@ -167,6 +170,8 @@
     }
 
     /// Decides on a submission with `ticket` whose body hashes to `body`.
+    /// [`Claim::Run`], given at most once per ticket, marks it as being dispatched;
+    /// other decisions change nothing.
     pub fn claim(&mut self, ticket: &Ticket, body: u64, wall: Wall) -> Claim {
         let key = key_of(ticket);
         let Some(entry) = self.tickets.get_mut(&key) else {
@@ -192,10 +197,10 @@
         }
     }
 
-    /// Records the final outcome of a claimed submission. It holds for later
-    /// uses of the ticket, also after "not run": otherwise a delayed copy of
-    /// the request could run after its caller was answered that it was not
-    /// run.
+    /// Records the final outcome of a claimed submission; does nothing for a ticket
+    /// that isn't being dispatched. It holds for later uses of the ticket, also
+    /// after "not run": otherwise a delayed copy of the request could run after its
+    /// caller was answered that it was not run.
     pub fn settle(&mut self, ticket: &Ticket, mut outcome: Outcome) {
         if let Outcome::Done(answer) = &mut outcome
             && answer.len() > MAX_ANSWER
@@ -210,7 +215,8 @@
         }
     }
 
-    /// Drops tickets whose expiry passed longer ago than the clock skew.
+    /// Drops tickets, whatever their state, whose expiry passed longer ago than the
+    /// clock skew.
     pub fn expire(&mut self, wall: Wall) {
         while let Some((at, key)) = self.expiries.first().cloned() {
             if wall < at + CLOCK_SKEW {
@@ -221,7 +227,8 @@
         }
     }
 
-    /// Stops minting and dispatching, for a planned stop.
+    /// Stops minting and dispatching, for a planned stop. Submissions being
+    /// dispatched can still be settled.
     pub fn close(&mut self) {
         self.phase = Phase::Closed;
     }
@@ -233,9 +240,9 @@
         self.tickets.values().filter(running).count()
     }
 
-    /// Returns the tickets that a successor takes over, once the registry is
-    /// closed. Those still being dispatched are handed over as unknown, since
-    /// this process stops before their outcome can be recorded.
+    /// Returns the tickets that a successor takes over; none before the registry is
+    /// closed. Those still being dispatched are handed over as unknown, since this
+    /// process stops before their outcome can be recorded.
     #[must_use]
     pub fn hand_over(&self) -> Vec<HandedTicket> {
         if self.phase == Phase::Open {
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Splits off the first `N` bytes.
+/// Splits off the first `N` bytes; fails if there are fewer.
 fn split_array<const N: usize>(bytes: &[u8]) -> Result<([u8; N], &[u8]), TicketError> {
     let (head, rest) = bytes
         .split_first_chunk::<N>()
