--- a/crates/route/src/query/calls.rs
+++ b/crates/route/src/query/calls.rs
@@ -279,8 +279,8 @@
 /// Minimum delay to which a hedge is moved forward, in median call durations.
 const HEDGE_DELAY_MIN: f64 = 1.5;
 /// Returns whether a shard may be called again after every replica was tried:
-/// to replace a failed call, or after a backoff if it was shed, up to
-/// [`MAX_ROUNDS`] calls per replica.
+/// to replace a failed call, or after a backoff if it was shed, while its calls
+/// number less than [`MAX_ROUNDS`] times its replicas.
 pub(super) fn may_repeat<P>(kind: CallKind, shard: &Shard<P>, replicas: &[Ix]) -> bool {
     let replaces = match kind {
         CallKind::Retry | CallKind::Reroute => true,
