--- a/crates/audit/src/receipt.rs
+++ b/crates/audit/src/receipt.rs
@@ -14,10 +14,12 @@
 const CHECK_LEN: usize = 8;
 /// Longest text that is decoded, in bytes.
 const MAX_TEXT_LEN: usize = 1024;
-/// Context string of the key derivation.
+/// BLAKE3 context that separates the receipt key from other keys derived from
+/// the same secret.
 const KEY_CONTEXT: &str = "chestnutpost 2026-12 refusal receipt check value";
 
-/// The error of decoding a receipt.
+/// Why a text was not accepted as a receipt: its format is invalid, or its
+/// check value is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum ReceiptError {
     /// the text is not a receipt of this tier
@@ -28,7 +30,8 @@
 
 impl std::error::Error for ReceiptError {}
 
-/// The key of the check value, the same at every entry.
+/// Secret key of the check value of receipts. All entries use the same one, so
+/// that each can decode the receipts of the others.
 #[derive(Clone)]
 pub struct MacKey([u8; 32]);
 
@@ -39,7 +42,8 @@
         Self(blake3::derive_key(KEY_CONTEXT, secret.as_bytes()))
     }
 
-    /// Returns the check value of `body`.
+    /// Returns the check value of `body`: the first bytes of its keyed BLAKE3
+    /// hash.
     fn check(&self, body: &[u8]) -> [u8; CHECK_LEN] {
         let hash = blake3::keyed_hash(&self.0, body);
         let mut check = [0; CHECK_LEN];
@@ -48,7 +52,8 @@
     }
 }
 
-/// A refusal: which request was refused, why, and how much of it was run.
+/// A refusal: which request was refused, when, why, how much of it was run and
+/// which settings applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Receipt {
     /// The entry that refused.
@@ -74,7 +79,8 @@
 }
 
 impl Receipt {
-    /// Encodes the receipt as text with its check value.
+    /// Encodes the receipt and its check value as URL-safe base64 text without
+    /// padding.
     #[must_use]
     pub fn encode(&self, key: &MacKey) -> String {
         let mut bytes = vec![FORMAT_VERSION, self.reason.number(), encode_run(self.run)];
@@ -105,8 +111,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the text is not a receipt or its check value does
-    /// not match.
+    /// Returns [`ReceiptError::Check`] if the check value does not match under
+    /// `key`, and [`ReceiptError::Malformed`] if the text is too long, is not
+    /// base64 or has an unknown version or invalid content.
     pub fn decode(text: &str, key: &MacKey) -> Result<Self, ReceiptError> {
         if text.len() > MAX_TEXT_LEN {
             return Err(ReceiptError::Malformed);
@@ -124,7 +131,9 @@
     }
 }
 
-/// Decodes the body of a receipt, without its check value.
+/// Decodes the body of a receipt, without its check value; `None` if the
+/// version is unknown or a field is cut off or invalid. An invalid name of an
+/// organisation, service or call type counts as absent.
 fn parse(body: &[u8]) -> Option<Receipt> {
     let [version, reason, run, rest @ ..] = body else {
         return None;
@@ -155,7 +164,7 @@
     })
 }
 
-/// Encodes how much was run.
+/// Returns the byte that stands for `run` in a receipt.
 fn encode_run(run: Execution) -> u8 {
     match run {
         Execution::NotRun => 0,
@@ -164,7 +173,7 @@
     }
 }
 
-/// Decodes how much was run.
+/// Returns the [`Execution`] of a byte of a receipt; `None` if it is unknown.
 fn decode_run(number: u8) -> Option<Execution> {
     match number {
         0 => Some(Execution::NotRun),
@@ -174,8 +183,8 @@
     }
 }
 
-/// Writes a variable-length integer (LEB128), since most numbers here are
-/// small.
+/// Appends a variable-length integer (LEB128) to `out`, since most numbers here
+/// are small.
 fn write_varint(out: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         out.push((number as u8) | 0x80);
@@ -184,7 +193,8 @@
     out.push(number as u8);
 }
 
-/// Reads a variable-length integer (LEB128).
+/// Reads a variable-length integer (LEB128) from the front of `rest` and
+/// advances it; `None` if the integer is cut off or too long for 64 bits.
 fn read_varint(rest: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
     for shift in (0..64).step_by(7) {
@@ -198,13 +208,14 @@
     None
 }
 
-/// Writes a text with its length in front.
+/// Appends the length of `text` in bytes as a varint, then the text.
 fn write_text(out: &mut Vec<u8>, text: &str) {
     write_varint(out, text.len() as u64);
     out.extend_from_slice(text.as_bytes());
 }
 
-/// Reads a text with its length in front.
+/// Reads a text with its length in front and advances `rest`; `None` if it is
+/// cut off or not UTF-8.
 fn read_text<'a>(rest: &mut &'a [u8]) -> Option<&'a str> {
     let length = usize::try_from(read_varint(rest)?).ok()?;
     let (text, tail) = rest.split_at_checked(length)?;
--- a/crates/audit/src/refusal_log.rs
+++ b/crates/audit/src/refusal_log.rs
@@ -8,12 +8,13 @@
 use chestnut_unit::{Incarnation, MemberId, Reason, Time, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// Parameters of a refusal log.
+/// Limits of a refusal log: write interval, records kept and batch size.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusalLogConfig {
     /// Minimum time between two batches.
     pub interval: Duration,
-    /// Maximum number of records kept while the platform is unavailable.
+    /// Maximum number of records that the platform has not confirmed. Beyond
+    /// it, each new record drops the oldest one that is not yet in a batch.
     pub capacity: usize,
     /// Maximum number of records in a batch, which keeps its object below a
     /// megabyte.
@@ -21,6 +22,8 @@
 }
 
 impl Default for RefusalLogConfig {
+    /// Allows a batch every 5 s, 50,000 unconfirmed records and 2,000 records
+    /// in a batch.
     fn default() -> Self {
         Self {
             interval: Duration::from_secs(5),
@@ -30,7 +33,7 @@
     }
 }
 
-/// The record of one refusal.
+/// One refusal as it is written to the platform: the receipt and the details.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The receipt that the caller got.
@@ -40,8 +43,8 @@
     pub detail: String,
 }
 
-/// Records that were dropped because the platform was unavailable for too
-/// long.
+/// Records that were dropped because the log was full: since when, and how many
+/// for each reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
     /// When the first record was dropped.
@@ -50,20 +53,23 @@
     pub dropped: BTreeMap<Reason, u64>,
 }
 
-/// Records that are written as one object.
+/// Records that are written to the platform as one object, with the gap of
+/// records that were dropped before them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Name of the object, unique across entries and their incarnations.
     pub name: String,
     /// The records.
     pub records: Vec<Record>,
-    /// Records that were dropped before this batch.
+    /// Records that were dropped since the previous batch was made; `None` if
+    /// there are none.
     pub gap: Option<Gap>,
 }
 
-/// Refusal records of one entry. A batch is kept until the platform has
-/// confirmed it; a repeated write changes nothing, since its name and content
-/// stay the same.
+/// Refusal records of one entry: those that wait for a batch, the batch being
+/// written, batches that a peer has a copy of, and the gap of dropped ones. A
+/// batch is kept until the platform has confirmed it; a repeated write changes
+/// nothing, since its name and content stay the same.
 #[derive(Clone, Debug)]
 pub struct RefusalLog {
     config: RefusalLogConfig,
@@ -79,7 +85,8 @@
 }
 
 impl RefusalLog {
-    /// Creates an empty log.
+    /// Creates an empty log. Batches are named after `member` and
+    /// `incarnation`; the first one is due at once.
     #[must_use]
     pub fn new(config: RefusalLogConfig, member: MemberId, incarnation: Incarnation) -> Self {
         Self {
@@ -103,7 +110,8 @@
         self.waiting.len() + batches.map(|batch| batch.records.len()).sum::<usize>()
     }
 
-    /// Returns the detail of a record that the platform has not confirmed.
+    /// Returns the detail of the record with this receipt; `None` if it is not
+    /// in the log or the platform has confirmed it.
     #[must_use]
     pub fn find(&self, receipt: &str) -> Option<String> {
         let batches = self.in_flight.iter().chain(&self.replicated);
@@ -127,7 +135,8 @@
         self.written
     }
 
-    /// Adds a record, dropping the oldest queued one if there are too many.
+    /// Queues a record. If the log is full, the oldest record that is not yet
+    /// in a batch is dropped and counted in the gap, which starts at `wall`.
     pub fn add(&mut self, reason: Reason, record: Record, wall: WallTime) {
         if self.unconfirmed() >= self.config.capacity
             && let Some((reason, _)) = self.waiting.pop_front()
@@ -137,9 +146,10 @@
         self.waiting.push_back((reason, record));
     }
 
-    /// Returns the batch to write now, if one is due. A batch whose write
-    /// failed is returned again. The interval grows with the number of
-    /// entries, which bounds the write rate of all entries together.
+    /// Returns the batch to write now; `None` if none is due or there is
+    /// nothing to write. A batch whose write failed is returned again. The
+    /// interval grows with `members`, the number of entries, which bounds the
+    /// write rate of all entries together.
     pub fn next_batch(&mut self, members: usize, now: Time) -> Option<Batch> {
         if now < self.due {
             return None;
@@ -150,7 +160,9 @@
         Some(batch)
     }
 
-    /// Returns the batch to write at a planned stop, due or not.
+    /// Returns the batch to write at a planned stop, due or not; `None` if the
+    /// platform has confirmed everything. New records come before batches that
+    /// a peer has a copy of.
     pub fn flush_batch(&mut self) -> Option<Batch> {
         if self.in_flight.is_none() {
             self.in_flight = self.cut_batch().or_else(|| self.replicated.pop_front());
@@ -160,20 +172,23 @@
 
     /// Records that a peer has a copy of the batch in flight, which the
     /// platform did not accept. It is written again after newer records, by
-    /// this entry or, if this one crashes, by the peer.
+    /// this entry or, if this one crashes, by the peer. Does nothing if `name`
+    /// is not in flight.
     pub fn mark_replicated(&mut self, name: &str) {
         let batch = self.in_flight.take_if(|batch| batch.name == name);
         self.replicated.extend(batch);
     }
 
-    /// Records that the platform confirmed a batch.
+    /// Drops the batch in flight, which the platform has confirmed, and counts
+    /// its records as written. Does nothing if `name` is not in flight.
     pub fn confirm(&mut self, name: &str) {
         if let Some(batch) = self.in_flight.take_if(|batch| batch.name == name) {
             self.written += batch.records.len() as u64;
         }
     }
 
-    /// Makes a batch of the oldest queued records and the gap before them.
+    /// Makes a batch of the oldest queued records and the gap before them;
+    /// `None` if there are neither records nor a gap.
     fn cut_batch(&mut self) -> Option<Batch> {
         if self.waiting.is_empty() && self.gap.is_none() {
             return None;
@@ -190,7 +205,8 @@
         })
     }
 
-    /// Counts a dropped record in the gap.
+    /// Counts a dropped record in the gap, which starts at `wall` if there was
+    /// none.
     fn count_drop(&mut self, reason: Reason, wall: WallTime) {
         self.dropped += 1;
         let gap = self.gap.get_or_insert_with(|| Gap {
@@ -205,7 +221,8 @@
 /// of the platform's write rate to others.
 const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Copies of other entries' batches, to be written if those crash.
+/// Copies of other entries' batches, oldest first, which are written to the
+/// platform in case their own entry crashes.
 #[derive(Clone, Debug)]
 pub struct ReplicaBatches {
     batches: VecDeque<Batch>,
@@ -225,7 +242,8 @@
         }
     }
 
-    /// Adds a copy of a batch unless there is one already.
+    /// Adds a copy of a batch unless there is one of the same name. If there
+    /// are too many copies, the oldest is dropped and counted.
     pub fn add(&mut self, batch: Batch) {
         if self.batches.iter().any(|kept| kept.name == batch.name) {
             return;
@@ -237,8 +255,9 @@
         self.batches.push_back(batch);
     }
 
-    /// Returns the next batch to write. The platform stores each name once,
-    /// so writing a batch that its own entry has written changes nothing.
+    /// Returns the oldest copy, which stays until it is confirmed; `None` if
+    /// there is none. The platform stores each name once, so writing a batch
+    /// that its own entry has written changes nothing.
     #[must_use]
     pub fn next(&self) -> Option<Batch> {
         self.batches.front().cloned()
