--- a/crates/flow/src/admission.rs
+++ b/crates/flow/src/admission.rs
@@ -9,14 +9,15 @@
 
 use crate::{Cell, QueueId, Runtime, lock};
 
-/// An admitted request. Dropping it releases its capacity to the next one.
+/// An admitted request. Dropping it reports its run time and calls to the
+/// admission of its queue, which gives its capacity to the next request.
 #[derive(Debug)]
 pub struct AdmittedRequest<'a, X> {
     runtime: &'a Runtime,
     cell: Arc<Cell<X>>,
     queue: QueueId,
     start: Time,
-    /// Calls that the request made.
+    /// Calls that the request made, as its owner counted them.
     pub calls: u32,
     /// Calls of the request that targets shed.
     pub shed_calls: u32,
@@ -41,7 +42,8 @@
     }
 }
 
-/// A queued request. Dropping it takes it out of the queue.
+/// A queued request. Dropping it takes the request out of the queue, unless its
+/// decision was delivered already.
 struct QueueGuard<'a, X> {
     cell: &'a Cell<X>,
     queue: QueueId,
@@ -57,7 +59,8 @@
     }
 }
 
-/// Waits until the request may run.
+/// Waits in `queue` until the request may run, or until it is refused. Dropping
+/// the future takes the request out of the queue.
 ///
 /// # Errors
 ///
@@ -88,8 +91,9 @@
     }
 }
 
-/// Returns the decision, or the channel that delivers it if the request is
-/// queued.
+/// Offers the request to its queue and delivers the refusals of queued requests
+/// that this causes. Returns the decision, or as the error the channel that
+/// delivers it if the request is queued.
 fn offer<X>(
     runtime: &Runtime,
     cell: &Cell<X>,
@@ -110,7 +114,8 @@
     Err(receiver)
 }
 
-/// Waits in the queue for the decision.
+/// Waits for the decision on a queued request, and refuses those of the queue
+/// that can no longer meet their deadlines meanwhile.
 async fn wait<X>(
     runtime: &Runtime,
     cell: &Cell<X>,
@@ -118,7 +123,7 @@
     request: AdmitRequest,
     mut receiver: oneshot::Receiver<Decision>,
 ) -> Decision {
-    /// Minimum time between two checks of the queue.
+    /// Minimum time between two checks of the queue for overdue requests.
     const MIN_RECHECK: Duration = Duration::from_millis(1);
     let _guard = QueueGuard {
         cell,
@@ -143,7 +148,8 @@
     }
 }
 
-/// Expires overdue queued requests and delivers the decisions.
+/// Refuses queued requests that can no longer meet their deadlines, and
+/// delivers the decisions.
 fn expire<X>(runtime: &Runtime, cell: &Cell<X>, queue: QueueId) {
     let now = runtime.now();
     let mut rng = runtime.rng();
--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -12,14 +12,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueId(u32);
 
-/// The state of a cell. `X` is what a protocol front end keeps beside it.
+/// The part of a cell behind its lock: the routing table, the admission queues
+/// and the channels of queued requests. `X` is what a protocol front end keeps
+/// beside them.
 #[derive(Debug)]
 pub struct CellState<X> {
     /// The routing table of the back ends.
     pub table: Table,
-    /// Admission state by queue.
+    /// Admission by queue; a [`QueueId`] is an index into it.
     queues: Vec<Admission>,
-    /// State of the protocol front end.
+    /// What the protocol front end keeps in the cell.
     pub extra: X,
     /// Channels on which queued requests receive their decision.
     pub(crate) waiting: BTreeMap<RequestId, oneshot::Sender<Decision>>,
@@ -30,12 +32,14 @@
 pub struct Cell<X> {
     /// Its name in logs and metrics.
     pub name: ServiceName,
-    /// Its state. The lock is never held across an await.
+    /// The table, the queues and the front end's part. The lock is never held
+    /// across an await.
     pub state: Mutex<CellState<X>>,
 }
 
 impl<X> Cell<X> {
-    /// Creates a cell with no running requests and one queue.
+    /// Creates a cell without running requests, with `admission` as its one
+    /// queue.
     #[must_use]
     pub fn new(name: ServiceName, table: Table, admission: Admission, extra: X) -> Self {
         let state = CellState {
@@ -52,7 +56,7 @@
 }
 
 impl<X> CellState<X> {
-    /// Adds a queue.
+    /// Adds an admission queue and returns its id.
     ///
     /// # Panics
     ///
@@ -63,13 +67,17 @@
         id
     }
 
-    /// Returns the admission state of a queue.
+    /// Returns the admission of a queue.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the id comes from a cell with more queues.
     pub fn queue(&mut self, id: QueueId) -> &mut Admission {
         &mut self.queues[id.0 as usize]
     }
 
-    /// Sends queued requests their decisions. If the caller of a released
-    /// request has gone, its capacity goes to the next one.
+    /// Sends queued requests their decisions. If the caller of a request that
+    /// may now run has gone, its capacity goes to the next one in `queue`.
     pub(crate) fn deliver(
         &mut self,
         queue: QueueId,
--- a/crates/flow/src/fanout.rs
+++ b/crates/flow/src/fanout.rs
@@ -17,7 +17,8 @@
 
 use crate::{Cell, Runtime, TraceLevel, lock};
 
-/// The answer to one call.
+/// The answer to one call: the index version that was read, and the parts of
+/// the shards that were asked.
 #[derive(Debug)]
 pub struct CallReply<P> {
     /// The index version that the back end read.
@@ -28,7 +29,8 @@
     pub draining: bool,
 }
 
-/// The parameters of a call to start.
+/// The parameters of a call to start: the back end, the shards to ask and the
+/// time left.
 #[derive(Debug)]
 pub struct CallRequest<'a> {
     /// The back end to call.
@@ -43,7 +45,8 @@
     pub kind: CallKind,
 }
 
-/// The future of a call in flight.
+/// The future of a call in flight, which gives the reply or says how the call
+/// failed.
 pub type CallFuture<P> = BoxFuture<'static, Result<CallReply<P>, Failure>>;
 
 /// Makes calls to back ends on behalf of one request. Each protocol front end
@@ -60,11 +63,12 @@
     /// Starts a call. Dropping the future cancels it.
     fn call(&self, request: CallRequest<'_>) -> CallFuture<Self::Part>;
 
-    /// Called when a back end was ejected as an outlier.
+    /// Called after each ejection of a back end as an outlier, for example to
+    /// count it.
     fn on_eviction(&self, eviction: &Eviction);
 }
 
-/// A call in flight that can be cancelled.
+/// A call in flight that can be cancelled; it gives its id with the reply.
 type Cancellable<P> = Abortable<BoxFuture<'static, (CallId, Result<CallReply<P>, Failure>)>>;
 
 /// A call in flight: its back end, its shards and the handle that cancels it.
@@ -74,8 +78,9 @@
     abort: AbortHandle,
 }
 
-/// A query in progress. Dropping it cancels its calls and releases their
-/// capacity, so a caller that hangs up costs the targets nothing more.
+/// A query in progress: its calls in flight and the actions that it asked for.
+/// Dropping it cancels its calls and releases their capacity, so a caller that
+/// hangs up costs the targets nothing more.
 struct Fanout<'a, C: CallTransport> {
     runtime: &'a Runtime,
     cell: &'a Cell<C::Extra>,
@@ -87,7 +92,9 @@
     rng: ChaCha8Rng,
 }
 
-/// Runs a query over all shards of `routes`, or over `subset`, to its end.
+/// Runs a query over all shards of `routes`, or over those at the positions in
+/// `subset`, until it ends, and returns it with its parts and coverage.
+/// Dropping the future cancels the calls in flight.
 pub async fn run<C: CallTransport>(
     runtime: &Runtime,
     cell: &Cell<C::Extra>,
@@ -117,7 +124,7 @@
 where
     C::Part: 'static,
 {
-    /// Starts the query, which queues its first calls.
+    /// Starts the query, which adds its first calls to the actions to run.
     fn start(&mut self, routes: Arc<Routes>, subset: Option<&[usize]>, config: QueryConfig) {
         let now = self.runtime.now();
         let mut state = lock(&self.cell.state);
@@ -130,7 +137,8 @@
         self.query = Some(Query::start(routes, subset, config, &mut cx));
     }
 
-    /// Processes replies and timeouts until the query ends.
+    /// Performs actions, and passes replies and timeouts to the query until it
+    /// ends.
     async fn drive(mut self) -> Query<C::Part> {
         loop {
             self.run_actions();
@@ -151,7 +159,7 @@
         }
     }
 
-    /// Performs the actions that the query asked for.
+    /// Starts and cancels the calls that the query asked for.
     fn run_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
@@ -171,7 +179,8 @@
         }
     }
 
-    /// Starts a call and tracks it.
+    /// Logs and starts a call, and keeps it until its reply or its
+    /// cancellation.
     fn call(&mut self, id: CallId, to: Ix, shards: Vec<usize>, kind: CallKind, deadline: Time) {
         self.log_choice(to, shards.len(), kind);
         let query = self.query.as_ref().expect("calls belong to a query");
@@ -189,7 +198,8 @@
         self.pending.insert(id, PendingCall { to, shards, abort });
     }
 
-    /// Passes the reply of a call to the query.
+    /// Passes the reply of a call to the query; ignores it if the call was
+    /// cancelled. A reply from a draining back end also marks it as leaving.
     fn handle_reply(&mut self, call: CallId, reply: Result<CallReply<C::Part>, Failure>) {
         let Some(sent) = self.pending.remove(&call) else {
             return;
@@ -210,8 +220,8 @@
         }
     }
 
-    /// Maps positions in the routes to positions in the query. Parts of
-    /// shards that were not asked for are dropped.
+    /// Maps positions in the routes to positions in the query. Drops parts that
+    /// are not of `shards`, the positions that the call asked for.
     fn positions(&self, shards: &[usize], parts: Vec<(usize, C::Part)>) -> Vec<(usize, C::Part)> {
         let query = self.query.as_ref().expect("answers belong to a query");
         let position = |route: usize| {
@@ -224,7 +234,8 @@
             .collect()
     }
 
-    /// Records that a back end reported that it is leaving.
+    /// Marks a back end that reported that it is leaving in the table, and logs
+    /// this; does nothing if it is marked already.
     fn mark_draining(&self, ix: Ix) {
         let now = self.runtime.now();
         let mut state = lock(&self.cell.state);
@@ -238,7 +249,8 @@
             "service" => %self.cell.name, "why" => "its own mark");
     }
 
-    /// Logs the back end chosen for a call, as the trace level asks.
+    /// Logs the back end chosen for a call of `shards` shards, unless the trace
+    /// level excludes calls of this kind.
     fn log_choice(&self, to: Ix, shards: usize, kind: CallKind) {
         let level = match kind {
             CallKind::First => TraceLevel::All,
@@ -257,7 +269,7 @@
             "request" => %self.transport.request(), "why" => kind.as_str());
     }
 
-    /// Logs a failed call, as the trace level asks.
+    /// Logs a failed call, unless the trace level excludes it.
     fn log_failure(&self, to: Ix, failure: Failure) {
         if self.runtime.trace < TraceLevel::Extra {
             return;
@@ -269,8 +281,9 @@
 }
 
 impl<C: CallTransport> Fanout<'_, C> {
-    /// Passes an event to the query under the cell's lock and logs the
-    /// resulting evictions.
+    /// Passes an event to the query under the cell's lock, then reports and
+    /// logs the evictions that it caused. Does nothing before the start or
+    /// after the end of the query.
     fn with_query(&mut self, event: impl FnOnce(&mut Query<C::Part>, &mut Context<'_>)) {
         let Some(query) = &mut self.query else {
             return;
--- a/crates/flow/src/runtime.rs
+++ b/crates/flow/src/runtime.rs
@@ -19,7 +19,8 @@
     All,
 }
 
-/// Log, clock and random numbers of one entry.
+/// The log, trace level, clock and random seed that the tasks of one entry
+/// share.
 #[derive(Debug)]
 pub struct Runtime {
     /// The log.
@@ -33,7 +34,8 @@
 }
 
 impl Runtime {
-    /// Creates a runtime whose random numbers are derived from `seed`.
+    /// Creates a runtime; the generators of [`Runtime::rng`] are derived from
+    /// `seed`.
     #[must_use]
     pub fn new(log: Logger, trace: TraceLevel, clock: Clock, seed: u64) -> Self {
         Self {
@@ -45,14 +47,14 @@
         }
     }
 
-    /// Returns the present time.
+    /// Returns the present time by the entry's clock.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Returns a generator for one decision or request, derived from the
-    /// entry's seed.
+    /// Returns a new generator for one decision or request, seeded from the
+    /// entry's seed and the number of earlier generators.
     #[must_use]
     pub fn rng(&self) -> ChaCha8Rng {
         let draw = self.draws.fetch_add(1, Ordering::Relaxed);
@@ -60,12 +62,12 @@
     }
 }
 
-/// Guard that counts a request while it is served.
+/// Counts a request in a shared counter until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard<'a>(&'a AtomicU32);
 
 impl<'a> InFlightGuard<'a> {
-    /// Increments `count` until the guard is dropped.
+    /// Increments `count`; dropping the guard decrements it.
     pub fn enter(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
