--- a/crates/tier/src/api.rs
+++ b/crates/tier/src/api.rs
@@ -11,7 +11,8 @@
 };
 use displaydoc::Display;
 
-/// A query from a caller.
+/// A query from a caller: the organisation, service and call type, the deadline
+/// and the body.
 #[derive(Clone, Debug)]
 pub struct QueryRequest {
     /// The organisation of the caller.
@@ -20,14 +21,15 @@
     pub service: ServiceName,
     /// The call type.
     pub call: CallType,
-    /// Time within which the caller wants the answer; `None` for the template's
-    /// default.
+    /// Time within which the caller wants the answer, capped by the settings;
+    /// `None` for that of the template.
     pub deadline: Option<Duration>,
     /// The query as JSON, passed to the leafs unchanged.
     pub body: Bytes,
 }
 
-/// A submission from a caller.
+/// A submission from a caller: the ticket, the organisation, service and call
+/// type, the deadline and the body.
 #[derive(Clone, Debug)]
 pub struct SubmitRequest {
     /// The ticket that deduplicates repeats. Without one, the submission
@@ -39,8 +41,8 @@
     pub service: ServiceName,
     /// The call type.
     pub call: CallType,
-    /// Time within which the caller wants the answer; `None` for the template's
-    /// default.
+    /// Time within which the caller wants the answer, capped by the settings;
+    /// `None` for 5 seconds.
     pub deadline: Option<Duration>,
     /// The submission as JSON, passed to the target unchanged.
     pub body: Bytes,
@@ -57,7 +59,8 @@
     pub confirmed_age: Duration,
 }
 
-/// An answer to a query.
+/// An answer to a query: the rows, and the snapshot, coverage and settings that
+/// they come from.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The id of the request at this entry.
@@ -74,7 +77,8 @@
     pub rows: Bytes,
 }
 
-/// A refusal of a request.
+/// A refusal of a request: the receipt, the reason and detail, how much of the
+/// request was run, and when and where to retry.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     /// The encoded receipt, which can be decoded later without any stored state.
@@ -100,7 +104,7 @@
     pub answer: Bytes,
 }
 
-/// A newly issued ticket for one submission.
+/// A newly issued ticket for one submission, with its expiry.
 #[derive(Clone, Debug)]
 pub struct TicketReply {
     /// The ticket.
@@ -109,7 +113,8 @@
     pub expiry: WallTime,
 }
 
-/// The entries that a caller may use.
+/// The entries that a caller may use, in the order to try them, and the time
+/// for which the list may be cached.
 #[derive(Clone, Debug)]
 pub struct EntryList {
     /// The entries, in order of preference.
@@ -118,7 +123,7 @@
     pub ttl: Duration,
 }
 
-/// Why an edit was not accepted.
+/// Why an edit was not accepted, or that its outcome is not known.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum EditError {
     /// {0}
@@ -139,7 +144,7 @@
 
 impl std::error::Error for EditError {}
 
-/// An accepted edit.
+/// An accepted edit: its id and the version of the object that it made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditReply {
     /// The version of the object after the edit.
--- a/crates/tier/src/callers.rs
+++ b/crates/tier/src/callers.rs
@@ -48,7 +48,8 @@
     body: Option<&'a RawValue>,
 }
 
-/// Handles one HTTP request of a caller.
+/// Handles one HTTP request of a caller. Replies of a leaving entry ask the
+/// caller to close the connection.
 pub(crate) async fn handle(tier: Tier, limits: WebLimits, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
@@ -75,10 +76,12 @@
     reply
 }
 
-/// Path prefix of receipts.
+/// Path prefix under which callers look up receipts.
 const REFUSALS_PATH: &str = "/v1/refusals/";
 
-/// Returns the entries that callers should use, in order of preference.
+/// Returns the entries that callers should use, in order of preference, for the
+/// failure domain in the parameter `domain` of the URL query; without a valid
+/// one, for the domain of this entry.
 pub(crate) fn list_entries(tier: &Tier, query: Option<&str>) -> Reply {
     let domain = web::param(query, "domain").and_then(|name| DomainName::new(name).ok());
     let list = tier.entries(domain.as_ref());
@@ -89,7 +92,8 @@
     web::json(StatusCode::OK, body.to_string())
 }
 
-/// Parses and runs a query.
+/// Parses and runs a query. A request that can't be parsed is refused with a
+/// receipt, too.
 async fn query(tier: &Tier, limits: &WebLimits, request: Request<Incoming>) -> Reply {
     let body = match web::read_body(request.into_body(), limits).await {
         Ok(body) => body,
@@ -116,7 +120,7 @@
     }
 }
 
-/// Issues a ticket.
+/// Issues a ticket for a submission, or replies with the refusal.
 fn issue_ticket(tier: &Tier) -> Reply {
     match tier.ticket() {
         Ok(reply) => {
@@ -130,7 +134,8 @@
     }
 }
 
-/// Parses and runs a submission.
+/// Parses and runs a submission. A request that can't be parsed is refused with
+/// a receipt, too.
 async fn submit(tier: &Tier, limits: &WebLimits, request: Request<Incoming>) -> Reply {
     let body = match web::read_body(request.into_body(), limits).await {
         Ok(body) => body,
@@ -162,7 +167,8 @@
     }
 }
 
-/// Decodes a receipt, which contains the whole refusal, so no store is read.
+/// Replies with the content of a receipt, which includes the whole refusal, so
+/// no store is read; 404 if it can't be decoded.
 fn explain(tier: &Tier, text: &str) -> Reply {
     match Receipt::decode(text, &tier.shared.mac_key) {
         Ok(receipt) => {
@@ -180,7 +186,9 @@
     value.map_or(EMPTY_JSON, |v| Bytes::copy_from_slice(v.get().as_bytes()))
 }
 
-/// Checks that a deadline is positive and within the configured limit.
+/// Converts the deadline of a request, in milliseconds; `None` if it sets none.
+/// The error names the limit that a deadline of zero or above the settings'
+/// maximum violates.
 fn parse_deadline(tier: &Tier, ms: Option<u64>) -> Result<Option<Duration>, String> {
     let max = tier.shared.settings.limits.deadline;
     let Some(ms) = ms else {
@@ -194,19 +202,21 @@
     Ok(Some(span))
 }
 
+/// Refuses a request that could not be parsed as [`Reason::BadRequest`].
 fn bad_request(tier: &Tier, detail: String) -> Reply {
     refuse_unparsed(tier, Reason::BadRequest, detail)
 }
 
-/// Refuses a request whose body could not be read.
+/// Refuses a request whose body could not be read, with the HTTP status of
+/// `error`.
 fn bad_body(tier: &Tier, error: BodyError) -> Reply {
     let mut reply = bad_request(tier, error.text().to_owned());
     *reply.status_mut() = error.status();
     reply
 }
 
-/// Refuses a request that could not be parsed; the refusal names no organisation
-/// or service.
+/// Refuses a request that could not be parsed, and records the refusal like any
+/// other. It names no organisation or service.
 fn refuse_unparsed(tier: &Tier, reason: Reason, detail: String) -> Reply {
     let subject = Subject {
         request: tier.shared.next_request(),
@@ -219,7 +229,7 @@
     ))
 }
 
-/// Encodes an answer to a query.
+/// Encodes an answer to a query as a JSON object.
 fn answer_json(answer: &Answer) -> String {
     let head = json!({
         "request": answer.request_id,
@@ -243,7 +253,8 @@
     format!(r#"{},"rows":{rows}}}"#, &head[..head.len() - 1])
 }
 
-/// Encodes the result of a submission.
+/// Encodes the answer of a submission that ran as JSON, with the outcome
+/// `done`; an empty answer becomes `null`. Other outcomes are refusals.
 fn outcome_json(outcome: &SubmitOutcome) -> String {
     let answer = if outcome.answer.is_empty() {
         "null".into()
@@ -254,6 +265,7 @@
     format!(r#"{{"outcome":"done","request":{request},"answer":{answer}}}"#)
 }
 
+/// Encodes one entry as JSON: its name, caller address and failure domain.
 fn entry_json(entry: &Entry) -> serde_json::Value {
     json!({
         "entry": entry.member,
@@ -262,7 +274,8 @@
     })
 }
 
-/// Builds the HTTP reply to a refused request.
+/// Builds the HTTP reply to a refused request, with a `Retry-After` header if a
+/// retry may help.
 fn refusal_reply(refusal: &Refusal) -> Reply {
     let body = json!({
         "refused": true,
@@ -285,7 +298,7 @@
     reply
 }
 
-/// The HTTP status for a reason.
+/// Returns the HTTP status of a refusal for `reason`.
 fn http_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadRequest => StatusCode::BAD_REQUEST,
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -14,9 +14,10 @@
     shared::Shared,
 };
 
-/// One query and the service that it is sent to; issues its calls.
+/// One query and the service that it is sent to; starts its calls to leafs and
+/// peers.
 pub(crate) struct QueryCalls<'a> {
-    /// The tables of the entry.
+    /// The state of the entry.
     pub(crate) shared: &'a Shared,
     /// The service that is queried.
     pub(crate) service: &'a Service,
@@ -26,7 +27,7 @@
     pub(crate) body: Bytes,
 }
 
-/// The pending result of one call.
+/// The pending result of one call: the reply, or how the call failed.
 type CallFuture = BoxFuture<'static, Result<CallReply<Bytes>, Failure>>;
 
 impl CallTransport for QueryCalls<'_> {
@@ -57,7 +58,7 @@
 }
 
 impl QueryCalls<'_> {
-    /// Sends the shards of a call to a leaf.
+    /// Queries the shards of `request` at a leaf that this entry holds.
     fn call_leaf(
         &self,
         leaf: LeafId,
@@ -79,7 +80,7 @@
         async move { Ok(reply_of_leaf(&names, targets.query(call).await?)) }.boxed()
     }
 
-    /// Sends the shards of a call to a peer that connects to their leafs.
+    /// Queries the shards of `request` at a peer, which calls their leafs.
     fn call_peer(&self, address: SocketAddr, request: &CallRequest<'_>) -> CallFuture {
         let query = SubQuery {
             request: self.request,
@@ -94,13 +95,15 @@
     }
 }
 
-/// The names of shards, each with its index in the routes.
+/// Returns the names of the shards at the positions `shards` of the routes,
+/// each with its position.
 fn shard_names(routes: &Routes, shards: &[usize]) -> Vec<(ShardName, usize)> {
     let name = |ix: &usize| (routes.shards[*ix].name.clone(), *ix);
     shards.iter().map(name).collect()
 }
 
-/// Maps a leaf's answer to shard indices; drops shards that were not asked for.
+/// Converts a leaf's answer, which names shards, to one with their positions in
+/// the routes; drops shards that are not in `names`.
 fn reply_of_leaf(names: &[(ShardName, usize)], answer: LeafAnswer) -> CallReply<Bytes> {
     let position = |name: &ShardName| {
         let is_named = |(shard, _): &&(ShardName, usize)| shard == name;
--- a/crates/tier/src/edit.rs
+++ b/crates/tier/src/edit.rs
@@ -22,12 +22,14 @@
     shared::{Shared, lock},
 };
 
-/// Attempts to write an edit before it is reported as failed.
+/// Attempts to write an edit before it is given up as unavailable or
+/// unconfirmed.
 const MAX_ATTEMPTS: u32 = 5;
-/// Delay after an attempt that failed.
+/// Delay after an attempt that got no answer or a conflict.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// An edit requested by an operator.
+/// An edit requested by an operator: the object and its new content, the
+/// expected version, the edit's id and its author.
 #[derive(Clone, Debug)]
 pub(crate) struct EditRequest {
     /// The object to edit.
@@ -43,7 +45,12 @@
 }
 
 /// Validates an edit, writes it to the platform with retries, and applies it
-/// here and at the peers.
+/// here and at some peers, which forward it.
+///
+/// # Errors
+///
+/// The edit is invalid or conflicts with another one, or the platform gave no
+/// answer in all attempts.
 pub(crate) async fn put(
     shared: &Arc<Shared>,
     request: EditRequest,
@@ -80,7 +87,9 @@
     Unknown,
 }
 
-/// Reads the object and writes the edit once, unless it already took effect.
+/// Reads the object and writes the edit once, unless its history shows that it
+/// already took effect; applies the object here and at peers on success. The
+/// error says whether to try again.
 async fn attempt(shared: &Arc<Shared>, request: &EditRequest) -> Result<EditReply, Attempt> {
     let current = match shared.platform.get(request.key.clone()).await {
         Ok(current) => current,
@@ -130,18 +139,21 @@
     }
 }
 
-/// Logs an accepted edit, applies it here and sends it to the peers.
+/// Logs an accepted edit, applies its object here and sends it to a few peers.
 fn apply_edit(shared: &Arc<Shared>, request: &EditRequest, object: Object) {
     info!(shared.runtime.log, "conf: accepted {} version {}", request.key, object.version;
         "edit" => &request.edit_id, "by" => &request.author);
     propagation::apply_and_forward(shared, vec![object], "an edit here");
 }
 
+/// Decodes the content and edit history of an object; `None` if it has another
+/// form.
 fn parse_stored(object: &Object) -> Option<StoredSpec> {
     serde_json::from_value(object.value.clone()).ok()
 }
 
-/// Finds an edit by id in the history of an object.
+/// Finds an edit by id in the history of an object; `None` if the history
+/// doesn't contain it.
 fn find_edit(stored: &StoredSpec, id: &str) -> Option<EditReply> {
     stored
         .edits
@@ -153,8 +165,13 @@
         })
 }
 
-/// Validates the content of an edit; an organisation is also checked against
-/// its template.
+/// Validates the content of an edit without writing it. An organisation is also
+/// checked against its template.
+///
+/// # Errors
+///
+/// The content is invalid, the template of an organisation does not exist, or
+/// objects of this kind can't be edited.
 pub(crate) fn check(shared: &Shared, request: &EditRequest) -> Result<(), EditError> {
     match request.key.kind {
         ObjectKind::Template => {
@@ -183,10 +200,12 @@
     }
 }
 
+/// Deserializes the content of an edit; the error is [`EditError::Invalid`].
 fn parse<T: DeserializeOwned>(spec: &serde_json::Value) -> Result<T, EditError> {
     T::deserialize(spec).map_err(|error| EditError::Invalid(error.to_string()))
 }
 
+/// Converts a validation error to [`EditError::Invalid`].
 fn check_error(error: chestnut_conf::ValidationError) -> EditError {
     EditError::Invalid(error.to_string())
 }
--- a/crates/tier/src/gossip.rs
+++ b/crates/tier/src/gossip.rs
@@ -8,7 +8,8 @@
 
 use crate::shared::{DivergentPeer, Shared, lock};
 
-/// Sends and answers probes until the entry stops.
+/// Sends and answers probes without end, and applies the membership changes
+/// that they show.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let wake = shared.runtime.clock.instant(lock(&shared.swim).wake());
@@ -23,15 +24,16 @@
     }
 }
 
-/// Sends messages of the failure detector.
+/// Sends messages of the failure detector to their addresses.
 pub(crate) async fn send_all(shared: &Shared, out: Vec<Outgoing>) {
     for Outgoing { to, message } in out {
         shared.probes.send(to, message).await;
     }
 }
 
-/// Runs the timers of the failure detector, and updates the confirmation of the
-/// configuration from the members that are present.
+/// Runs the timers of the failure detector, whose messages are appended to
+/// `out`. Then confirms the configuration if all other members recently
+/// reported and confirmed the same one.
 fn tick(shared: &Shared, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
@@ -47,8 +49,9 @@
         .confirm_in_outage(present.iter(), status.digest, now);
 }
 
-/// Handles a message; a different configuration digest is queued for
-/// reconciliation with the sender.
+/// Passes a message from `from` to the failure detector; replies are appended
+/// to `out`. If the sender's configuration digest differs, it is queued for a
+/// fetch of newer objects.
 fn receive(shared: &Shared, message: &Message, from: SocketAddr, out: &mut Vec<Outgoing>) {
     let now = shared.now();
     let status = shared.status();
@@ -66,7 +69,8 @@
     }
 }
 
-/// Logs membership changes, and requests a new placement unless members were
+/// Logs the membership changes since the last call, forgets the confirmations
+/// of members that are gone, and requests a new placement unless members were
 /// only suspected.
 pub(crate) fn apply_member_changes(shared: &Shared) {
     let changes = lock(&shared.swim).take_changes();
--- a/crates/tier/src/leafs.rs
+++ b/crates/tier/src/leafs.rs
@@ -21,7 +21,8 @@
 /// so the leaf is only ranked lower, not excluded.
 const UNHEALTHY_FACTOR: f64 = 2.0;
 
-/// Polls the state of all leafs that this entry connects to, without end.
+/// Polls health, load and draining state of all leafs that this entry holds,
+/// without end, and applies the reports to routing.
 pub(crate) async fn poll_states(shared: Arc<Shared>) {
     loop {
         sleep(POLL_INTERVAL).await;
@@ -40,6 +41,7 @@
 }
 
 /// Updates the leaving mark and the cost factor of a leaf from its own report.
+/// A leaf that is listed as leaving stays so whatever it reports.
 fn apply_report(shared: &Shared, service: &Service, id: &LeafId, report: &LeafState) {
     let now = shared.now();
     let listed = lock(&shared.leaving_leafs).contains(id);
@@ -83,7 +85,8 @@
     record_leaving(shared, &leaving, "the platform's list")
 }
 
-/// Marks leafs as leaving; returns those newly marked. `why` is logged.
+/// Marks leafs as leaving in all services, so that they get no new work;
+/// returns those newly marked. `why` is the reason in the log.
 pub(crate) fn record_leaving(shared: &Shared, ids: &[LeafId], why: &'static str) -> Vec<LeafId> {
     let now = shared.now();
     let mut added = Vec::new();
--- a/crates/tier/src/metrics.rs
+++ b/crates/tier/src/metrics.rs
@@ -22,28 +22,33 @@
 /// Number of latency buckets; the last bound is about 38 s.
 const BUCKETS: u16 = 27;
 
+/// Labels of the latency of queries: service and urgency.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ServiceLabels {
     service: String,
     urgency: &'static str,
 }
 
+/// Label of the count of refusals: the reason.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ReasonLabels {
     reason: &'static str,
 }
 
+/// Label of the count of calls to back ends: why the call was made.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct KindLabels {
     kind: &'static str,
 }
 
+/// Label of the number of connections: the leaf.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct LeafLabels {
     leaf: String,
 }
 
-/// The metrics of one entry.
+/// The metrics of one entry and the registry that encodes them. Counters and
+/// the histogram follow events; the gauges are set before each encoding.
 pub(crate) struct Metrics {
     registry: Registry,
     latency: Family<ServiceLabels, Histogram>,
@@ -77,7 +82,7 @@
 }
 
 impl Metrics {
-    /// Creates and registers all metrics.
+    /// Creates all metrics and registers them under the prefix `chestnut`.
     pub(crate) fn new() -> Self {
         let new_histogram =
             || Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_RATIO, BUCKETS));
@@ -105,6 +110,7 @@
         metrics
     }
 
+    /// Registers each metric with its name and help text.
     fn register(&mut self) {
         let r = &mut self.registry;
         let latency = self.latency.clone();
@@ -156,7 +162,8 @@
         r.register("cpu_ms", "Processor time of the process", self.cpu.clone());
     }
 
-    /// Records the latency and coverage of an answered query.
+    /// Records an answered query: its latency `span`, its shards asked and
+    /// answered, and whether the answer is complete.
     pub(crate) fn observe_answer(
         &self,
         service: &ServiceName,
@@ -178,7 +185,7 @@
         }
     }
 
-    /// Counts a call to a back end.
+    /// Counts a call to a back end under its kind.
     pub(crate) fn count_call(&self, kind: CallKind) {
         let labels = KindLabels {
             kind: kind.as_str(),
@@ -186,7 +193,7 @@
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// Counts a refusal.
+    /// Counts a refusal under its reason.
     pub(crate) fn count_refusal(&self, reason: Reason) {
         let labels = ReasonLabels {
             reason: reason.as_str(),
@@ -200,7 +207,7 @@
         self.connections.get_or_create(&labels).set(open as i64);
     }
 
-    /// Encodes all metrics as text.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a String cannot fail");
--- a/crates/tier/src/operators.rs
+++ b/crates/tier/src/operators.rs
@@ -21,7 +21,8 @@
     web::{self, Reply, WebLimits},
 };
 
-/// JSON body of an edit request.
+/// JSON body of an edit request: the new content, the version that the operator
+/// read, the edit's id and the operator's name.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EditBody {
@@ -32,7 +33,7 @@
     by: String,
 }
 
-/// Handles one HTTP request of an operator.
+/// Handles one HTTP request of an operator; 404 for an unknown path or method.
 pub(crate) async fn handle(tier: Tier, limits: WebLimits, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -67,7 +68,7 @@
     Write,
 }
 
-/// Refreshes the gauges and returns all metrics.
+/// Sets the gauges to their present values and replies with all metrics.
 fn metrics(tier: &Tier) -> Reply {
     let shared = &tier.shared;
     let metrics = &shared.metrics;
@@ -96,7 +97,7 @@
     reply
 }
 
-/// Reports whether this entry is ready to serve callers.
+/// Reports the phase of this entry; 503 unless it serves callers.
 fn ready(tier: &Tier) -> Reply {
     let phase = tier.status().phase;
     let status = if tier.is_ready() {
@@ -110,12 +111,13 @@
     )
 }
 
+/// Parses the kind of object in a path; the error is the 404 reply.
 fn parse_kind(text: &str) -> Result<ObjectKind, Reply> {
     text.parse::<ObjectKind>()
         .map_err(|error| web::error(StatusCode::NOT_FOUND, &error))
 }
 
-/// Returns the names and versions of the objects of one kind.
+/// Replies with the names and versions of the objects of one kind.
 fn list_objects(tier: &Tier, kind: &str) -> Reply {
     let kind = match parse_kind(kind) {
         Ok(kind) => kind,
@@ -125,7 +127,8 @@
     web::json(StatusCode::OK, json!(versions).to_string())
 }
 
-/// Returns one object with its version and edit history.
+/// Replies with the version, content and edit history of one object; 404 if
+/// there is none. The history is empty if the object has none.
 fn get_object(tier: &Tier, kind: &str, name: &str) -> Reply {
     let kind = match parse_kind(kind) {
         Ok(kind) => kind,
@@ -144,7 +147,8 @@
     web::json(StatusCode::OK, body.to_string())
 }
 
-/// Validates an edit and, in [`Mode::Write`], writes it.
+/// Validates an edit and, in [`Mode::Write`], writes it; replies with the new
+/// version or the error.
 async fn edit_object(
     tier: &Tier,
     limits: &WebLimits,
@@ -169,7 +173,8 @@
     }
 }
 
-/// Parses an edit request from the path and the body.
+/// Parses an edit request from the path and the body, and gives it a new id if
+/// it has none. The error is the reply to an invalid request.
 async fn read_edit(
     tier: &Tier,
     limits: &WebLimits,
@@ -199,6 +204,8 @@
     })
 }
 
+/// Builds the reply to an edit that failed, with the current version after a
+/// conflict and the edit's id if the outcome is unknown.
 fn edit_error_reply(error: &EditError) -> Reply {
     let status = match error {
         EditError::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
@@ -215,8 +222,9 @@
     web::json(status, body.to_string())
 }
 
-/// Decodes a receipt, and adds the detail of the refusal's record if the record
-/// is still in memory or on the platform.
+/// Replies with the content of a receipt, 404 if it can't be decoded. Adds the
+/// detail of the refusal's record if the record is still in memory or on the
+/// platform.
 async fn explain_refusal(tier: &Tier, text: &str) -> Reply {
     let shared = &tier.shared;
     let receipt = match Receipt::decode(text, &shared.mac_key) {
@@ -249,7 +257,8 @@
     Unavailable,
 }
 
-/// Searches the batches that the refusing entry wrote to the platform.
+/// Searches the batches that the refusing entry wrote to the platform for the
+/// record of the receipt `text`.
 async fn find_record(tier: &Tier, receipt: &Receipt, text: &str) -> RecordLookup {
     let Ok(listing) = tier.shared.platform.list(ObjectKind::Refusal).await else {
         return RecordLookup::Unavailable;
@@ -271,7 +280,8 @@
     RecordLookup::Missing
 }
 
-/// Starts a graceful shutdown; the daemon exits once it is complete.
+/// Requests a graceful shutdown and replies at once; the daemon exits once the
+/// shutdown is complete.
 fn drain(tier: &Tier) -> Reply {
     tier.shared.drain_requested.notify_one();
     web::json(StatusCode::ACCEPTED, r#"{"draining":true}"#)
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -26,7 +26,9 @@
 /// Interval of the periodic placement, in case a notification was missed.
 const PLACE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Recomputes the placement whenever members or services change.
+/// Recomputes the placement, without end, on each notification and
+/// periodically, and opens and closes connections to leafs accordingly. Does
+/// nothing while the entry is starting or after it began to leave.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut held = BTreeSet::new();
     loop {
@@ -70,7 +72,9 @@
 /// The leafs that this entry connects to, with their addresses.
 type HeldLeafs = BTreeSet<(LeafId, std::net::SocketAddr)>;
 
-/// Computes the routes of every service and returns the leafs held here.
+/// Adds and removes services as the configuration lists them, rebuilds their
+/// back ends and routes, and returns the leafs that this entry holds. Opens no
+/// connections.
 pub(crate) fn place_all(shared: &Shared) -> HeldLeafs {
     let (services, layouts) = read_objects(shared);
     let evacuated = lock(&shared.conf).objects.evacuated();
@@ -101,7 +105,7 @@
     BTreeMap<ServiceName, Vec<Layout>>,
 );
 
-/// Reads the services and layouts in force. Invalid objects are logged and
+/// Reads the services and layouts in force. Invalid ones are logged and
 /// skipped, so that one of them doesn't stop the placement of the others.
 fn read_objects(shared: &Shared) -> Objects {
     let conf = lock(&shared.conf);
@@ -134,7 +138,8 @@
     (services, layouts)
 }
 
-/// Inputs to the placement of one service.
+/// Inputs to the placement of one service: its object and holder plan, the
+/// members that accept work and the evacuated failure domains.
 struct Placement<'a> {
     shared: &'a Shared,
     object: &'a ServiceObject,
@@ -181,7 +186,8 @@
         leaf.is_some_and(|leaf| !self.evacuated.contains(&leaf.domain))
     }
 
-    /// Adds a leaf that this entry holds to the table of back ends.
+    /// Adds a leaf that this entry holds, with `slots` as its capacity, to the
+    /// table of back ends unless it is there; returns its index.
     fn add_leaf(&self, state: &mut State, id: &LeafId, slots: u32) -> Ix {
         let now = self.shared.now();
         let backend = Backend::Leaf(id.clone());
@@ -199,7 +205,8 @@
         ix
     }
 
-    /// Adds the holders of a leaf to the table of back ends.
+    /// Adds the holders of a leaf to the table of back ends and to `addresses`;
+    /// returns their indices. Holders that are not members are skipped.
     fn add_peers(
         &self,
         state: &mut State,
@@ -223,7 +230,8 @@
     }
 
     /// Builds two sets of routes for one layout: for queries of callers, and
-    /// for parts that peers request, which only use leafs held here.
+    /// for parts that peers request, which only use leafs held here. `backends`
+    /// lists the back ends that reach each leaf.
     fn add_routes(
         &self,
         state: &mut State,
--- a/crates/tier/src/ports.rs
+++ b/crates/tier/src/ports.rs
@@ -13,7 +13,8 @@
 pub type PeerBinder =
     Box<dyn FnOnce(Arc<dyn PeerService>) -> BoxFuture<'static, io::Result<Arc<dyn Peers>>> + Send>;
 
-/// External interfaces of one entry, which tests can replace.
+/// External interfaces of one entry, which tests can replace: targets,
+/// platform, probes, peers and clock.
 pub struct Ports {
     /// Calls to targets, the back ends that hold the leafs of a service.
     pub targets: Arc<dyn Targets>,
@@ -28,7 +29,8 @@
 }
 
 impl Ports {
-    /// Opens the network adapters that the settings describe.
+    /// Opens the network adapters that the settings describe. The port for
+    /// calls between entries is bound later, by the binder.
     ///
     /// # Errors
     ///
--- a/crates/tier/src/propagation.rs
+++ b/crates/tier/src/propagation.rs
@@ -17,7 +17,8 @@
 /// Delay before a fetch, in which a change that still propagates may arrive.
 const FETCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Applies objects from `from` and forwards the new ones to a few peers.
+/// Applies objects to the configuration and forwards the new ones to a few
+/// random peers in the background. `from` is the source in the log.
 pub(crate) fn apply_and_forward(shared: &Arc<Shared>, objects: Vec<Object>, from: &'static str) {
     let new = apply(shared, objects, from);
     if new.is_empty() || shared.peers.get().is_none() {
@@ -32,7 +33,10 @@
     }
 }
 
-/// Applies objects to the configuration and returns those that were new.
+/// Applies objects to the configuration and returns those that were new; stale
+/// ones are counted and dropped. New objects clear the cached policies and, if
+/// they concern services, request a new placement. `from` is the source in the
+/// log.
 fn apply(shared: &Shared, objects: Vec<Object>, from: &'static str) -> Vec<Object> {
     let mut new = Vec::new();
     let mut conf = lock(&shared.conf);
@@ -69,7 +73,8 @@
     new
 }
 
-/// Fetches newer objects from peers whose digest differs.
+/// Fetches newer objects from each peer in the queue whose digest still differs
+/// after a delay, and applies and forwards them. Ends when the queue is closed.
 pub(crate) async fn fetch(shared: Arc<Shared>, mut divergent_peers: mpsc::Receiver<DivergentPeer>) {
     while let Some(peer) = divergent_peers.recv().await {
         sleep(FETCH_DELAY).await;
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -27,7 +27,7 @@
     shared::{Phase, Shared, lock},
 };
 
-/// Times that a query is restarted after its snapshot was removed.
+/// Number of times that a query is restarted after its snapshot was removed.
 const MAX_RESTARTS: usize = 3;
 /// Requests in flight at which parts for peers are shed, to bound memory.
 const MAX_IN_FLIGHT: u32 = 4096;
@@ -44,7 +44,8 @@
     }
 }
 
-/// The policy that applies to a request, and the versions that it comes from.
+/// The policy that applies to a request, and the versions and age of the
+/// settings that it comes from.
 pub(crate) struct EffectivePolicy {
     pub(crate) policy: Arc<OrgPolicy>,
     pub(crate) settings: SettingsUsed,
@@ -94,7 +95,12 @@
     }
 }
 
-/// Finds the policy of the call, or refuses a call that it doesn't allow.
+/// Finds the policy of one call type on a service, for queries or submissions
+/// as `kind` says.
+///
+/// # Errors
+///
+/// The organisation's policy does not allow the call.
 pub(crate) fn call_policy<'a>(
     effective: &'a EffectivePolicy,
     kind: CallKind,
@@ -107,8 +113,13 @@
         .map_err(|error| Cause::not_run(error.reason(), error.to_string()))
 }
 
-/// Admits a request under its organisation's limit, unless its policy forbids
-/// refusals for that reason.
+/// Admits a request under its organisation's limit until the permit is dropped.
+/// `None`, without counting the request, if its policy forbids refusals for
+/// that reason.
+///
+/// # Errors
+///
+/// The organisation has reached its limit; the cause has the retry delay.
 pub(crate) fn org_permit<'a>(
     shared: &'a Shared,
     org: &chestnut_unit::OrgName,
@@ -134,7 +145,8 @@
     }
 }
 
-/// Builds the [`AdmitRequest`] of a request.
+/// Builds the request for admission to a service: its id, urgency and deadline,
+/// and whether it may be refused for overload.
 pub(crate) fn admit_request(
     subject: &Subject,
     policy: &CallPolicy,
@@ -152,13 +164,15 @@
     }
 }
 
-/// The requested deadline or that of the policy, capped by the settings.
+/// Returns the time by which a request must end: now plus the requested time,
+/// or that of the policy, capped by the settings.
 pub(crate) fn deadline(shared: &Shared, requested: Option<Duration>, policy: &CallPolicy) -> Time {
     let allowed = requested.unwrap_or(policy.deadline);
     shared.now() + allowed.min(shared.settings.limits.deadline)
 }
 
-/// Answers a caller's query.
+/// Answers a caller's query and records its metrics. A refusal is also logged,
+/// counted and recorded.
 pub(crate) async fn answer(shared: &Shared, request: QueryRequest) -> Result<Answer, Refusal> {
     let _flight = InFlightGuard::enter(&shared.in_flight);
     let start = shared.now();
@@ -181,7 +195,8 @@
         .map_err(|cause| refuse(shared, &subject, cause))
 }
 
-/// Admits and runs a query; the error says why it is refused.
+/// Admits and runs a query; returns the answer with its urgency. The error says
+/// why the query is refused. Records the versions of its settings in `subject`.
 async fn decide(
     shared: &Shared,
     request: &QueryRequest,
@@ -228,7 +243,9 @@
     execution: Execution,
 }
 
-/// Runs the query, and restarts it if the pinned snapshot is removed.
+/// Runs the query, and restarts it if the pinned snapshot is removed. Adds its
+/// calls to the counts of `admitted`. The error is that no snapshot has a live
+/// leaf.
 async fn fan_out(
     shared: &Shared,
     service: &Arc<Service>,
@@ -276,14 +293,16 @@
     Ok(FanOut { query, execution })
 }
 
-/// Pins a snapshot with live leafs, so that all shards answer from it.
+/// Pins a snapshot with live leafs, so that all shards answer from it; `None`
+/// if there is none.
 fn pin_snapshot(shared: &Shared, service: &Service) -> Option<Arc<Routes>> {
     let now = shared.now();
     let state = lock(&service.state);
     state.extra.versions.pin(&state.table, now)
 }
 
-/// Builds the refusal of a query that is below its minimum coverage.
+/// Builds the refusal of a query that is below its minimum coverage: deadline,
+/// target refused or incomplete, with the missing shards in the detail.
 fn coverage_refusal(query: &Query<Bytes>, execution: Execution) -> Cause {
     let coverage = query.coverage();
     let reason = match query.end() {
@@ -310,7 +329,8 @@
 /// Maximum number of missing shards listed in a refusal.
 const MAX_MISSING: usize = 20;
 
-/// Concatenates JSON arrays without parsing them.
+/// Concatenates JSON arrays to one without parsing them; each part must be an
+/// array.
 fn join_rows(parts: impl Iterator<Item = Bytes>) -> Bytes {
     let mut joined = BytesMut::new();
     joined.put_u8(b'[');
@@ -329,7 +349,9 @@
 }
 
 /// Serves the part of a query that a peer requests, using only leafs that this
-/// entry holds.
+/// entry holds; shards without one are left out. Fails if too many requests are
+/// in flight, the service or index version is unknown, or no shard was
+/// answered.
 pub(crate) async fn serve_part(shared: &Shared, part: SubQuery) -> SubAnswer {
     let running = shared.in_flight.load(Ordering::Relaxed);
     if running >= MAX_IN_FLIGHT {
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -14,7 +14,8 @@
 /// Interval at which pending batches are written.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Writes pending batches of this entry and copies that peers stored here.
+/// Writes due batches of this entry and copies that peers stored here to the
+/// platform, without end.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         sleep(WRITE_INTERVAL).await;
@@ -32,7 +33,8 @@
     }
 }
 
-/// Writes all pending records of this entry before it stops.
+/// Writes all pending records of this entry before it stops. Tries again
+/// without end while the platform is unavailable, so callers set a time limit.
 pub(crate) async fn write_last(shared: &Shared) {
     loop {
         let batch = lock(&shared.refusal_log).flush_batch();
@@ -43,8 +45,8 @@
     }
 }
 
-/// Writes a batch. While the platform is unavailable, stores a copy at a peer,
-/// so that the records survive a crash of this entry.
+/// Writes a batch. If the platform does not take it, stores a copy at a random
+/// peer, so that the records survive a crash of this entry.
 async fn write_or_copy(shared: &Shared, batch: Batch) {
     if write(shared, &batch).await {
         lock(&shared.refusal_log).confirm(&batch.name);
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -16,7 +16,9 @@
     shared::{Shared, lock},
 };
 
-/// The attributes of a request that go into its receipt if it is refused.
+/// The attributes of a request that go into its receipt if it is refused: its
+/// id, its organisation, service and call type if known, and the versions of
+/// its settings.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Subject {
     pub(crate) request: RequestId,
@@ -34,17 +36,19 @@
     }
 }
 
-/// The reason of a refusal, before its receipt is made.
+/// Why a request is refused, before its receipt is made: the reason, how much
+/// of the request was run, a detail for people and the retry delay.
 pub(crate) struct RefusalCause {
     pub(crate) reason: Reason,
     pub(crate) execution: Execution,
     pub(crate) detail: String,
-    /// Time after which the caller may retry.
+    /// Time after which the caller may retry; `None` for the default of the
+    /// reason.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl RefusalCause {
-    /// A refusal of a request of which nothing was sent.
+    /// Creates the cause of refusing a request of which nothing was sent.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -89,7 +93,9 @@
     }
 }
 
-/// Makes the receipt of a refusal, then logs, counts and records it.
+/// Makes the receipt of a refusal, logs and counts it, queues its record for
+/// the platform, and returns the refusal with a retry delay and other entries
+/// to try.
 pub(crate) fn refuse(shared: &Shared, subject: &Subject, cause: RefusalCause) -> Refusal {
     let wall = shared.runtime.clock.wall();
     let receipt = Receipt {
--- a/crates/tier/src/server.rs
+++ b/crates/tier/src/server.rs
@@ -77,7 +77,8 @@
         self.operators
     }
 
-    /// Stops accepting and lets each connection finish its request.
+    /// Stops accepting connections and waits, for a limited time, until each
+    /// open one has finished its request.
     pub async fn close(mut self) {
         self.shutdown.send_replace(true);
         for server in std::mem::take(&mut self.servers) {
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -7,7 +7,8 @@
 use chestnut_route::{Admission, AdmitConfig, Backend, Choice, Ix, Table, TableConfig, Versions};
 use chestnut_unit::{LeafId, MemberId, ServiceName, Time};
 
-/// The address of a back end, and whether it is called directly.
+/// How a back end is reached: a leaf directly, or leafs through the peer that
+/// holds them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum BackendAddress {
     /// A leaf that this entry holds.
@@ -32,7 +33,9 @@
 /// The part of a [`Service`] behind its lock.
 pub(crate) type State = CellState<ServiceRoutes>;
 
-/// Creates a service without back ends or routes.
+/// Creates a service without back ends or routes; the route settings set the
+/// choice of replicas, the shares of hedges and retries, and the size of the
+/// queue.
 pub(crate) fn new(name: ServiceName, route: &RouteSettings) -> Service {
     let choice = match route.choice {
         ReplicaSelection::PeakEwma => Choice::PeakEwma,
@@ -66,7 +69,8 @@
         .collect()
 }
 
-/// Marks a held leaf as leaving or not; returns whether this changed it.
+/// Marks a leaf as leaving or not, as of `now`; returns whether this changed
+/// it. Returns false for a leaf that this entry never held.
 pub(crate) fn mark_leaving(service: &Service, leaf: &LeafId, leaving: bool, now: Time) -> bool {
     let mut state = lock(&service.state);
     let Some(ix) = state.table.find(&Backend::Leaf(leaf.clone())) else {
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -31,14 +31,16 @@
 /// memory.
 const MAX_REPLICA_BATCHES: usize = 32;
 
-/// The latest read of one kind of object: its revision and the request time.
+/// The latest read of one kind of object: the revision that the platform
+/// returned and the time of the request.
 #[derive(Clone, Copy)]
 struct KindRead {
     revision: u64,
     asked: Time,
 }
 
-/// The configuration in force and the time of its last confirmation.
+/// The configuration in force, the time of its last confirmation, the latest
+/// reads from the platform and a cache of policies.
 #[derive(Default)]
 pub(crate) struct Conf {
     pub(crate) objects: ConfigSet,
@@ -48,7 +50,8 @@
 }
 
 impl Conf {
-    /// The policy of an organisation, cached until the configuration changes.
+    /// The policy of an organisation, cached until the configuration changes;
+    /// `None` if the organisation or its template is unknown or invalid.
     pub(crate) fn policy(&mut self, org: &OrgName) -> Option<Arc<OrgPolicy>> {
         if let Some(policy) = self.policies.get(org) {
             return policy.clone();
@@ -86,7 +89,8 @@
     }
 }
 
-/// The lifecycle phase of an entry, in order.
+/// The lifecycle phase of an entry, in order: starting, serving, leaving,
+/// stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// It has no configuration yet.
@@ -95,21 +99,23 @@
     Serving,
     /// It serves callers that still have its address, and is no longer listed.
     Leaving,
-    /// Its tasks are ending.
+    /// It has stopped, or its tasks are being aborted.
     Stopped,
 }
 
-/// A peer whose configuration digest differs from that of this entry.
+/// A peer whose configuration digest differs from that of this entry: its call
+/// address and its digest.
 pub(crate) struct DivergentPeer {
     pub(crate) peer: std::net::SocketAddr,
     pub(crate) digest: ConfigDigest,
 }
 
-/// Replies of the submissions that are being dispatched, by ticket; repeats of
-/// a submission wait here.
+/// Replies of the submissions that are being dispatched, by ticket; `None`
+/// until the outcome is known. Repeats of a submission wait here.
 pub(crate) type Dispatches = BTreeMap<String, watch::Receiver<Option<SubmitReply>>>;
 
-/// The shared state of one entry.
+/// What the tasks of one entry share: settings, ports, counters and tables,
+/// each table behind a lock of its own.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) runtime: Runtime,
@@ -148,7 +154,7 @@
     pub(crate) in_flight: AtomicU32,
 }
 
-/// The ports that [`Shared`] is created with.
+/// The ports that [`Shared`] is created with; the port to peers is set later.
 pub(crate) struct SharedPorts {
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
@@ -157,7 +163,8 @@
 }
 
 impl Shared {
-    /// Creates the state of an entry in [`Phase::Starting`].
+    /// Creates the state of an entry in [`Phase::Starting`], without services
+    /// or objects. Random draws are derived from `seed`.
     pub(crate) fn new(
         settings: Settings,
         log: Logger,
@@ -248,7 +255,8 @@
         RequestId(self.requests.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A random generator for one decision or request, derived from the seed.
+    /// Returns a new generator for one decision or request, derived from the
+    /// seed.
     pub(crate) fn rng(&self) -> ChaCha8Rng {
         self.runtime.rng()
     }
@@ -259,7 +267,7 @@
         rand::rng().fill_bytes(nonce);
     }
 
-    /// The service of this name, if the platform lists it.
+    /// The service of this name; `None` if the platform does not list it.
     pub(crate) fn service(&self, name: &ServiceName) -> Option<Arc<Service>> {
         lock(&self.services).get(name).cloned()
     }
@@ -269,7 +277,8 @@
         lock(&self.services).values().cloned().collect()
     }
 
-    /// The service of this name, created if it is new.
+    /// The service of this name, which is created without back ends if it is
+    /// new.
     pub(crate) fn service_or_new(&self, name: &ServiceName) -> Arc<Service> {
         lock(&self.services)
             .entry(name.clone())
@@ -282,7 +291,8 @@
         lock(&self.services).retain(|name, _| keep.contains(name));
     }
 
-    /// The status that this entry reports in probes.
+    /// The status that this entry reports in probes: its configuration digest,
+    /// the age of its confirmation and the requests in flight.
     pub(crate) fn status(&self) -> Status {
         let now = self.now();
         let conf = lock(&self.conf);
@@ -294,8 +304,8 @@
         }
     }
 
-    /// Entries for a caller in `domain`, by default that of this entry,
-    /// preferred first.
+    /// Entries that accept work for a caller in `domain`, by default that of
+    /// this entry, preferred first: those of the domain, then by load.
     pub(crate) fn entries(&self, domain: Option<&DomainName>) -> Vec<Entry> {
         let load = self.in_flight.load(Ordering::Relaxed);
         let domain = domain.unwrap_or(&self.own.domain);
@@ -303,7 +313,8 @@
         order_entries(&lock(&self.swim), Some(domain), load, &mut rng)
     }
 
-    /// Alternative entries for a caller that this one refused.
+    /// A few alternative entries for a caller that this one refused, preferred
+    /// first.
     pub(crate) fn other_entries(&self) -> Vec<Entry> {
         /// Maximum number of entries listed in a refusal.
         const MAX_ENTRIES: usize = 3;
@@ -313,7 +324,8 @@
         entries
     }
 
-    /// Names and call addresses of at most `most` other members, at random.
+    /// Names and call addresses of at most `most` other members that are not
+    /// gone, at random.
     pub(crate) fn random_peers(&self, most: usize) -> Vec<(MemberId, std::net::SocketAddr)> {
         use rand::seq::SliceRandom;
         let mut peers: Vec<(MemberId, std::net::SocketAddr)> = lock(&self.swim)
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -18,7 +18,8 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Fetches the configuration from the platform, or from peers if the platform
-/// can't be reached, and starts serving once the configuration is confirmed.
+/// can't be reached, until the platform or the peers confirm it; then makes the
+/// first placement and starts serving.
 pub(crate) async fn start_serving(shared: Arc<Shared>) {
     while shared.phase() == Phase::Starting {
         if load_platform(&shared).await {
@@ -42,8 +43,9 @@
     info!(shared.runtime.log, "fleet: {} serves", shared.own.id);
 }
 
-/// Reads all configuration from the platform, then the VMs; returns whether the
-/// configuration was read completely.
+/// Reads and applies all configuration from the platform, then the VMs; returns
+/// false, without reading the VMs, if the configuration was not read
+/// completely.
 pub(crate) async fn load_platform(shared: &Arc<Shared>) -> bool {
     let complete = list_objects(shared).await.is_some();
     if complete {
@@ -52,8 +54,9 @@
     complete
 }
 
-/// Lists every replicated kind and returns the revisions to watch from; `None`
-/// if a list failed.
+/// Lists every replicated kind on the platform, applies the objects and records
+/// each read as a confirmation. Returns the revisions to watch from, in the
+/// order of the kinds; `None` if a list failed.
 pub(crate) async fn list_objects(shared: &Arc<Shared>) -> Option<Vec<u64>> {
     let mut revisions = Vec::new();
     for kind in ObjectKind::REPLICATED {
@@ -68,7 +71,8 @@
 }
 
 /// Reads the platform's list of VMs, updates members and leafs from it, and
-/// reports newly leaving leafs to random peers.
+/// reports newly leaving leafs to random peers in the background. Does nothing
+/// if the list can't be read.
 pub(crate) async fn refresh_vms(shared: &Arc<Shared>) {
     let Ok(vms) = shared.platform.vms().await else {
         return;
@@ -101,7 +105,8 @@
 /// leaf also poll its state, so this only shortens the delay.
 const LEAVING_FANOUT: usize = 16;
 
-/// Builds a member from the list of VMs, unless the VM is leaving. Its
+/// Builds a member from a VM of the platform's list; `None` if the VM is
+/// leaving, lacks addresses or is not an entry with a valid name. Its
 /// incarnation is unknown, so any message from the member overrides this.
 fn member_from_vm(vm: &Vm) -> Option<Member> {
     let [callers, operators, peers] = vm.addresses?;
@@ -115,7 +120,8 @@
     (!vm.leaving).then_some(member)
 }
 
-/// Reads configuration and members from the seeds and known peers.
+/// Reads members and newer configuration from the seeds and a few known peers,
+/// and applies them; skips those that don't answer.
 async fn read_peers(shared: &Arc<Shared>) {
     let mut addresses: Vec<SocketAddr> = shared.settings.control.seeds.clone();
     addresses.extend(shared.random_peers(2).into_iter().map(|(_, addr)| addr));
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -13,7 +13,8 @@
     shared::{Phase, Shared, lock},
 };
 
-/// A member of the fleet in the view of this entry.
+/// A member of the fleet in the view of this entry: name, failure domain,
+/// address for operators and liveness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MemberStatus {
     /// Its name.
@@ -28,7 +29,8 @@
     pub leaving: bool,
 }
 
-/// A back end, leaf or peer, in the view of this entry.
+/// A back end, leaf or peer, of one service in the view of this entry: whether
+/// it gets calls, its load, latency and connections.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LeafStatus {
     /// The service that it serves.
@@ -49,7 +51,8 @@
     pub connections: usize,
 }
 
-/// The status of an entry.
+/// The status of an entry: its phase, the settings in force, the members that
+/// it knows, and counts of requests, records and tickets.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
     /// Its name.
@@ -107,6 +110,7 @@
     }
 }
 
+/// Returns the name of a phase in [`Status`].
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Starting => "starting",
@@ -116,6 +120,8 @@
     }
 }
 
+/// Collects the status of all members that this entry knows, itself and those
+/// that are gone included.
 fn members(shared: &Shared) -> Vec<MemberStatus> {
     let swim = lock(&shared.swim);
     let to_status = |member: &chestnut_fleet::Member| MemberStatus {
@@ -132,7 +138,8 @@
     swim.view.all().map(to_status).collect()
 }
 
-/// Collects the status of every back end of every service.
+/// Collects the status of every back end that this entry may call, service by
+/// service.
 pub(crate) fn targets(shared: &Shared) -> Vec<LeafStatus> {
     let open: BTreeMap<_, _> = shared.targets.connections().into_iter().collect();
     let now = shared.now();
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -27,10 +27,16 @@
     shared::{Shared, lock},
 };
 
-/// Time added to the deadline of a submission that is forwarded.
+/// Time added to the deadline of a submission that is forwarded to another
+/// entry.
 const FORWARD_MARGIN: Duration = Duration::from_millis(5);
 
 /// Mints a ticket, whose keeper is this entry.
+///
+/// # Errors
+///
+/// The entry is leaving or keeps as many tickets as it may; the refusal is
+/// recorded like any other.
 pub(crate) fn mint(shared: &Shared) -> Result<TicketReply, Refusal> {
     let mut nonce = [0; 16];
     shared.nonce(&mut nonce);
@@ -50,7 +56,13 @@
     })
 }
 
-/// Answers a caller's submission.
+/// Runs a caller's submission at the keeper of its ticket, or returns the
+/// answer of an earlier use. Without a ticket, one is minted here.
+///
+/// # Errors
+///
+/// The submission was not run, or its outcome is unknown; the refusal is
+/// logged, counted and recorded.
 pub(crate) async fn submit(
     shared: &Arc<Shared>,
     request: SubmitRequest,
@@ -96,7 +108,8 @@
 /// Deadline of a submission whose caller sets none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
 
-/// Sends a submission to the keeper of its ticket, which may be this entry.
+/// Sends a submission to the keeper of its ticket, which may be this entry. The
+/// reply is unknown if no member keeps the ticket.
 async fn send_to_keeper(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let keeper = {
         let swim = lock(&shared.swim);
@@ -118,7 +131,8 @@
     forward(shared, keeper.addresses.peers, submission).await
 }
 
-/// Forwards a submission to another entry.
+/// Forwards a submission to the entry at `address`. The reply is unknown if
+/// that entry can't be reached.
 async fn forward(
     shared: &Shared,
     address: std::net::SocketAddr,
@@ -134,7 +148,8 @@
 }
 
 /// Runs a submission whose ticket this entry keeps, or replies with the outcome
-/// of an earlier use.
+/// of an earlier use. Forwards it if the ticket was handed over; does not run
+/// it if the ticket is invalid or was used for another body.
 pub(crate) async fn run_once(shared: &Arc<Shared>, submission: Submission) -> SubmitReply {
     let wall = shared.runtime.clock.wall();
     let body = body_hash(&submission);
@@ -149,7 +164,8 @@
     }
 }
 
-/// Hashes a submission, to reject a ticket that is reused for another one.
+/// Hashes the organisation, service, call type and body of a submission, to
+/// reject a ticket that is reused for another one.
 fn body_hash(submission: &Submission) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for text in [
@@ -166,7 +182,8 @@
     u64::from_le_bytes(first)
 }
 
-/// Converts an outcome to the reply for the caller.
+/// Converts the outcome that is stored for a ticket to the reply for the
+/// caller.
 fn reply_of(outcome: Outcome) -> SubmitReply {
     match outcome {
         Outcome::Done(answer) => SubmitReply::Done(Bytes::from(answer)),
@@ -175,7 +192,8 @@
     }
 }
 
-/// Forwards a submission whose ticket was handed over to a successor.
+/// Forwards a submission whose ticket was handed over to the successor; the
+/// reply is unknown while the handover is in progress.
 async fn forward_moved(shared: &Shared, submission: Submission) -> SubmitReply {
     let successor = {
         let swim = lock(&shared.swim);
@@ -191,7 +209,8 @@
     }
 }
 
-/// Waits for the reply to an earlier use that is still being dispatched.
+/// Waits for the reply to an earlier use that is still being dispatched;
+/// unknown if none comes within the submission's deadline.
 async fn await_dispatch(shared: &Shared, submission: &Submission) -> SubmitReply {
     let key = submission.ticket.to_string();
     let Some(mut reply_rx) = lock(&shared.dispatches).get(&key).cloned() else {
@@ -233,7 +252,8 @@
     }
 }
 
-/// Runs a claimed submission; a refusal becomes an outcome.
+/// Runs a claimed submission; a refusal becomes the outcome that it did not
+/// run, with the reason.
 async fn run_claimed(shared: &Shared, submission: Submission) -> Outcome {
     let mut subject = Subject {
         request: shared.next_request(),
@@ -246,7 +266,8 @@
 }
 
 /// Admits a submission and tries it at the replicas of a random shard. An error
-/// is a refusal before anything was sent.
+/// is a refusal before anything was sent. Records the versions of its settings
+/// in `subject`.
 async fn decide(
     shared: &Shared,
     submission: &Submission,
@@ -285,7 +306,8 @@
     Ok(outcome_of(attempts))
 }
 
-/// The parameters that all attempts of one submission share.
+/// The parameters that all attempts of one submission share: request id, call
+/// type, body and deadline.
 pub(crate) struct CallParams {
     request: RequestId,
     call: chestnut_unit::CallType,
@@ -293,14 +315,16 @@
     deadline: Time,
 }
 
-/// The attempts of a submission: how each ended, and the answer, if any.
+/// The attempts of a submission: how each ended, the answer, if any, and the
+/// failure of the last one without an answer.
 struct Attempts {
     ends: Vec<Ended>,
     answer: Option<Bytes>,
     last: Failure,
 }
 
-/// Derives the outcome; it is unknown if any attempt may have run unanswered.
+/// Derives the outcome of a submission: done if it was answered, not run if all
+/// attempts prove that, and unknown otherwise.
 fn outcome_of(attempts: Attempts) -> Outcome {
     if let Some(answer) = attempts.answer {
         return Outcome::Done(answer.to_vec());
@@ -314,8 +338,9 @@
     }
 }
 
-/// Tries the replicas of a shard in turn. The next attempt is made only if the
-/// previous one provably did not run.
+/// Tries the replicas of the shard at position `shard` in turn, until one
+/// answers, none is left or the deadline passes. The next attempt is made only
+/// if the previous one provably did not run.
 async fn try_replicas(
     shared: &Shared,
     service: &Service,
@@ -366,7 +391,8 @@
     }
 }
 
-/// Logs the replica that was chosen and the number of the attempt.
+/// Logs the replica that was chosen, with the number of `earlier` attempts plus
+/// one, unless the trace level is none.
 fn log_choice(shared: &Shared, backend: &BackendAddress, params: &CallParams, earlier: usize) {
     if shared.runtime.trace == TraceLevel::None {
         return;
@@ -377,7 +403,8 @@
         "request" => params.request.0, "why" => format!("attempt {}", earlier + 1));
 }
 
-/// Chooses a replica that was not tried yet and counts a call to it.
+/// Chooses a replica that was not tried yet and counts a call to it. `None` if
+/// none can take a call or the chosen one has no address any more.
 fn next_replica(
     shared: &Shared,
     service: &Service,
@@ -395,7 +422,8 @@
     Some((to, state.extra.addresses.get(&to)?.clone()))
 }
 
-/// Records the result and the latency of an attempt in the table.
+/// Records the result of an attempt in the table of back ends, with the latency
+/// since `sent` if it was answered.
 fn record_result(
     shared: &Shared,
     service: &Service,
@@ -411,7 +439,8 @@
     }
 }
 
-/// Calls a leaf, or a peer that holds it, until the deadline.
+/// Calls a leaf, or a peer that holds it, until the deadline; an attempt that
+/// takes longer is lost and may still run.
 async fn send(
     shared: &Shared,
     service: &Service,
@@ -453,7 +482,8 @@
     timeout(left, call).await.unwrap_or(Err(Failure::Lost))
 }
 
-/// Dispatches a keeper's submission to a leaf that this entry holds.
+/// Sends a submission from its keeper to a leaf that this entry holds. Any
+/// failure but [`Failure::Lost`] proves that it did not run.
 pub(crate) async fn dispatch_local(shared: &Shared, dispatch: Dispatch) -> Result<Bytes, Failure> {
     let not_run = Failure::Refused(TargetRefusal::Connections);
     let service = shared.service(&dispatch.service).ok_or(not_run)?;
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -33,14 +33,14 @@
     submit, watch,
 };
 
-/// Queue of peers with a different digest. Those beyond it are dropped and
-/// queued again after a later probe.
+/// Capacity of the queue of peers with a different digest. Those beyond it are
+/// dropped and queued again after a later probe.
 const DIVERGENT_QUEUE: usize = 16;
-/// Poll interval for requests and dispatches in flight.
+/// Poll interval while waiting for requests and dispatches in flight to end.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// Number of peers that get a leave message or an update directly.
 const LEAVE_FANOUT: usize = 32;
-/// Time limit for writing the last refusal records.
+/// Time limit for writing the last refusal records at a stop.
 const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An error that prevents the start of an entry.
@@ -65,20 +65,24 @@
     _tasks: Arc<Tasks>,
 }
 
-/// The tasks of an entry, which are aborted on drop.
+/// The tasks of an entry; dropping it marks the entry as stopped and aborts
+/// them.
 struct Tasks {
     shared: Arc<Shared>,
     _set: JoinSet<()>,
 }
 
 impl Drop for Tasks {
+    /// Sets the phase to stopped; the tasks are aborted afterwards, when the
+    /// set is dropped.
     fn drop(&mut self) {
         self.shared.phase.send_replace(Phase::Stopped);
     }
 }
 
 impl Tier {
-    /// Starts an entry over `ports`, with random draws from `seed`.
+    /// Starts an entry over `ports`, with random draws from `seed`. It serves
+    /// once it has a confirmed configuration; see [`Tier::is_ready`].
     ///
     /// # Errors
     ///
@@ -134,7 +138,8 @@
         &self.shared.own.id
     }
 
-    /// Whether the entry has confirmed settings and serves.
+    /// Whether the entry serves callers: it has confirmed its configuration and
+    /// is not leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.shared.phase() == Phase::Serving
@@ -168,7 +173,8 @@
         submit::submit(&self.shared, request).await
     }
 
-    /// The entries that a caller in `domain` should use.
+    /// The entries that a caller in `domain` should use, preferred first;
+    /// without a domain, for that of this entry.
     #[must_use]
     pub fn entries(&self, domain: Option<&DomainName>) -> EntryList {
         EntryList {
@@ -177,13 +183,14 @@
         }
     }
 
-    /// Edits a template or organisation. Edits with the same `edit_id` are
+    /// Edits a template, an organisation or an evacuation, if the object is at
+    /// version `expected` or that is `None`. Edits with the same `edit_id` are
     /// applied once.
     ///
     /// # Errors
     ///
-    /// The edit is invalid, conflicts with another one, was not accepted, or its
-    /// outcome is unknown.
+    /// The edit is invalid, conflicts with another one, was not accepted, or
+    /// its outcome is unknown.
     pub async fn edit(
         &self,
         key: ObjectKey,
@@ -213,8 +220,9 @@
     }
 
     /// Drains the entry: it is no longer listed for callers, hands over its
-    /// tickets and answers the requests in flight. Waits for the TTL of the
-    /// list of entries, then up to the grace time for requests in flight.
+    /// tickets and answers the requests in flight. Waits up to the grace time
+    /// for dispatches, until the TTL of the list of entries has passed, then up
+    /// to the grace time for requests. Does nothing if it is leaving already.
     pub async fn leave(&self) {
         let shared = &self.shared;
         let entered = shared.phase.send_if_modified(|phase| {
@@ -244,8 +252,9 @@
         }
     }
 
-    /// Stops the entry after [`Tier::leave`]: writes the last refusal records
-    /// and sends leave messages.
+    /// Stops the entry after [`Tier::leave`]: writes the last refusal records,
+    /// within a time limit, and sends leave messages. The tasks end when the
+    /// last handle is dropped.
     pub async fn stop(&self) {
         let shared = &self.shared;
         if timeout(RECORDS_TIMEOUT, records::write_last(shared))
@@ -268,7 +277,8 @@
 /// because of clock drift and network delay.
 const TTL_MARGIN: Duration = Duration::from_millis(500);
 
-/// Describes this entry as a member, with a new incarnation.
+/// Describes this entry as a member, with a new incarnation from the wall
+/// clock.
 fn own_member(settings: &Settings, clock: &Clock) -> Member {
     let addresses = Addresses {
         callers: settings.listen.callers,
@@ -291,8 +301,8 @@
     gossip::send_all(shared, updates).await;
 }
 
-/// Stops dispatching, waits for the dispatches in flight, and hands all
-/// tickets over to a successor.
+/// Stops dispatching, waits for the dispatches in flight, and hands all tickets
+/// over to a successor. If no member takes them, a warning is logged.
 async fn hand_over_tickets(shared: &Shared) {
     lock(&shared.tickets).close();
     let grace = shared.settings.control.grace;
@@ -321,7 +331,8 @@
 /// Delay between two of these attempts.
 const SUCCESSOR_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Hands the tickets to a random member; returns whether it took them.
+/// Hands the tickets to a random member and records it as the successor;
+/// returns false if there is none or it did not take them.
 async fn try_hand_over(shared: &Shared) -> bool {
     let Some((member, address)) = pick_successor(shared) else {
         return false;
@@ -342,7 +353,8 @@
     true
 }
 
-/// Chooses a random live member that accepts work.
+/// Chooses a random other member that is alive and accepts work; `None` if
+/// there is none.
 fn pick_successor(shared: &Shared) -> Option<(MemberId, std::net::SocketAddr)> {
     let swim = lock(&shared.swim);
     swim.view
@@ -352,7 +364,7 @@
         .choose(&mut shared.rng())
 }
 
-/// Waits until no request is running.
+/// Waits until no request is in flight, without a time limit.
 async fn wait_until_idle(shared: &Shared) {
     let ordering = std::sync::atomic::Ordering::Relaxed;
     while shared.in_flight.load(ordering) > 0 {
@@ -360,7 +372,7 @@
     }
 }
 
-/// Generates an id for an edit whose operator gave none.
+/// Generates a random id for an edit whose operator gave none.
 pub(crate) fn edit_id(shared: &Shared) -> String {
     format!("{}-{:016x}", shared.own.id, shared.rng().next_u64())
 }
--- a/crates/tier/src/watch.rs
+++ b/crates/tier/src/watch.rs
@@ -23,12 +23,13 @@
 const WATCHERS: usize = 2;
 /// Interval at which an entry checks whether it is a watcher.
 const TURN_POLL: Duration = Duration::from_secs(1);
-/// Backoff after a failed watch.
+/// Delay after a watch ended, before it is started again.
 const BACKOFF: Duration = Duration::from_millis(500);
 /// Interval of reads of the list of VMs.
 const VMS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Watches the platform while this entry is a watcher of its failure domain.
+/// Watches the platform while this entry is a watcher of its failure domain,
+/// without end; logs when that changes.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut watching = false;
     loop {
@@ -48,14 +49,15 @@
     }
 }
 
-/// Whether this entry is a watcher of its failure domain.
+/// Whether this entry is one of the watchers chosen for its failure domain.
 fn is_watcher(shared: &Shared) -> bool {
     let swim = lock(&shared.swim);
     let members = swim.view.accepting_work_in(&shared.own.domain);
     choose_watchers(members, WATCHERS).contains(&shared.own.id)
 }
 
-/// Watches all kinds until the platform fails or this entry is no watcher.
+/// Reads all kinds of objects, then watches them and polls the list of VMs,
+/// until the platform fails or this entry is no watcher.
 async fn watch_all(shared: &Arc<Shared>) {
     let Some(revisions) = startup::list_objects(shared).await else {
         return;
@@ -74,7 +76,8 @@
     }
 }
 
-/// Watches one kind of object until the platform fails.
+/// Watches one kind of object from `revision` on, applies the changes and
+/// records the reads, until a watch fails.
 async fn watch_kind(shared: Arc<Shared>, kind: ObjectKind, mut revision: u64) {
     loop {
         let asked = shared.now();
@@ -96,8 +99,9 @@
     }
 }
 
-/// The time as of which a watch reply is complete. An empty reply after the
-/// whole wait shows that nothing had changed by the end of the wait.
+/// The time as of which a watch reply is complete: that of the request. An
+/// empty reply after the whole wait shows that nothing had changed by the end
+/// of the wait, and counts as of then.
 fn complete_at(asked: Time, now: Time, wait: Duration, empty: bool) -> Time {
     if empty && now.since(asked) >= wait {
         asked + wait
@@ -106,7 +110,7 @@
     }
 }
 
-/// Reads the list of VMs periodically.
+/// Reads the list of VMs periodically and applies it, without end.
 async fn poll_vms(shared: &Arc<Shared>) {
     loop {
         startup::refresh_vms(shared).await;
--- a/crates/tier/src/web.rs
+++ b/crates/tier/src/web.rs
@@ -43,7 +43,7 @@
     pub(crate) connections: usize,
 }
 
-/// An error in reading a request body.
+/// Why a request body could not be read: too large, too slow or broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyError {
     /// The body exceeds the limit.
@@ -74,12 +74,13 @@
     }
 }
 
-/// Maximum number of bytes of an oversized body that are read and discarded. A
-/// caller that is still writing when the connection closes would get a reset
-/// instead of the error reply.
+/// Maximum number of bytes of an oversized body that are read and dropped,
+/// since a caller that still writes would get a reset instead of the reply.
 const MAX_DISCARD: usize = 16 << 20;
 
-/// Reads a request body within the limits of size and time.
+/// Reads a request body within the limits of size and time. Much of a body that
+/// is too large is read on and dropped, so that the caller gets the error
+/// reply.
 pub(crate) async fn read_body(mut body: Incoming, limits: &WebLimits) -> Result<Bytes, BodyError> {
     let read = timeout(limits.request_timeout, port_body(&mut body, limits.body)).await;
     match read {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Reads and drops the rest of a body, up to [`MAX_DISCARD`].
+/// Reads and drops the rest of a body, up to [`MAX_DISCARD`] bytes.
 async fn discard(body: &mut Incoming) {
     let mut left = MAX_DISCARD;
     while let Some(Ok(frame)) = body.frame().await {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Builds a JSON reply.
+/// Builds a JSON reply; `body` must be JSON already.
 pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
@@ -114,13 +115,14 @@
     reply
 }
 
-/// Builds a JSON error reply for errors that are not refusals.
+/// Builds a JSON error reply with `text` as its message, for errors that are
+/// not refusals.
 pub(crate) fn error(status: StatusCode, text: &str) -> Reply {
     json(status, serde_json::json!({ "error": text }).to_string())
 }
 
-/// The first value of a query parameter, without percent-decoding: the names
-/// and numbers that are expected need no escapes.
+/// The first value of a query parameter; `None` if it is absent. Values are not
+/// percent-decoded: the names and numbers that are expected need no escapes.
 pub(crate) fn param<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?
         .split('&')
@@ -130,7 +132,8 @@
 }
 
 /// Serves HTTP/1.1 and HTTP/2 on `listener` until `closing` is true, then shuts
-/// the connections down gracefully.
+/// the connections down gracefully, for a limited time. Connections beyond the
+/// limit are closed at once.
 pub(crate) async fn serve<H, F>(
     listener: TcpListener,
     limits: WebLimits,
@@ -169,7 +172,8 @@
     let _ = timeout(SHUTDOWN_TIMEOUT, graceful.shutdown()).await;
 }
 
-/// Sets up the HTTP service of one connection.
+/// Sets up the HTTP service of one connection with the limits of its listener;
+/// the connection is served when the result is polled.
 fn connection<H, F>(
     stream: TcpStream,
     limits: WebLimits,
@@ -200,7 +204,8 @@
         .into_owned()
 }
 
-/// Maximum size of headers over HTTP/2, where their number is not limited.
+/// Maximum size of headers over HTTP/2 in bytes, where their number is not
+/// limited.
 const MAX_HEADER_BYTES: u32 = 16 << 10;
 
 /// Binds a TCP listener to `address`.
