--- a/crates/port/src/clock.rs
+++ b/crates/port/src/clock.rs
@@ -38,7 +38,7 @@
     /// Returns how long the VM has been suspended since the clock started. [`Clock::now`]
     /// excludes this time, so a lease that expired during it would still look valid.
     #[must_use]
-    pub fn slept(&self) -> Duration {
+    pub fn suspended(&self) -> Duration {
         suspended().saturating_sub(self.suspended)
     }
 
--- a/crates/port/src/feed.rs
+++ b/crates/port/src/feed.rs
@@ -17,9 +17,9 @@
     /// the store refused the call: {0}
     Refused(String),
     /// the peer answers, and has lost the store
-    Lost,
+    StoreLost,
     /// the peer hears of the store from {0}
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
 }
 
 impl std::error::Error for FeedError {}
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content<T> {
     /// A value.
-    Is(T),
+    Value(T),
     /// The object was deleted.
     Deleted,
     /// The object can't be parsed. An outage of the store can make an object look
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn value(self) -> Option<T> {
         match self {
-            Self::Is(value) => Some(value),
+            Self::Value(value) => Some(value),
             Self::Deleted | Self::Malformed => None,
         }
     }
@@ -58,7 +58,7 @@
     /// Applies `f` to the value, if any.
     pub fn map<U>(self, f: impl FnOnce(T) -> U) -> Content<U> {
         match self {
-            Self::Is(value) => Content::Is(f(value)),
+            Self::Value(value) => Content::Value(f(value)),
             Self::Deleted => Content::Deleted,
             Self::Malformed => Content::Malformed,
         }
@@ -71,7 +71,7 @@
     /// Returns the error of `f`.
     pub fn try_map<U, E>(self, f: impl FnOnce(T) -> Result<U, E>) -> Result<Content<U>, E> {
         Ok(match self {
-            Self::Is(value) => Content::Is(f(value)?),
+            Self::Value(value) => Content::Value(f(value)?),
             Self::Deleted => Content::Deleted,
             Self::Malformed => Content::Malformed,
         })
@@ -102,12 +102,12 @@
     fn list(&self, freshness: Freshness) -> BoxFuture<'_, Result<Batch<T>, FeedError>>;
 
     /// Returns the store's revision cheaply. It may be a few seconds old.
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>>;
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>>;
 
     /// Returns the objects that changed after `revision`, waiting up to `wait` for one.
     fn watch(&self, revision: u64, wait: Duration) -> BoxFuture<'_, Result<Batch<T>, FeedError>>;
 
     /// Returns the objects that changed after `revision`, without waiting for changes.
     /// The timeout differs between stores and peers.
-    fn check(&self, revision: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>>;
+    fn poll(&self, revision: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>>;
 }
--- a/crates/port/src/feed_rpc.rs
+++ b/crates/port/src/feed_rpc.rs
@@ -20,10 +20,10 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::{
-    Batch, Content, Feed, FeedError, Flow, Freshness, Item, PeerError, Purpose, Traffic,
+    Batch, Content, Direction, Feed, FeedError, Freshness, Item, PeerError, Purpose, Traffic,
     feed_capnp::{feeds, items, reply},
     pack::{deflate, inflate},
-    rpc::{Patience, RpcNet},
+    rpc::{CallTimeout, RpcEndpoint},
     wire,
 };
 
@@ -31,25 +31,25 @@
 /// enough to ask another peer before changes are due.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a peer waits for changes in a call that only polls for them.
-const CHECK_WAIT: Duration = Duration::from_millis(1);
+const POLL_WAIT: Duration = Duration::from_millis(1);
 /// Added to the wait of a watch to get the timeout of its call.
 const WATCH_MARGIN: Duration = Duration::from_secs(1);
 
 /// Objects as sent between entries, each value as JSON.
-pub type RawBatch = Batch<Bytes>;
+pub type EncodedBatch = Batch<Bytes>;
 
 /// A delta between two versions of the route book, as sent between entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RawBook {
+pub struct EncodedDelta {
     /// The version that results from applying the delta.
     pub version: BookVersion,
     /// The delta, encoded by [`pack`](fn@crate::pack); empty if there is no newer version.
     pub delta: Bytes,
 }
 
-/// The heartbeat of an entry, returned by [`FeedNet::pulse`].
+/// The heartbeat of an entry, returned by [`FeedRpc::heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerPulse {
+pub struct Heartbeat {
     /// The store's revision, or why the entry does not know it.
     pub store: Result<u64, FeedError>,
     /// The version of its route book; 0 if it has none.
@@ -63,32 +63,32 @@
     fn version(&self) -> BookVersion;
 
     /// Returns the delta from version `have` (0: none) to the route book in force.
-    fn book(&self, have: BookVersion) -> Result<RawBook, FeedError>;
+    fn book_delta(&self, have: BookVersion) -> Result<EncodedDelta, FeedError>;
 
     /// Returns the last known revision of the store, or an error if the store is lost.
-    fn pulse(&self) -> Result<u64, FeedError>;
+    fn poll_revision(&self) -> Result<u64, FeedError>;
 
     /// Returns all objects of a feed.
-    fn all(&self, feed: &str) -> Result<RawBatch, FeedError>;
+    fn list(&self, feed: &str) -> Result<EncodedBatch, FeedError>;
 
     /// Returns the objects of a feed that changed after `revision`, waiting up to `wait`
     /// for one.
-    fn follow(
+    fn watch(
         &self,
         feed: String,
         revision: u64,
         wait: Duration,
-    ) -> BoxFuture<'static, Result<RawBatch, FeedError>>;
+    ) -> BoxFuture<'static, Result<EncodedBatch, FeedError>>;
 }
 
 /// Server and client of the feed protocol. Dropping the last clone ends its thread.
 #[derive(Clone, Debug)]
-pub struct FeedNet {
-    net: RpcNet<feeds::Client>,
+pub struct FeedRpc {
+    endpoint: RpcEndpoint<feeds::Client>,
     traffic: Arc<Traffic>,
 }
 
-impl FeedNet {
+impl FeedRpc {
     /// Binds `address` and serves `service`. The bytes of calls to peers are counted in
     /// `traffic`.
     ///
@@ -112,7 +112,7 @@
             client.client
         };
         Ok(Self {
-            net: RpcNet::bind(address, Arc::new(serve), traffic.clone())?,
+            endpoint: RpcEndpoint::bind(address, Arc::new(serve), traffic.clone())?,
             traffic,
         })
     }
@@ -120,14 +120,14 @@
     /// Returns the address that peers connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
-        self.net.address()
+        self.endpoint.address()
     }
 
     /// Returns a client for the feed `name` of the entry at `to`.
     #[must_use]
     pub fn feed<T>(&self, to: SocketAddr, name: &'static str) -> PeerFeed<T> {
         PeerFeed {
-            net: self.clone(),
+            rpc: self.clone(),
             to,
             name,
             value: PhantomData,
@@ -135,29 +135,32 @@
     }
 }
 
-impl FeedNet {
+impl FeedRpc {
     /// Requests the heartbeat of the entry at `to`.
     ///
     /// # Errors
     ///
     /// Fails if the entry does not answer.
-    pub async fn pulse(&self, to: SocketAddr) -> Result<PeerPulse, FeedError> {
+    pub async fn heartbeat(&self, to: SocketAddr) -> Result<Heartbeat, FeedError> {
         let call = |client: feeds::Client| async move {
             let answer = client.pulse_request().send().promise.await?;
             let answer = answer.get()?;
-            Ok(PeerPulse {
+            Ok(Heartbeat {
                 store: read_reply(answer.get_reply()?)?.map(|batch| batch.revision),
                 book: BookVersion(answer.get_book()),
             })
         };
-        let pulse = self.net.run(to, Patience::Silent(CALL_TIMEOUT), call).await;
-        pulse.map_err(unavailable)
+        let heartbeat = self
+            .endpoint
+            .call(to, CallTimeout::Idle(CALL_TIMEOUT), call)
+            .await;
+        heartbeat.map_err(unavailable)
     }
 
     /// Counts the payload bytes of a response by purpose.
     fn count(&self, purpose: Purpose, from: SocketAddr, bytes: usize) {
         let distance = self.traffic.distance(from);
-        self.traffic.add(purpose, distance, Flow::In, bytes);
+        self.traffic.add(purpose, distance, Direction::In, bytes);
     }
 
     /// Requests the delta from version `have` (0: none) to the route book of the entry at
@@ -166,18 +169,25 @@
     /// # Errors
     ///
     /// Fails if the entry does not answer.
-    pub async fn book(&self, to: SocketAddr, have: BookVersion) -> Result<RawBook, FeedError> {
+    pub async fn book_delta(
+        &self,
+        to: SocketAddr,
+        have: BookVersion,
+    ) -> Result<EncodedDelta, FeedError> {
         let call = move |client: feeds::Client| async move {
             let mut request = client.book_request();
             request.get().set_have(have.0);
             let answer = request.send().promise.await?;
             let answer = answer.get()?;
-            Ok(RawBook {
+            Ok(EncodedDelta {
                 version: BookVersion(answer.get_version()),
                 delta: Bytes::copy_from_slice(answer.get_delta()?),
             })
         };
-        let book = self.net.run(to, Patience::Silent(CALL_TIMEOUT), call).await;
+        let book = self
+            .endpoint
+            .call(to, CallTimeout::Idle(CALL_TIMEOUT), call)
+            .await;
         if let Ok(book) = &book {
             self.count(Purpose::Books, to, book.delta.len());
         }
@@ -187,7 +197,7 @@
 
 /// A feed served by another entry.
 pub struct PeerFeed<T> {
-    net: FeedNet,
+    rpc: FeedRpc,
     to: SocketAddr,
     name: &'static str,
     value: PhantomData<fn() -> T>,
@@ -200,7 +210,7 @@
 impl<T: DeserializeOwned> PeerFeed<T> {
     /// Counts and decodes a response of `bytes` payload bytes.
     fn decode(&self, (reply, bytes): (Reply, usize)) -> Result<Batch<T>, FeedError> {
-        self.net.count(Purpose::Lists, self.to, bytes);
+        self.rpc.count(Purpose::Lists, self.to, bytes);
         parse(reply?)
     }
 
@@ -222,9 +232,9 @@
             read_sized(answer.get()?.get_reply()?)
         };
         let reply = self
-            .net
-            .net
-            .run(self.to, Patience::Silent(timeout), call)
+            .rpc
+            .endpoint
+            .call(self.to, CallTimeout::Idle(timeout), call)
             .await;
         self.decode(reply.map_err(unavailable)?)
     }
@@ -241,29 +251,29 @@
                 read_sized(answer.get()?.get_reply()?)
             };
             let reply = self
-                .net
-                .net
-                .run(self.to, Patience::Silent(CALL_TIMEOUT), call)
+                .rpc
+                .endpoint
+                .call(self.to, CallTimeout::Idle(CALL_TIMEOUT), call)
                 .await;
             self.decode(reply.map_err(unavailable)?)
         }
         .boxed()
     }
 
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
-        async move { self.net.pulse(self.to).await?.store }.boxed()
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
+        async move { self.rpc.heartbeat(self.to).await?.store }.boxed()
     }
 
     fn watch(&self, revision: u64, wait: Duration) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         self.changes(revision, wait, wait + WATCH_MARGIN).boxed()
     }
 
-    fn check(&self, revision: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
-        self.changes(revision, CHECK_WAIT, CALL_TIMEOUT).boxed()
+    fn poll(&self, revision: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
+        self.changes(revision, POLL_WAIT, CALL_TIMEOUT).boxed()
     }
 }
 
-type Reply = Result<RawBatch, FeedError>;
+type Reply = Result<EncodedBatch, FeedError>;
 
 /// Decodes a reply and returns it with the size of its packed items in bytes.
 fn read_sized(from: reply::Reader<'_>) -> Result<(Reply, usize), Error> {
@@ -278,9 +288,9 @@
     let batch = match from.which()? {
         reply::Which::Batch(batch) => batch?,
         reply::Which::HistoryGone(()) => return Ok(Err(FeedError::HistoryGone)),
-        reply::Which::Lost(()) => return Ok(Err(FeedError::Lost)),
+        reply::Which::Lost(()) => return Ok(Err(FeedError::StoreLost)),
         reply::Which::Elsewhere(to) => {
-            let to = to?.to_str()?.parse().map(FeedError::Elsewhere);
+            let to = to?.to_str()?.parse().map(FeedError::Redirect);
             return to
                 .map(Err)
                 .map_err(|_| Error::failed("the redirect holds no valid address".to_owned()));
@@ -304,7 +314,7 @@
                 true => Content::Deleted,
                 // Empty JSON is invalid.
                 false if value.is_empty() => Content::Malformed,
-                false => Content::Is(value),
+                false => Content::Value(value),
             },
         })
     });
@@ -318,7 +328,7 @@
     Error::failed(error.to_string())
 }
 
-fn parse<T: DeserializeOwned>(raw: RawBatch) -> Result<Batch<T>, FeedError> {
+fn parse<T: DeserializeOwned>(raw: EncodedBatch) -> Result<Batch<T>, FeedError> {
     let items = raw.items.into_iter().map(|item| {
         Ok(Item {
             name: item.name,
@@ -344,12 +354,12 @@
 /// watching peers compresses it only once.
 #[derive(Default)]
 struct PackedCache {
-    last: Option<(RawBatch, Bytes)>,
+    last: Option<(EncodedBatch, Bytes)>,
 }
 
 impl PackedCache {
     /// Returns the packed items of `batch`; empty if there are none.
-    fn pack(&mut self, batch: &RawBatch) -> Result<Bytes, Error> {
+    fn pack(&mut self, batch: &EncodedBatch) -> Result<Bytes, Error> {
         if batch.items.is_empty() {
             return Ok(Bytes::new());
         }
@@ -375,7 +385,7 @@
             to.set_history_gone(());
             return Ok(());
         }
-        Err(FeedError::Elsewhere(peer)) => {
+        Err(FeedError::Redirect(peer)) => {
             to.set_elsewhere(peer.to_string().as_str());
             return Ok(());
         }
@@ -400,7 +410,7 @@
         let mut out = items.reborrow().get(at);
         out.set_name(item.name.as_str());
         out.set_deleted(item.content == Content::Deleted);
-        if let Content::Is(value) = &item.content {
+        if let Content::Value(value) = &item.content {
             out.set_value(value);
         }
     }
@@ -413,7 +423,7 @@
         _: feeds::PulseParams,
         mut results: feeds::PulseResults,
     ) -> Result<(), Error> {
-        let revision = self.service.pulse();
+        let revision = self.service.poll_revision();
         let items = Vec::new();
         let reply = revision.map(|revision| Batch { items, revision });
         let mut results = results.get();
@@ -427,7 +437,7 @@
         mut results: feeds::BookResults,
     ) -> Result<(), Error> {
         let have = BookVersion(params.get()?.get_have());
-        let book = self.service.book(have);
+        let book = self.service.book_delta(have);
         let book = book.map_err(|error| Error::failed(error.to_string()))?;
         let mut results = results.get();
         results.set_version(book.version.0);
@@ -440,7 +450,7 @@
         params: feeds::AllParams,
         mut results: feeds::AllResults,
     ) -> Result<(), Error> {
-        let reply = self.service.all(params.get()?.get_feed()?.to_str()?);
+        let reply = self.service.list(params.get()?.get_feed()?.to_str()?);
         put_reply(&reply, &self.cache, results.get().init_reply())
     }
 
@@ -452,9 +462,9 @@
         let params = params.get()?;
         let feed = params.get_feed()?.to_string()?;
         let wait = Duration::from_millis(u64::from(params.get_wait_ms()));
-        let follow = self.service.follow(feed, params.get_after(), wait);
+        let watch = self.service.watch(feed, params.get_after(), wait);
         // A cancelled call drops this future, which aborts the task.
-        let task = AbortOnDropHandle::new(self.runtime.spawn(follow));
+        let task = AbortOnDropHandle::new(self.runtime.spawn(watch));
         let reply = task
             .await
             .map_err(|error| Error::failed(error.to_string()))?;
--- a/crates/port/src/forward.rs
+++ b/crates/port/src/forward.rs
@@ -12,13 +12,13 @@
 
 /// A caller's request in the form that is forwarded.
 #[derive(Clone, Debug)]
-pub struct Message {
+pub struct ForwardedRequest {
     /// The caller's identifier of this attempt.
     pub id: String,
     /// The HTTP method.
     pub method: Method,
     /// The path and query.
-    pub target: PathAndQuery,
+    pub path: PathAndQuery,
     /// The headers to forward.
     pub headers: HeaderMap,
     /// The whole body.
@@ -33,27 +33,27 @@
     /// The address of the leaf.
     pub address: SocketAddr,
     /// The request to forward.
-    pub message: Arc<Message>,
+    pub request: Arc<ForwardedRequest>,
     /// Whether the leaf is in the same failure domain as this entry.
     pub distance: Distance,
     /// Time left until the request's deadline, sent to the leaf.
-    pub left: Duration,
+    pub timeout: Duration,
     /// Maximum number of open connections to the leaf.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Maximum idle time of a reused connection. The leaf may have dropped an older
     /// one, and a request sent on it is lost without proof that it did not run.
-    pub idle: Duration,
+    pub max_idle: Duration,
     /// Time from which the call must not be sent any more.
-    pub until: Time,
+    pub send_before: Time,
 }
 
 /// A leaf's response to a forwarded request.
 #[derive(Clone, Debug)]
 pub struct LeafReply {
     /// The status, the headers and the whole body.
-    pub answer: Response<Bytes>,
+    pub response: Response<Bytes>,
     /// The leaf's signature of the response.
-    pub proof: HeaderValue,
+    pub signature: HeaderValue,
 }
 
 /// Why a call returned no response to forward.
@@ -86,8 +86,8 @@
     fn call(&self, call: LeafCall) -> BoxFuture<'static, Result<LeafReply, LeafFailure>>;
 
     /// Checks whether a leaf accepts connections by opening one and closing it.
-    fn listening(&self, leaf: &LeafId, address: SocketAddr) -> BoxFuture<'static, Listening>;
+    fn check_listening(&self, leaf: &LeafId, address: SocketAddr) -> BoxFuture<'static, Listening>;
 
     /// Drops the state of a leaf that has left permanently.
-    fn forget(&self, leaf: &LeafId);
+    fn remove(&self, leaf: &LeafId);
 }
--- a/crates/port/src/http.rs
+++ b/crates/port/src/http.rs
@@ -21,16 +21,16 @@
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum time without bytes from a server during [`HttpClient::read`].
+/// Maximum time without bytes from a server during [`HttpClient::call_extending`].
 const STALL_MAX: Duration = Duration::from_secs(1);
-/// Maximum time by which [`HttpClient::read`] exceeds its `wait`.
+/// Maximum time by which [`HttpClient::call_extending`] exceeds its `wait`.
 const EXTENSION_MAX: Duration = Duration::from_secs(5);
 /// Maximum number of servers whose time of last receipt is stored.
 const SERVERS_MAX: usize = 16;
 /// Maximum size of a response body, in bytes.
 const BODY_MAX: usize = 64 << 20;
 
-use crate::{Distance, Flow, Purpose, Silence, Traffic};
+use crate::{Direction, Distance, Purpose, TcpLiveness, Traffic};
 
 /// Why a call returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
@@ -76,11 +76,11 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        let silence = Silence::default();
-        connector.set_keepalive(Some(silence.probe));
-        connector.set_keepalive_interval(Some(silence.probe));
-        connector.set_keepalive_retries(Some(silence.probes));
-        connector.set_tcp_user_timeout(Some(silence.unacked));
+        let liveness = TcpLiveness::default();
+        connector.set_keepalive(Some(liveness.probe_interval));
+        connector.set_keepalive_interval(Some(liveness.probe_interval));
+        connector.set_keepalive_retries(Some(liveness.max_probes));
+        connector.set_tcp_user_timeout(Some(liveness.user_timeout));
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
             received: Arc::default(),
@@ -93,7 +93,7 @@
     /// Creates a client that counts its request and response bodies in `traffic`, as
     /// traffic with the store.
     #[must_use]
-    pub fn metered(traffic: Arc<Traffic>) -> Self {
+    pub fn with_traffic(traffic: Arc<Traffic>) -> Self {
         Self {
             traffic,
             ..Self::default()
@@ -130,7 +130,7 @@
     /// Fails if no connection opens, if no byte arrives within `wait`, if the server then
     /// stalls for `wait` or one second (whichever is shorter), or if the response is still
     /// incomplete five seconds after `wait`.
-    pub async fn read(
+    pub async fn call_extending(
         &self,
         method: Method,
         address: SocketAddr,
@@ -161,7 +161,7 @@
         server: SocketAddr,
     ) -> Result<HttpReply, HttpError> {
         let sent = request.body().size_hint().exact().unwrap_or(0);
-        self.count(Flow::Out, sent as usize);
+        self.count(Direction::Out, sent as usize);
         let answer = self.client.request(request).await.map_err(|e| {
             if e.is_connect() {
                 HttpError::Connect
@@ -174,7 +174,7 @@
         let body = body.map_frame(|frame| {
             self.record_receipt(server);
             let bytes = frame.data_ref().map_or(0, Bytes::len);
-            self.count(Flow::In, bytes);
+            self.count(Direction::In, bytes);
             frame
         });
         let collected = Limited::new(body, BODY_MAX)
@@ -188,8 +188,9 @@
         })
     }
 
-    fn count(&self, flow: Flow, bytes: usize) {
-        self.traffic.add(Purpose::Store, Distance::Far, flow, bytes);
+    fn count(&self, direction: Direction, bytes: usize) {
+        self.traffic
+            .add(Purpose::Store, Distance::Remote, direction, bytes);
     }
 
     fn record_receipt(&self, server: SocketAddr) {
--- a/crates/port/src/exchange.rs
+++ b/crates/port/src/http_pool.rs
@@ -24,29 +24,31 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle, time::timeout};
 
-use crate::{Account, Clock, LeafCall, Listening, Purpose, Silence, Traffic, traffic::Metered};
+use crate::{
+    Clock, LeafCall, Listening, Purpose, TcpLiveness, Traffic, TrafficMeter, traffic::Metered,
+};
 
-/// Configures [`Exchanges`].
+/// Configures [`HttpPool`].
 #[derive(Clone, Copy, Debug)]
-pub struct ExchangeConfig {
+pub struct HttpPoolConfig {
     /// Timeout for opening a connection. Should be far above the time of a handshake
     /// and far below the shortest deadline of a request.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Maximum size of a response body, in bytes.
-    pub answer: usize,
+    pub max_body: usize,
     /// Idle timeout of a connection if the back end sends no `Keep-Alive` header.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How dead connections are detected.
-    pub silence: Silence,
+    pub keepalive: TcpLiveness,
 }
 
-impl Default for ExchangeConfig {
+impl Default for HttpPoolConfig {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(300),
-            answer: 8 << 20,
-            idle: Duration::from_secs(10),
-            silence: Silence::default(),
+            connect_timeout: Duration::from_millis(300),
+            max_body: 8 << 20,
+            idle_timeout: Duration::from_secs(10),
+            keepalive: TcpLiveness::default(),
         }
     }
 }
@@ -59,9 +61,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum ExchangeError {
     /// nothing was sent: all permitted connections are in use
-    Full,
+    AtCapacity,
     /// nothing was sent: the time limit passed before a connection was available
-    Overdue,
+    TooLate,
     /// nothing was sent: no connection could be opened
     Unsent,
     /// the request was sent, but no complete response arrived
@@ -71,7 +73,7 @@
 impl std::error::Error for ExchangeError {}
 
 /// Checks whether anything listens at `address` by opening a connection and closing it.
-pub async fn listening(address: SocketAddr) -> Listening {
+pub async fn check_listening(address: SocketAddr) -> Listening {
     match TcpStream::connect(address).await {
         Ok(_) => Listening::Yes,
         Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => Listening::No,
@@ -109,7 +111,7 @@
 }
 
 struct Inner {
-    config: ExchangeConfig,
+    config: HttpPoolConfig,
     clock: Clock,
     traffic: Arc<Traffic>,
     leafs: Mutex<BTreeMap<LeafId, Conns>>,
@@ -119,14 +121,14 @@
 
 /// An HTTP/1.1 client for back ends that pools connections.
 #[derive(Clone)]
-pub struct Exchanges {
+pub struct HttpPool {
     inner: Arc<Inner>,
 }
 
-impl Exchanges {
+impl HttpPool {
     /// Creates a client without connections. Their bytes are counted in `traffic`.
     #[must_use]
-    pub fn new(config: ExchangeConfig, clock: Clock, traffic: Arc<Traffic>) -> Self {
+    pub fn new(config: HttpPoolConfig, clock: Clock, traffic: Arc<Traffic>) -> Self {
         let inner = Inner {
             config,
             clock,
@@ -155,8 +157,8 @@
         let mut request = request;
         loop {
             let mut checkout = self.checkout(call).await?;
-            if self.inner.clock.now() >= call.until {
-                return Err(ExchangeError::Overdue);
+            if self.inner.clock.now() >= call.send_before {
+                return Err(ExchangeError::TooLate);
             }
             let sent = checkout.sender.try_send_request(request).await;
             match sent {
@@ -178,7 +180,7 @@
         answer: Response<Incoming>,
     ) -> Result<Exchange, ExchangeError> {
         let (parts, body) = answer.into_parts();
-        let body = Limited::new(body, self.inner.config.answer)
+        let body = Limited::new(body, self.inner.config.max_body)
             .collect()
             .await
             .map_err(|_| ExchangeError::Lost)?;
@@ -201,7 +203,7 @@
             let generation = conns.generation;
             while let Some(idle) = conns.idle.pop() {
                 let usable = idle.sender.is_ready() && now < idle.expires;
-                if usable && now.since(idle.since) <= call.idle {
+                if usable && now.since(idle.since) <= call.max_idle {
                     let slot = Slot::new(self, leaf, generation, Some(idle.task));
                     return Ok(Checkout {
                         sender: idle.sender,
@@ -212,14 +214,14 @@
                 idle.task.abort();
                 conns.open = conns.open.saturating_sub(1);
             }
-            if conns.open >= call.connections {
-                return Err(ExchangeError::Full);
+            if conns.open >= call.max_connections {
+                return Err(ExchangeError::AtCapacity);
             }
             conns.open += 1;
             conns.opened += 1;
             Slot::new(self, leaf, generation, None)
         };
-        let opened = timeout(self.inner.config.connect, self.open(call)).await;
+        let opened = timeout(self.inner.config.connect_timeout, self.open(call)).await;
         match opened {
             Ok(Ok((sender, task))) => {
                 slot.task = Some(task);
@@ -239,13 +241,13 @@
         call: &LeafCall,
     ) -> std::io::Result<(SendRequest<Full<Bytes>>, AbortHandle)> {
         let stream = TcpStream::connect(call.address).await?;
-        self.inner.config.silence.apply(&stream)?;
-        let account = Account {
+        self.inner.config.keepalive.apply(&stream)?;
+        let meter = TrafficMeter {
             traffic: self.inner.traffic.clone(),
             purpose: Purpose::Leafs,
             distance: call.distance,
         };
-        let (sender, conn) = http1::handshake(TokioIo::new(Metered::new(stream, account)))
+        let (sender, conn) = http1::handshake(TokioIo::new(Metered::new(stream, meter)))
             .await
             .map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
@@ -257,7 +259,7 @@
     }
 
     /// Closes the idle connections to a leaf that has left and drops its pool.
-    pub fn forget(&self, leaf: &LeafId) {
+    pub fn remove(&self, leaf: &LeafId) {
         let mut leafs = lock(&self.inner.leafs);
         if let Some(conns) = leafs.remove(leaf) {
             for idle in conns.idle {
@@ -278,7 +280,7 @@
 /// A slot in the connection limit of a leaf, with the connection that uses it.
 /// Dropping it closes the connection and frees the slot.
 struct Slot {
-    exchanges: Exchanges,
+    pool: HttpPool,
     leaf: LeafId,
     /// Generation of the [`Conns`] that it belongs to.
     generation: u64,
@@ -287,14 +289,9 @@
 }
 
 impl Slot {
-    fn new(
-        exchanges: &Exchanges,
-        leaf: &LeafId,
-        generation: u64,
-        task: Option<AbortHandle>,
-    ) -> Self {
+    fn new(pool: &HttpPool, leaf: &LeafId, generation: u64, task: Option<AbortHandle>) -> Self {
         Self {
-            exchanges: exchanges.clone(),
+            pool: pool.clone(),
             leaf: leaf.clone(),
             generation,
             task,
@@ -311,7 +308,7 @@
         if let Some(task) = &self.task {
             task.abort();
         }
-        let mut leafs = lock(&self.exchanges.inner.leafs);
+        let mut leafs = lock(&self.pool.inner.leafs);
         let conns = leafs.get_mut(&self.leaf);
         if let Some(conns) = conns.filter(|conns| conns.generation == self.generation) {
             conns.open = conns.open.saturating_sub(1);
@@ -327,7 +324,7 @@
 }
 
 /// A complete response and its connection. The connection is closed unless
-/// [`Exchange::keep`] confirms that the response belongs to the request. After a
+/// [`Exchange::release`] confirms that the response belongs to the request. After a
 /// stray response, the right one may follow and be taken for that of the next
 /// request on the connection.
 pub struct Exchange {
@@ -339,16 +336,16 @@
 impl Exchange {
     /// Returns the connection to the pool and yields the response.
     #[must_use]
-    pub fn keep(self) -> Response<Bytes> {
+    pub fn release(self) -> Response<Bytes> {
         let Self { answer, checkout } = self;
         let Checkout {
             sender, mut slot, ..
         } = checkout;
-        let exchanges = slot.exchanges.clone();
-        let idle = keep_alive_timeout(&answer).unwrap_or(exchanges.inner.config.idle);
-        let now = exchanges.inner.clock.now();
+        let pool = slot.pool.clone();
+        let idle = keep_alive_timeout(&answer).unwrap_or(pool.inner.config.idle_timeout);
+        let now = pool.inner.clock.now();
         let expires = now + idle.saturating_sub(IDLE_MARGIN);
-        let mut leafs = lock(&exchanges.inner.leafs);
+        let mut leafs = lock(&pool.inner.leafs);
         // A connection to an earlier incarnation must not enter the new pool: calls on
         // it would reach a stopped process, or another one at the same address.
         let generation = slot.generation;
--- a/crates/port/src/lib.rs
+++ b/crates/port/src/lib.rs
@@ -8,14 +8,14 @@
 //! platform and Cap'n Proto to peers. Tests substitute fakes for them.
 //!
 //! Entries that forward requests unchanged use [`Forward`] to call leafs, [`Feed`]
-//! to list and watch objects, [`Exchanges`] for HTTP/1.1 to back ends and
+//! to list and watch objects, [`HttpPool`] for HTTP/1.1 to back ends and
 //! [`Server`] for HTTP/1.1 from callers.
 
 #![warn(clippy::unwrap_used)]
 
 mod clock;
-mod exchange;
 mod feed;
+mod http_pool;
 #[expect(
     clippy::unwrap_used,
     reason = "generated from schema/feed.capnp"
@@ -48,22 +48,22 @@
 mod wire;
 
 pub use clock::Clock;
-pub use exchange::{Exchange, ExchangeConfig, ExchangeError, Exchanges, listening};
 pub use feed::{Batch, Content, Feed, FeedError, Freshness, Item};
-pub use feed_rpc::{FeedNet, FeedService, PeerFeed, PeerPulse, RawBatch, RawBook};
-pub use forward::{Forward, LeafCall, LeafFailure, LeafReply, Listening, Message};
+pub use feed_rpc::{EncodedBatch, EncodedDelta, FeedRpc, FeedService, Heartbeat, PeerFeed};
+pub use forward::{Forward, ForwardedRequest, LeafCall, LeafFailure, LeafReply, Listening};
 pub use http::{HttpClient, HttpError, HttpReply};
+pub use http_pool::{Exchange, ExchangeError, HttpPool, HttpPoolConfig, check_listening};
 pub use json::LeafAnswer;
 pub use pack::{PackError, pack, unpack};
 pub use peer::{
     Dispatch, PeerError, PeerService, Peers, SubAnswer, SubQuery, Submission, SubmitReply,
 };
-pub use peer_rpc::PeerNet;
+pub use peer_rpc::PeerRpc;
 pub use platform::{Changes, Listing, Platform, PlatformError, Vm, VmRole};
 pub use platform_http::HttpPlatform;
-pub use probe::{ProbeSocket, Probes, probe_size};
+pub use probe::{ProbeSocket, ProbeTransport, probe_size};
 pub use serve::{BodyError, ServeLimits, Server, read_body};
-pub use sockets::Silence;
+pub use sockets::TcpLiveness;
 pub use target::{LeafQuery, LeafState, LeafSubmit, Targets};
 pub use target_http::{HttpTargets, TargetsConfig};
-pub use traffic::{Account, Distance, Flow, Purpose, Traffic};
+pub use traffic::{Direction, Distance, Purpose, Traffic, TrafficMeter};
--- a/crates/port/src/peer.rs
+++ b/crates/port/src/peer.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitReply {
     /// The submission ran; holds the target's answer.
-    Done(Bytes),
+    Ran(Bytes),
     /// The submission did not run and never will with this ticket.
     NotRun(Reason),
     /// Whether the submission ran is unknown.
@@ -138,13 +138,17 @@
     fn dispatch(&self, to: SocketAddr, ask: Dispatch) -> BoxFuture<'_, Result<Bytes, Failure>>;
 
     /// Reports to a peer which leafs are leaving according to the platform.
-    fn leaving(&self, to: SocketAddr, leafs: Vec<LeafId>) -> BoxFuture<'_, Result<(), PeerError>>;
+    fn report_leaving(
+        &self,
+        to: SocketAddr,
+        leafs: Vec<LeafId>,
+    ) -> BoxFuture<'_, Result<(), PeerError>>;
 
     /// Stores a copy of a batch of refusal records, as JSON, at a peer.
-    fn records(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>>;
+    fn copy_refusals(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>>;
 
     /// Hands tickets over to a successor and returns the incarnation that took them.
-    fn adopt(
+    fn take_tickets(
         &self,
         to: SocketAddr,
         tickets: Vec<HandedTicket>,
@@ -163,7 +167,7 @@
     fn dispatch(&self, ask: Dispatch) -> BoxFuture<'static, Result<Bytes, Failure>>;
 
     /// Records a peer's report that leafs are leaving.
-    fn leaving(&self, leafs: Vec<LeafId>);
+    fn report_leaving(&self, leafs: Vec<LeafId>);
 
     /// Returns the full member list.
     fn members(&self) -> Vec<Member>;
@@ -175,9 +179,9 @@
     fn push(&self, objects: Vec<Object>);
 
     /// Stores a copy of a peer's batch of refusal records, as JSON.
-    fn records(&self, batch: &[u8]);
+    fn copy_refusals(&self, batch: &[u8]);
 
     /// Takes over the tickets of a peer that is leaving and returns this entry's
     /// incarnation.
-    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation;
+    fn take_tickets(&self, tickets: Vec<HandedTicket>) -> Incarnation;
 }
--- a/crates/port/src/peer_rpc.rs
+++ b/crates/port/src/peer_rpc.rs
@@ -15,21 +15,21 @@
     Dispatch, PeerError, PeerService, Peers, SubAnswer, SubQuery, Submission, SubmitReply,
     peer_capnp::peer,
     peer_serve::Session,
-    rpc::{Patience, RpcNet},
+    rpc::{CallTimeout, RpcEndpoint},
     wire,
 };
 
 /// Timeout of calls without a deadline, extended while bytes arrive: an entry that starts
 /// reads all objects of a peer.
-const TIMEOUT: Patience = Patience::Silent(Duration::from_secs(2));
+const TIMEOUT: CallTimeout = CallTimeout::Idle(Duration::from_secs(2));
 
 /// Server and client of the peer protocol. Dropping the last clone ends its thread.
 #[derive(Clone, Debug)]
-pub struct PeerNet {
-    net: RpcNet<peer::Client>,
+pub struct PeerRpc {
+    endpoint: RpcEndpoint<peer::Client>,
 }
 
-impl PeerNet {
+impl PeerRpc {
     /// Binds `address`, serves `service` there, and returns a handle for calls to
     /// peers.
     ///
@@ -47,24 +47,24 @@
             client.client
         };
         Ok(Self {
-            net: RpcNet::bind(address, Arc::new(serve), Arc::default())?,
+            endpoint: RpcEndpoint::bind(address, Arc::new(serve), Arc::default())?,
         })
     }
 
     /// Returns the address that peers connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
-        self.net.address()
+        self.endpoint.address()
     }
 }
 
-impl Peers for PeerNet {
+impl Peers for PeerRpc {
     fn query(&self, to: SocketAddr, ask: SubQuery) -> BoxFuture<'_, Result<SubAnswer, PeerError>> {
         let wait = ask.deadline;
-        self.net
-            .run(
+        self.endpoint
+            .call(
                 to,
-                Patience::Until(wait),
+                CallTimeout::Fixed(wait),
                 move |client: peer::Client| async move {
                     let mut request = client.query_request();
                     wire::put_query(&ask, request.get().init_ask());
@@ -81,10 +81,10 @@
         ask: Submission,
     ) -> BoxFuture<'_, Result<SubmitReply, PeerError>> {
         let wait = ask.deadline;
-        self.net
-            .run(
+        self.endpoint
+            .call(
                 to,
-                Patience::Until(wait),
+                CallTimeout::Fixed(wait),
                 move |client: peer::Client| async move {
                     let mut request = client.submit_request();
                     wire::put_submission(&ask, request.get().init_ask());
@@ -96,8 +96,8 @@
     }
 
     fn members(&self, to: SocketAddr) -> BoxFuture<'_, Result<Vec<Member>, PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let answer = client.members_request().send().promise.await?;
                 wire::get_members(answer.get()?.get_members()?)
             })
@@ -109,11 +109,11 @@
         to: SocketAddr,
         have: BTreeMap<ObjectKey, u64>,
     ) -> BoxFuture<'_, Result<Vec<Object>, PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let mut request = client.objects_request();
                 let list = request.get().init_have(have.len() as u32);
-                wire::put_have(&have, list);
+                wire::put_versions(&have, list);
                 let answer = request.send().promise.await?;
                 wire::get_objects(answer.get()?.get_objects()?)
             })
@@ -121,8 +121,8 @@
     }
 
     fn push(&self, to: SocketAddr, objects: Vec<Object>) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let mut request = client.push_request();
                 let list = request.get().init_objects(objects.len() as u32);
                 wire::put_objects(&objects, list);
@@ -134,9 +134,9 @@
 
     fn dispatch(&self, to: SocketAddr, ask: Dispatch) -> BoxFuture<'_, Result<Bytes, Failure>> {
         let wait = ask.deadline;
-        let call = self.net.run(
+        let call = self.endpoint.call(
             to,
-            Patience::Until(wait),
+            CallTimeout::Fixed(wait),
             move |client: peer::Client| async move {
                 let mut request = client.dispatch_request();
                 wire::put_dispatch(&ask, request.get().init_ask());
@@ -152,9 +152,13 @@
         .boxed()
     }
 
-    fn leaving(&self, to: SocketAddr, leafs: Vec<LeafId>) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+    fn report_leaving(
+        &self,
+        to: SocketAddr,
+        leafs: Vec<LeafId>,
+    ) -> BoxFuture<'_, Result<(), PeerError>> {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let mut request = client.leaving_request();
                 let mut list = request.get().init_leafs(leafs.len() as u32);
                 for (at, leaf) in (0u32..).zip(&leafs) {
@@ -166,9 +170,9 @@
             .boxed()
     }
 
-    fn records(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+    fn copy_refusals(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let mut request = client.records_request();
                 request.get().set_batch(&batch);
                 request.send().promise.await?;
@@ -177,16 +181,16 @@
             .boxed()
     }
 
-    fn adopt(
+    fn take_tickets(
         &self,
         to: SocketAddr,
         tickets: Vec<HandedTicket>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>> {
-        self.net
-            .run(to, TIMEOUT, move |client: peer::Client| async move {
+        self.endpoint
+            .call(to, TIMEOUT, move |client: peer::Client| async move {
                 let mut request = client.adopt_request();
                 let list = request.get().init_tickets(tickets.len() as u32);
-                wire::put_handed(&tickets, list);
+                wire::put_handover(&tickets, list);
                 let answer = request.send().promise.await?;
                 Ok(Incarnation(answer.get()?.get_life()))
             })
--- a/crates/port/src/peer_serve.rs
+++ b/crates/port/src/peer_serve.rs
@@ -62,7 +62,7 @@
         _: peer::LeavingResults,
     ) -> Result<(), Error> {
         let leafs = wire::get_leafs(params.get()?.get_leafs()?)?;
-        self.service.leaving(leafs);
+        self.service.report_leaving(leafs);
         Ok(())
     }
 
@@ -71,7 +71,7 @@
         params: peer::RecordsParams,
         _: peer::RecordsResults,
     ) -> Result<(), Error> {
-        self.service.records(params.get()?.get_batch()?);
+        self.service.copy_refusals(params.get()?.get_batch()?);
         Ok(())
     }
 
@@ -91,7 +91,7 @@
         params: peer::ObjectsParams,
         mut results: peer::ObjectsResults,
     ) -> Result<(), Error> {
-        let have = wire::get_have(params.get()?.get_have()?)?;
+        let have = wire::get_versions(params.get()?.get_have()?)?;
         let objects = self.service.objects(&have);
         let list = results.get().init_objects(objects.len() as u32);
         wire::put_objects(&objects, list);
@@ -113,8 +113,8 @@
         params: peer::AdoptParams,
         mut results: peer::AdoptResults,
     ) -> Result<(), Error> {
-        let tickets = wire::get_handed(params.get()?.get_tickets()?)?;
-        let incarnation = self.service.adopt(tickets);
+        let tickets = wire::get_handover(params.get()?.get_tickets()?)?;
+        let incarnation = self.service.take_tickets(tickets);
         results.get().set_life(incarnation.0);
         Ok(())
     }
--- a/crates/port/src/probe.rs
+++ b/crates/port/src/probe.rs
@@ -12,7 +12,7 @@
 use futures::{FutureExt, future::BoxFuture};
 use tokio::net::UdpSocket;
 
-use crate::{Flow, Purpose, Traffic, wire};
+use crate::{Direction, Purpose, Traffic, wire};
 
 /// Size of the receive buffer, in bytes. Sent probes are smaller than a usual
 /// MTU, so that they are not fragmented.
@@ -26,7 +26,7 @@
 
 /// Sends and receives the failure detector's probes. Delivery is unreliable:
 /// probes may be lost, duplicated or delayed.
-pub trait Probes: Send + Sync {
+pub trait ProbeTransport: Send + Sync {
     /// Sends a probe. A failure to send is not reported.
     fn send(&self, to: SocketAddr, probe: Message) -> BoxFuture<'_, ()>;
 
@@ -43,7 +43,7 @@
     socket: UdpSocket,
     traffic: Arc<Traffic>,
     bytes: AtomicU64,
-    messages: AtomicU64,
+    datagrams: AtomicU64,
     malformed: AtomicU64,
 }
 
@@ -58,7 +58,7 @@
             socket: UdpSocket::bind(address).await?,
             traffic,
             bytes: AtomicU64::new(0),
-            messages: AtomicU64::new(0),
+            datagrams: AtomicU64::new(0),
             malformed: AtomicU64::new(0),
         })
     }
@@ -74,23 +74,23 @@
 
     /// Total datagrams sent and received.
     #[must_use]
-    pub fn messages(&self) -> u64 {
-        self.messages.load(Ordering::Relaxed)
+    pub fn datagrams(&self) -> u64 {
+        self.datagrams.load(Ordering::Relaxed)
     }
 
     /// Received datagrams that could not be decoded.
     #[must_use]
-    pub fn broken(&self) -> u64 {
+    pub fn malformed(&self) -> u64 {
         self.malformed.load(Ordering::Relaxed)
     }
 
     fn count(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
-        self.messages.fetch_add(1, Ordering::Relaxed);
+        self.datagrams.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-impl Probes for ProbeSocket {
+impl ProbeTransport for ProbeSocket {
     /// Ignores send errors: to the failure detector they equal a lost datagram.
     fn send(&self, to: SocketAddr, probe: Message) -> BoxFuture<'_, ()> {
         async move {
@@ -98,7 +98,7 @@
             self.count(bytes.len());
             let distance = self.traffic.distance(to);
             self.traffic
-                .add(Purpose::Probes, distance, Flow::Out, bytes.len());
+                .add(Purpose::Probes, distance, Direction::Out, bytes.len());
             let _ = self.socket.send_to(&bytes, to).await;
         }
         .boxed()
--- a/crates/port/src/rpc.rs
+++ b/crates/port/src/rpc.rs
@@ -1,6 +1,6 @@
 //! Cap'n Proto RPC between entries over TCP, generic over the interface.
 //!
-//! The objects of the capnp library are not `Send`, so each [`RpcNet`] has a
+//! The objects of the capnp library are not `Send`, so each [`RpcEndpoint`] has a
 //! thread of its own with a local task set. Calls reach it through a bounded
 //! channel, and answers come back through one-shot channels.
 
@@ -27,7 +27,7 @@
 };
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use crate::{Distance, Flow, PeerError, Purpose, Traffic, wire};
+use crate::{Direction, Distance, PeerError, Purpose, Traffic, wire};
 
 /// Calls that may be queued for the thread; further calls fail as not sent.
 const QUEUE_CAPACITY: usize = 1024;
@@ -43,9 +43,9 @@
 
 /// Timeout of a call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Patience {
+pub(crate) enum CallTimeout {
     /// A fixed timeout, for calls whose caller has a deadline.
-    Until(Duration),
+    Fixed(Duration),
     /// A timeout that is extended while bytes keep arriving from the peer: until none
     /// have come for as long as the timeout or for [`MAX_READ_GAP`], whichever is
     /// shorter, and by at most [`MAX_EXTENSION`].
@@ -53,17 +53,17 @@
     /// With a fixed timeout a large answer on a slow link, or one queued behind it,
     /// would be discarded half received and requested again, which loads the link
     /// further.
-    Silent(Duration),
+    Idle(Duration),
 }
 
 /// Longest gap between received bytes that still extends a timeout.
 const MAX_READ_GAP: Duration = Duration::from_millis(400);
 
-impl Patience {
+impl CallTimeout {
     /// The timeout without any extension.
     fn duration(self) -> Duration {
         match self {
-            Self::Until(duration) | Self::Silent(duration) => duration,
+            Self::Fixed(duration) | Self::Idle(duration) => duration,
         }
     }
 
@@ -71,8 +71,8 @@
     /// at `last_read`.
     fn deadline(self, started: Instant, last_read: Instant) -> Instant {
         match self {
-            Self::Until(duration) => started + duration,
-            Self::Silent(duration) => {
+            Self::Fixed(duration) => started + duration,
+            Self::Idle(duration) => {
                 let extended = (last_read + duration.min(MAX_READ_GAP))
                     .min(started + duration + MAX_EXTENSION);
                 extended.max(started + duration)
@@ -94,12 +94,12 @@
 
 /// A server and client of one capnp interface. Serves it at one address and calls it
 /// at other entries. Dropping the last clone ends its thread.
-pub(crate) struct RpcNet<C> {
+pub(crate) struct RpcEndpoint<C> {
     jobs: mpsc::Sender<Job<C>>,
     address: SocketAddr,
 }
 
-impl<C> Clone for RpcNet<C> {
+impl<C> Clone for RpcEndpoint<C> {
     fn clone(&self) -> Self {
         Self {
             jobs: self.jobs.clone(),
@@ -108,15 +108,15 @@
     }
 }
 
-impl<C> std::fmt::Debug for RpcNet<C> {
+impl<C> std::fmt::Debug for RpcEndpoint<C> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("RpcNet")
+        f.debug_struct("RpcEndpoint")
             .field("address", &self.address)
             .finish_non_exhaustive()
     }
 }
 
-impl<C: Client> RpcNet<C> {
+impl<C: Client> RpcEndpoint<C> {
     /// Binds `address` and serves each connection with a capability of `factory`. Bytes
     /// of outgoing calls are added to `traffic`.
     pub(crate) fn bind(
@@ -141,10 +141,10 @@
 
     /// Runs `call` with a client of the entry at `to`. Dropping the future cancels the
     /// call.
-    pub(crate) async fn run<T, K, F>(
+    pub(crate) async fn call<T, K, F>(
         &self,
         to: SocketAddr,
-        limit: Patience,
+        limit: CallTimeout,
         call: K,
     ) -> Result<T, PeerError>
     where
@@ -186,9 +186,9 @@
 }
 
 impl<S> Tracked<S> {
-    fn count(&self, flow: Flow, bytes: &Poll<std::io::Result<usize>>) {
+    fn count(&self, direction: Direction, bytes: &Poll<std::io::Result<usize>>) {
         if let (Some((traffic, distance)), Poll::Ready(Ok(bytes))) = (&self.meter, bytes) {
-            traffic.add(Purpose::Peers, *distance, flow, *bytes);
+            traffic.add(Purpose::Peers, *distance, direction, *bytes);
         }
     }
 }
@@ -200,7 +200,7 @@
         buffer: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, buffer);
-        self.count(Flow::Out, &written);
+        self.count(Direction::Out, &written);
         written
     }
 
@@ -226,7 +226,7 @@
         buffer: &mut [u8],
     ) -> Poll<std::io::Result<usize>> {
         let read = Pin::new(&mut self.inner).poll_read(context, buffer);
-        self.count(Flow::In, &read);
+        self.count(Direction::In, &read);
         if matches!(read, Poll::Ready(Ok(1..))) {
             self.last_read.set(Instant::now());
         }
@@ -241,7 +241,7 @@
 }
 
 /// Body of the network thread: accepts connections and runs queued calls until the
-/// last [`RpcNet`] is dropped.
+/// last [`RpcEndpoint`] is dropped.
 fn run<C: Client>(
     listener: std::net::TcpListener,
     factory: ServiceFactory,
@@ -315,7 +315,7 @@
 async fn one_call<T, C, K, F>(
     state: &Rc<ThreadState<C>>,
     to: SocketAddr,
-    limit: Patience,
+    limit: CallTimeout,
     call: K,
 ) -> Result<T, PeerError>
 where
--- a/crates/port/src/serve.rs
+++ b/crates/port/src/serve.rs
@@ -31,19 +31,19 @@
     time::{Instant, Sleep, sleep, sleep_until},
 };
 
-use crate::{Account, Distance, Purpose, Silence, traffic::Metered};
+use crate::{Distance, Purpose, TcpLiveness, TrafficMeter, traffic::Metered};
 
 /// Limits of a server on its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServeLimits {
     /// Largest request head (request line and headers), in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Timeout for receiving a request head, from its first byte.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Timeout of an idle keep-alive connection.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Maximum number of open connections.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Delay after a failed accept, which is mostly caused by a lack of
@@ -81,16 +81,16 @@
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<Full<Bytes>>> + Send + 'static,
     {
-        let account = Account {
+        let meter = TrafficMeter {
             traffic: Arc::default(),
             purpose: Purpose::Callers,
-            distance: Distance::Far,
+            distance: Distance::Remote,
         };
-        Self::bind_metered(address, limits, account, handle).await
+        Self::bind_metered(address, limits, meter, handle).await
     }
 
     /// Like [`Server::bind`], and adds the bytes of all connections to
-    /// `account`.
+    /// `meter`.
     ///
     /// # Errors
     ///
@@ -98,7 +98,7 @@
     pub async fn bind_metered<H, F>(
         address: SocketAddr,
         limits: ServeLimits,
-        account: Account,
+        meter: TrafficMeter,
         handle: H,
     ) -> io::Result<Self>
     where
@@ -118,7 +118,7 @@
                 limits_rx,
                 stage_rx,
                 open.clone(),
-                account,
+                meter,
                 handle,
             )),
             open,
@@ -172,7 +172,7 @@
     limits: watch::Receiver<ServeLimits>,
     mut stage_rx: watch::Receiver<Stage>,
     open: Arc<AtomicUsize>,
-    account: Account,
+    meter: TrafficMeter,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -193,14 +193,14 @@
         };
         // Closed at once at the limit, so that the caller tries another entry
         // instead of waiting here.
-        if open.load(Ordering::Relaxed) >= limits.borrow().connections {
+        if open.load(Ordering::Relaxed) >= limits.borrow().max_connections {
             continue;
         }
         let guard = OpenGuard::new(&open);
         // Fails if the connection is closed already; its first read then ends
         // it.
-        let _ = Silence::default().apply(&stream);
-        let stream = Metered::new(stream, account.clone());
+        let _ = TcpLiveness::default().apply(&stream);
+        let stream = Metered::new(stream, meter.clone());
         let served = connection(stream, limits.clone(), stage_rx.clone(), handle.clone());
         connections.spawn(async move {
             let _guard = guard;
@@ -244,7 +244,7 @@
     F: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     let phase = Arc::new(Mutex::new(Phase::Idle(Instant::now())));
-    let head = limits.borrow().head;
+    let max_head = limits.borrow().max_head;
     let io = TimeoutStream::new(stream, phase.clone(), limits);
     let service = service_fn(move |request| {
         set_phase(&phase, Phase::Busy);
@@ -258,7 +258,7 @@
     let mut builder = http1::Builder::new();
     builder
         .header_read_timeout(None)
-        .max_buf_size(head.max(MIN_BUFFER))
+        .max_buf_size(max_head.max(MIN_BUFFER))
         .auto_date_header(false);
     let mut served = std::pin::pin!(builder.serve_connection(TokioIo::new(io), service));
     tokio::select! {
@@ -307,7 +307,7 @@
         phase: Arc<Mutex<Phase>>,
         limits: watch::Receiver<ServeLimits>,
     ) -> Self {
-        let first = limits.borrow().head_time;
+        let first = limits.borrow().head_timeout;
         Self {
             stream,
             phase,
@@ -326,15 +326,15 @@
             let limits = *self.limits.borrow();
             let now = Instant::now();
             let deadline = match self.phase() {
-                Phase::Idle(since) => since + limits.idle_time,
-                Phase::Head(since) => since + limits.head_time,
-                Phase::Busy => now + limits.head_time,
+                Phase::Idle(since) => since + limits.idle_timeout,
+                Phase::Head(since) => since + limits.head_timeout,
+                Phase::Busy => now + limits.head_timeout,
             };
             if deadline <= now {
                 return Poll::Ready(());
             }
             // A head may begin meanwhile, so check again within its timeout.
-            let recheck = deadline.min(now + limits.head_time);
+            let recheck = deadline.min(now + limits.head_timeout);
             self.timer.set(sleep_until(recheck));
         }
         Poll::Pending
@@ -396,9 +396,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is larger than the limit.
-    Large,
+    TooLarge,
     /// The connection failed before the end of the body.
-    Broken,
+    Incomplete,
 }
 
 /// Reads a whole body of at most `limit` bytes.
@@ -415,11 +415,11 @@
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(BodyError::Large);
+        return Err(BodyError::TooLarge);
     }
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(BodyError::Large),
-        Err(_) => Err(BodyError::Broken),
+        Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Err(_) => Err(BodyError::Incomplete),
     }
 }
--- a/crates/port/src/target.rs
+++ b/crates/port/src/target.rs
@@ -83,7 +83,7 @@
 
     /// Keeps connections open to these leafs, at most `max_conns` to each, and
     /// drops the pools of all others.
-    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize);
+    fn set_leafs(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize);
 
     /// Returns the number of connections to each leaf, open or being opened.
     fn connections(&self) -> Vec<(LeafId, usize)>;
--- a/crates/port/src/target_http.rs
+++ b/crates/port/src/target_http.rs
@@ -27,23 +27,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TargetsConfig {
     /// Timeout for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Interval of HTTP/2 keep-alive pings on a connection.
-    pub ping: Duration,
+    pub ping_interval: Duration,
     /// Timeout of a ping. An unresponsive connection is closed after at most
-    /// `ping` and this together.
-    pub pong: Duration,
+    /// `ping_interval` and this together.
+    pub ping_timeout: Duration,
     /// Largest answer body, in bytes.
-    pub answer: usize,
+    pub max_answer: usize,
 }
 
 impl Default for TargetsConfig {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            ping: Duration::from_millis(500),
-            pong: Duration::from_secs(1),
-            answer: 4 << 20,
+            connect_timeout: Duration::from_secs(1),
+            ping_interval: Duration::from_millis(500),
+            ping_timeout: Duration::from_secs(1),
+            max_answer: 4 << 20,
         }
     }
 }
@@ -155,7 +155,7 @@
     /// Opens the connection `id`, wakes waiting calls and probes quiet
     /// connections.
     async fn open(&self, leaf: &Arc<LeafConns>, id: ConnId) {
-        let connected = timeout(self.inner.config.connect, self.connect(leaf, id)).await;
+        let connected = timeout(self.inner.config.connect_timeout, self.connect(leaf, id)).await;
         let quiet = self.record_opened(leaf, id, connected.ok().and_then(Result::ok));
         leaf.opened.notify_waiters();
         for id in quiet {
@@ -224,8 +224,8 @@
         stream.set_nodelay(true).map_err(|_| ConnectError)?;
         let (sender, conn) = http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
-            .keep_alive_interval(self.inner.config.ping)
-            .keep_alive_timeout(self.inner.config.pong)
+            .keep_alive_interval(self.inner.config.ping_interval)
+            .keep_alive_timeout(self.inner.config.ping_timeout)
             .keep_alive_while_idle(true)
             .handshake(TokioIo::new(stream))
             .await
@@ -275,7 +275,7 @@
     }
 
     async fn body(&self, body: Incoming) -> Result<Bytes, AnswerError> {
-        let limited = Limited::new(body, self.inner.config.answer);
+        let limited = Limited::new(body, self.inner.config.max_answer);
         let collected = limited.collect().await.map_err(|_| AnswerError)?;
         Ok(collected.to_bytes())
     }
@@ -370,7 +370,7 @@
         .boxed()
     }
 
-    fn hold(&self, wanted: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
+    fn set_leafs(&self, wanted: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
         self.inner.max_conns.store(max_conns, Ordering::Relaxed);
         let spare = self.inner.share.saturating_sub(max_conns);
         let keep: BTreeMap<LeafId, SocketAddr> = wanted.into_iter().collect();
--- a/crates/port/src/traffic.rs
+++ b/crates/port/src/traffic.rs
@@ -19,7 +19,7 @@
 pub enum Purpose {
     /// Calls to leafs and their answers.
     Leafs,
-    /// Requests of callers and their answers. Counted as [`Distance::Far`], since the
+    /// Requests of callers and their answers. Counted as [`Distance::Remote`], since the
     /// failure domain of callers is not known.
     Callers,
     /// The part of [`Purpose::Peers`] that is lists of leafs and their changes.
@@ -31,7 +31,7 @@
     Peers,
     /// Datagrams of the failure detector.
     Probes,
-    /// Bodies of calls to the store. Counted as [`Distance::Far`], since its failure
+    /// Bodies of calls to the store. Counted as [`Distance::Remote`], since its failure
     /// domain is not known.
     Store,
 }
@@ -67,35 +67,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same failure domain.
-    Near,
+    Local,
     /// In another failure domain, or not known.
-    Far,
+    Remote,
 }
 
 impl Distance {
     /// Both distances.
-    pub const ALL: [Self; 2] = [Self::Near, Self::Far];
+    pub const ALL: [Self; 2] = [Self::Local, Self::Remote];
 
     /// Returns the name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Near => "near",
-            Self::Far => "far",
+            Self::Local => "near",
+            Self::Remote => "far",
         }
     }
 }
 
 /// Direction of traffic, as seen from this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Flow {
+pub enum Direction {
     /// Received.
     In,
     /// Sent.
     Out,
 }
 
-impl Flow {
+impl Direction {
     /// Both directions.
     pub const ALL: [Self; 2] = [Self::In, Self::Out];
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// Counters of bytes by purpose, distance and flow.
+/// Counters of bytes by purpose, distance and direction.
 ///
 /// The calling entry counts both directions of a call, and the sender counts a
 /// datagram, so that a sum over all entries counts no byte twice. Packet headers,
@@ -122,19 +122,20 @@
 
 impl Traffic {
     /// Adds `bytes` to a counter.
-    pub fn add(&self, purpose: Purpose, distance: Distance, flow: Flow, bytes: usize) {
-        self.count(purpose, distance, flow)
+    pub fn add(&self, purpose: Purpose, distance: Distance, direction: Direction, bytes: usize) {
+        self.count(purpose, distance, direction)
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Returns the bytes counted so far.
     #[must_use]
-    pub fn get(&self, purpose: Purpose, distance: Distance, flow: Flow) -> u64 {
-        self.count(purpose, distance, flow).load(Ordering::Relaxed)
+    pub fn get(&self, purpose: Purpose, distance: Distance, direction: Direction) -> u64 {
+        self.count(purpose, distance, direction)
+            .load(Ordering::Relaxed)
     }
 
     /// Sets the addresses of the entries in this entry's failure domain.
-    pub fn set_near(&self, local: BTreeSet<IpAddr>) {
+    pub fn set_local(&self, local: BTreeSet<IpAddr>) {
         *self.local.write().unwrap_or_else(|e| e.into_inner()) = local;
     }
 
@@ -143,19 +144,19 @@
     pub fn distance(&self, peer: SocketAddr) -> Distance {
         let local = self.local.read().unwrap_or_else(|e| e.into_inner());
         match local.contains(&peer.ip()) {
-            true => Distance::Near,
-            false => Distance::Far,
+            true => Distance::Local,
+            false => Distance::Remote,
         }
     }
 
-    fn count(&self, purpose: Purpose, distance: Distance, flow: Flow) -> &AtomicU64 {
-        &self.counts[purpose as usize][distance as usize][flow as usize]
+    fn count(&self, purpose: Purpose, distance: Distance, direction: Direction) -> &AtomicU64 {
+        &self.counts[purpose as usize][distance as usize][direction as usize]
     }
 }
 
 /// The counters that the bytes of a connection are added to.
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct TrafficMeter {
     /// The counters of the entry.
     pub traffic: Arc<Traffic>,
     /// What the connection is used for.
@@ -164,9 +165,10 @@
     pub distance: Distance,
 }
 
-impl Account {
-    fn add(&self, flow: Flow, bytes: usize) {
-        self.traffic.add(self.purpose, self.distance, flow, bytes);
+impl TrafficMeter {
+    fn add(&self, direction: Direction, bytes: usize) {
+        self.traffic
+            .add(self.purpose, self.distance, direction, bytes);
     }
 }
 
@@ -174,13 +176,13 @@
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     inner: S,
-    account: Account,
+    meter: TrafficMeter,
 }
 
 impl<S> Metered<S> {
-    /// Wraps `inner` and counts its bytes in `account`.
-    pub(crate) fn new(inner: S, account: Account) -> Self {
-        Self { inner, account }
+    /// Wraps `inner` and counts its bytes in `meter`.
+    pub(crate) fn new(inner: S, meter: TrafficMeter) -> Self {
+        Self { inner, meter }
     }
 }
 
@@ -192,7 +194,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.inner).poll_read(cx, buf);
-        self.account.add(Flow::In, buf.filled().len() - before);
+        self.meter.add(Direction::In, buf.filled().len() - before);
         read
     }
 }
@@ -234,7 +236,7 @@
 impl<S> Metered<S> {
     fn count_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
-            self.account.add(Flow::Out, *bytes);
+            self.meter.add(Direction::Out, *bytes);
         }
     }
 }
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -28,7 +28,7 @@
 const MAX_NESTING: i32 = 16;
 
 /// Result of decoding a message.
-pub(crate) type Read<T> = Result<T, capnp::Error>;
+pub(crate) type DecodeResult<T> = Result<T, capnp::Error>;
 
 /// Returns the limits for messages from peers.
 pub(crate) fn reader_options() -> ReaderOptions {
@@ -44,7 +44,7 @@
 }
 
 /// Parses a text field.
-fn parse<T: FromStr>(text: text::Reader<'_>) -> Read<T>
+fn parse<T: FromStr>(text: text::Reader<'_>) -> DecodeResult<T>
 where
     T::Err: std::fmt::Display,
 {
@@ -52,7 +52,7 @@
 }
 
 /// Fails unless a message has the protocol version of this release.
-pub(crate) fn check_version(version: u16) -> Read<()> {
+pub(crate) fn check_version(version: u16) -> DecodeResult<()> {
     if version == VERSION {
         return Ok(());
     }
@@ -88,7 +88,7 @@
 }
 
 /// Reads a member.
-pub(crate) fn get_member(from: schema::member::Reader<'_>) -> Read<Member> {
+pub(crate) fn get_member(from: schema::member::Reader<'_>) -> DecodeResult<Member> {
     let address = |text: text::Reader<'_>| parse::<SocketAddr>(text);
     Ok(Member {
         id: parse(from.get_id()?)?,
@@ -112,13 +112,13 @@
             .get_heirs()?
             .iter()
             .map(get_successor)
-            .collect::<Read<_>>()?,
+            .collect::<DecodeResult<_>>()?,
     })
 }
 
 /// Reads the successor that took over the tickets of one incarnation of a
 /// member.
-fn get_successor(from: schema::heir::Reader<'_>) -> Read<(Incarnation, Successor)> {
+fn get_successor(from: schema::heir::Reader<'_>) -> DecodeResult<(Incarnation, Successor)> {
     let successor = Successor {
         member: parse(from.get_member()?)?,
         incarnation: Incarnation(from.get_life()),
@@ -139,7 +139,7 @@
 /// Reads a list of members.
 pub(crate) fn get_members(
     from: struct_list::Reader<'_, schema::member::Owned>,
-) -> Read<Vec<Member>> {
+) -> DecodeResult<Vec<Member>> {
     from.iter().map(get_member).collect()
 }
 
@@ -160,12 +160,14 @@
 }
 
 /// Reads the reports on suspect requests.
-fn get_reports(from: struct_list::Reader<'_, schema::case::Owned>) -> Read<Vec<SuspectReport>> {
+fn get_reports(
+    from: struct_list::Reader<'_, schema::case::Owned>,
+) -> DecodeResult<Vec<SuspectReport>> {
     from.iter().map(get_report).collect()
 }
 
 /// Reads a report on a suspect request, with the leafs that crashed under it.
-fn get_report(from: schema::case::Reader<'_>) -> Read<SuspectReport> {
+fn get_report(from: schema::case::Reader<'_>) -> DecodeResult<SuspectReport> {
     let crashes = from.get_strikes()?;
     let crashes = crashes.iter().map(|crash| {
         let age = Duration::from_millis(u64::from(crash.get_ago_ms()));
@@ -214,7 +216,7 @@
 }
 
 /// Decodes a probe from a datagram.
-pub(crate) fn decode_probe(bytes: &[u8]) -> Read<Message> {
+pub(crate) fn decode_probe(bytes: &[u8]) -> DecodeResult<Message> {
     let message = capnp::serialize_packed::read_message(bytes, reader_options())?;
     let root = message.get_root::<schema::probe::Reader<'_>>()?;
     check_version(root.get_version())?;
@@ -254,7 +256,7 @@
 }
 
 /// Reads a query for a part of the shards.
-pub(crate) fn get_query(from: schema::sub_query::Reader<'_>) -> Read<SubQuery> {
+pub(crate) fn get_query(from: schema::sub_query::Reader<'_>) -> DecodeResult<SubQuery> {
     check_version(from.get_version())?;
     Ok(SubQuery {
         request: RequestId(from.get_request()),
@@ -286,7 +288,7 @@
 }
 
 /// Reads the answer to a query.
-pub(crate) fn get_answer(from: schema::sub_answer::Reader<'_>) -> Read<SubAnswer> {
+pub(crate) fn get_answer(from: schema::sub_answer::Reader<'_>) -> DecodeResult<SubAnswer> {
     let index = IndexVersion(from.get_index());
     Ok(match from.which()? {
         schema::sub_answer::Which::Parts(parts) => SubAnswer::Parts {
@@ -294,7 +296,7 @@
             parts: parts?
                 .iter()
                 .map(|part| Ok((part.get_shard(), Bytes::copy_from_slice(part.get_rows()?))))
-                .collect::<Read<_>>()?,
+                .collect::<DecodeResult<_>>()?,
         },
         schema::sub_answer::Which::Refused(refusal) => {
             SubAnswer::Failed(Failure::Refused(decode_refusal(refusal?)))
@@ -338,7 +340,7 @@
 }
 
 /// Reads a submission that is to be passed to one leaf.
-pub(crate) fn get_dispatch(from: schema::dispatch::Reader<'_>) -> Read<Dispatch> {
+pub(crate) fn get_dispatch(from: schema::dispatch::Reader<'_>) -> DecodeResult<Dispatch> {
     check_version(from.get_version())?;
     Ok(Dispatch {
         request: RequestId(from.get_request()),
@@ -365,7 +367,9 @@
 }
 
 /// Reads the outcome of a dispatched submission.
-pub(crate) fn get_dispatched(from: schema::dispatched::Reader<'_>) -> Read<Result<Bytes, Failure>> {
+pub(crate) fn get_dispatched(
+    from: schema::dispatched::Reader<'_>,
+) -> DecodeResult<Result<Bytes, Failure>> {
     Ok(match from.which()? {
         schema::dispatched::Which::Done(done) => Ok(Bytes::copy_from_slice(done?)),
         schema::dispatched::Which::Refused(refusal) => {
@@ -388,7 +392,7 @@
 }
 
 /// Reads a submission.
-pub(crate) fn get_submission(from: schema::submission::Reader<'_>) -> Read<Submission> {
+pub(crate) fn get_submission(from: schema::submission::Reader<'_>) -> DecodeResult<Submission> {
     check_version(from.get_version())?;
     Ok(Submission {
         ticket: parse::<Ticket>(from.get_ticket()?)?,
@@ -403,17 +407,17 @@
 /// Writes the reply to a submission.
 pub(crate) fn put_reply(reply: &SubmitReply, mut to: schema::outcome::Builder<'_>) {
     match reply {
-        SubmitReply::Done(answer) => to.set_done(answer),
+        SubmitReply::Ran(answer) => to.set_done(answer),
         SubmitReply::NotRun(reason) => to.set_not_run(reason.number()),
         SubmitReply::Unknown(reason) => to.set_unknown(reason.number()),
     }
 }
 
 /// Reads the reply to a submission.
-pub(crate) fn get_reply(from: schema::outcome::Reader<'_>) -> Read<SubmitReply> {
+pub(crate) fn get_reply(from: schema::outcome::Reader<'_>) -> DecodeResult<SubmitReply> {
     let reason = |number| Reason::from_number(number).ok_or_else(|| invalid("unknown reason"));
     Ok(match from.which()? {
-        schema::outcome::Which::Done(answer) => SubmitReply::Done(Bytes::copy_from_slice(answer?)),
+        schema::outcome::Which::Done(answer) => SubmitReply::Ran(Bytes::copy_from_slice(answer?)),
         schema::outcome::Which::NotRun(number) => SubmitReply::NotRun(reason(number)?),
         schema::outcome::Which::Unknown(number) => SubmitReply::Unknown(reason(number)?),
     })
@@ -423,7 +427,7 @@
 /// reason, so the reply always gives the same one.
 fn to_reply(outcome: &Outcome) -> SubmitReply {
     match outcome {
-        Outcome::Done(answer) => SubmitReply::Done(Bytes::copy_from_slice(answer)),
+        Outcome::Done(answer) => SubmitReply::Ran(Bytes::copy_from_slice(answer)),
         Outcome::NotRun(reason) => SubmitReply::NotRun(*reason),
         Outcome::Unknown => SubmitReply::Unknown(Reason::FateUnknown),
     }
@@ -433,14 +437,14 @@
 /// dropped.
 fn to_outcome(reply: SubmitReply) -> Outcome {
     match reply {
-        SubmitReply::Done(answer) => Outcome::Done(answer.to_vec()),
+        SubmitReply::Ran(answer) => Outcome::Done(answer.to_vec()),
         SubmitReply::NotRun(reason) => Outcome::NotRun(reason),
         SubmitReply::Unknown(_) => Outcome::Unknown,
     }
 }
 
 /// Writes tickets that are handed over, with their outcomes if settled.
-pub(crate) fn put_handed(
+pub(crate) fn put_handover(
     tickets: &[HandedTicket],
     mut to: struct_list::Builder<'_, schema::handed::Owned>,
 ) {
@@ -456,9 +460,9 @@
 }
 
 /// Reads tickets that are handed over.
-pub(crate) fn get_handed(
+pub(crate) fn get_handover(
     from: struct_list::Reader<'_, schema::handed::Owned>,
-) -> Read<Vec<HandedTicket>> {
+) -> DecodeResult<Vec<HandedTicket>> {
     let get_item = |item: schema::handed::Reader<'_>| {
         let settled = if item.get_settled() {
             let outcome = to_outcome(get_reply(item.get_outcome()?)?);
@@ -475,7 +479,7 @@
 }
 
 /// Writes the versions of the objects that the sender has.
-pub(crate) fn put_have(
+pub(crate) fn put_versions(
     have: &BTreeMap<ObjectKey, u64>,
     mut to: struct_list::Builder<'_, schema::object_version::Owned>,
 ) {
@@ -488,9 +492,9 @@
 }
 
 /// Reads the versions of the objects that the sender has.
-pub(crate) fn get_have(
+pub(crate) fn get_versions(
     from: struct_list::Reader<'_, schema::object_version::Owned>,
-) -> Read<BTreeMap<ObjectKey, u64>> {
+) -> DecodeResult<BTreeMap<ObjectKey, u64>> {
     let get_item = |item: schema::object_version::Reader<'_>| {
         let key = get_key(item.get_kind()?, item.get_name()?)?;
         Ok((key, item.get_version()))
@@ -515,7 +519,7 @@
 /// Reads configuration objects.
 pub(crate) fn get_objects(
     from: struct_list::Reader<'_, schema::object::Owned>,
-) -> Read<Vec<Object>> {
+) -> DecodeResult<Vec<Object>> {
     let get_item = |item: schema::object::Reader<'_>| {
         Ok(Object {
             key: get_key(item.get_kind()?, item.get_name()?)?,
@@ -527,12 +531,12 @@
 }
 
 /// Reads a list of leafs.
-pub(crate) fn get_leafs(from: capnp::text_list::Reader<'_>) -> Read<Vec<LeafId>> {
+pub(crate) fn get_leafs(from: capnp::text_list::Reader<'_>) -> DecodeResult<Vec<LeafId>> {
     from.iter().map(|text| parse(text?)).collect()
 }
 
 /// Reads the key of an object.
-fn get_key(kind: text::Reader<'_>, name: text::Reader<'_>) -> Read<ObjectKey> {
+fn get_key(kind: text::Reader<'_>, name: text::Reader<'_>) -> DecodeResult<ObjectKey> {
     Ok(ObjectKey {
         kind: parse::<Kind>(kind)?,
         name: name.to_str()?.to_owned(),
--- a/crates/port/tests/slow_link.rs
+++ b/crates/port/tests/slow_link.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use chestnut_book::BookVersion;
 use chestnut_port::{
-    Batch, Content, Feed, FeedError, FeedNet, FeedService, Freshness, Item, PeerFeed, RawBatch,
-    RawBook,
+    Batch, Content, EncodedBatch, EncodedDelta, Feed, FeedError, FeedRpc, FeedService, Freshness,
+    Item, PeerFeed,
 };
 use futures::{FutureExt, future::BoxFuture};
 use tokio::{
@@ -55,19 +55,19 @@
         BookVersion(0)
     }
 
-    fn book(&self, _: BookVersion) -> Result<RawBook, FeedError> {
-        Err(FeedError::Lost)
+    fn book_delta(&self, _: BookVersion) -> Result<EncodedDelta, FeedError> {
+        Err(FeedError::StoreLost)
     }
 
-    fn pulse(&self) -> Result<u64, FeedError> {
+    fn poll_revision(&self) -> Result<u64, FeedError> {
         Ok(7)
     }
 
-    fn all(&self, _: &str) -> Result<RawBatch, FeedError> {
+    fn list(&self, _: &str) -> Result<EncodedBatch, FeedError> {
         let mut random = random();
         let mut item = |n| Item {
             name: format!("object {n}"),
-            content: Content::Is(random_text(&mut random)),
+            content: Content::Value(random_text(&mut random)),
         };
         Ok(Batch {
             items: (0..OBJECTS).map(&mut item).collect(),
@@ -75,12 +75,12 @@
         })
     }
 
-    fn follow(
+    fn watch(
         &self,
         _: String,
         _: u64,
         _: Duration,
-    ) -> BoxFuture<'static, Result<RawBatch, FeedError>> {
+    ) -> BoxFuture<'static, Result<EncodedBatch, FeedError>> {
         futures::future::pending().boxed()
     }
 }
@@ -117,8 +117,8 @@
 
 /// Two entries connected by the link.
 struct LinkedEntries {
-    client: FeedNet,
-    _server: FeedNet,
+    client: FeedRpc,
+    _server: FeedRpc,
     link: SocketAddr,
     stalled: Arc<AtomicBool>,
 }
@@ -126,10 +126,10 @@
 impl LinkedEntries {
     async fn open() -> Self {
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-        let server = FeedNet::bind(any, Arc::new(LongFeed), Arc::default())
+        let server = FeedRpc::bind(any, Arc::new(LongFeed), Arc::default())
             .await
             .unwrap();
-        let client = FeedNet::bind(any, Arc::new(LongFeed), Arc::default())
+        let client = FeedRpc::bind(any, Arc::new(LongFeed), Arc::default())
             .await
             .unwrap();
         let stalled = Arc::new(AtomicBool::new(false));
@@ -152,20 +152,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_succeed_while_bytes_arrive_slowly() {
     let entries = LinkedEntries::open().await;
-    assert_eq!(entries.feed().pulse().await, Ok(7));
-    let (list, pulse) = tokio::join!(async { entries.feed().list(Freshness::Now).await }, async {
-        sleep(Duration::from_millis(100)).await;
-        entries.feed().pulse().await
-    },);
+    assert_eq!(entries.feed().poll_revision().await, Ok(7));
+    let (list, revision) =
+        tokio::join!(async { entries.feed().list(Freshness::Now).await }, async {
+            sleep(Duration::from_millis(100)).await;
+            entries.feed().poll_revision().await
+        },);
     assert_eq!(list.map(|batch| batch.items.len()), Ok(OBJECTS));
-    assert_eq!(pulse, Ok(7));
+    assert_eq!(revision, Ok(7));
 }
 
 /// Guards against waiting long for a peer that stops sending in the middle of an answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn call_fails_soon_when_peer_stalls_in_an_answer() {
     let entries = LinkedEntries::open().await;
-    assert_eq!(entries.feed().pulse().await, Ok(7));
+    assert_eq!(entries.feed().poll_revision().await, Ok(7));
     let stalled = entries.stalled.clone();
     tokio::spawn(async move {
         sleep(Duration::from_millis(200)).await;
--- a/crates/port/tests/slow_server.rs
+++ b/crates/port/tests/slow_server.rs
@@ -48,7 +48,7 @@
 async fn response_is_read_while_bytes_arrive() {
     let server = serve(CHUNKS).await;
     let client = HttpClient::default();
-    let read = client.read(Method::GET, server, "/", Bytes::new(), TIMEOUT);
+    let read = client.call_extending(Method::GET, server, "/", Bytes::new(), TIMEOUT);
     let read = read.await.map(|reply| reply.body.len());
     assert_eq!(read, Ok(CHUNKS * CHUNK.len()));
     let call = client.call(Method::GET, server, "/", Bytes::new(), TIMEOUT);
@@ -61,7 +61,7 @@
     let server = serve(CHUNKS / 2).await;
     let client = HttpClient::default();
     let start = Instant::now();
-    let read = client.read(Method::GET, server, "/", Bytes::new(), TIMEOUT);
+    let read = client.call_extending(Method::GET, server, "/", Bytes::new(), TIMEOUT);
     assert_eq!(read.await.map(|reply| reply.status), Err(HttpError::Lost));
     assert!(start.elapsed() < Duration::from_secs(2));
 }
--- a/crates/port/tests/cases.rs
+++ b/crates/port/tests/suspect_records.rs
@@ -5,7 +5,7 @@
 use chestnut_book::BookVersion;
 use chestnut_conf::BookDigest;
 use chestnut_fleet::{Addresses, Member, Message, MessageKind};
-use chestnut_port::{ProbeSocket, Probes, probe_size};
+use chestnut_port::{ProbeSocket, ProbeTransport, probe_size};
 use chestnut_quarantine::{Fingerprint, LeafHash, SuspectReport};
 use chestnut_unit::{Incarnation, MemberId};
 
--- a/crates/relay/src/apply.rs
+++ b/crates/relay/src/apply.rs
@@ -46,7 +46,7 @@
     let now = shared.now();
     let state = lock(&shared.cell.state);
     let values = batch.items.iter().filter_map(|item| match &item.content {
-        Content::Is(value) => Some(value),
+        Content::Value(value) => Some(value),
         Content::Deleted | Content::Malformed => None,
     });
     let longer = values.filter(|(id, entry)| {
@@ -92,7 +92,7 @@
     let mut list = Vec::new();
     for item in items {
         match item.content {
-            Content::Is(leaf) => list.push(leaf),
+            Content::Value(leaf) => list.push(leaf),
             Content::Deleted | Content::Malformed => apply_leaf(leafs, item, now, changes),
         }
     }
@@ -106,7 +106,7 @@
     changes: &mut Vec<LeafChange>,
 ) {
     match (item.content, LeafId::new(&item.name)) {
-        (Content::Is((id, entry)), _) => leafs.changed(id, entry, now, changes),
+        (Content::Value((id, entry)), _) => leafs.changed(id, entry, now, changes),
         (Content::Deleted, Ok(id)) => leafs.deleted(&id, now, changes),
         (Content::Malformed, Ok(id)) => leafs.malformed(&id, changes),
         // An invalid name belongs to no known leaf.
@@ -162,7 +162,7 @@
             LeafChange::Removed(id) => ("is gone", id),
         };
         if let LeafChange::Removed(id) | LeafChange::Restarted(id, _) = change {
-            shared.forward.forget(id);
+            shared.forward.remove(id);
         }
         info!(shared.runtime.log, "hold: leaf {id} {event}"; "revision" => revision);
     }
@@ -196,7 +196,7 @@
         apply_evacuations(&mut state, &changes, now)
     };
     for id in &evacuated {
-        shared.forward.forget(id);
+        shared.forward.remove(id);
     }
     report_evacuations(shared, &changes, batch.revision);
     shared.cold_changed.notify_one();
@@ -225,7 +225,7 @@
 pub(crate) fn apply_books(shared: &Shared, batch: Batch<RouteBook>) {
     for item in batch.items {
         let book = match item.content {
-            Content::Is(book) => book,
+            Content::Value(book) => book,
             Content::Deleted | Content::Malformed => {
                 warn!(
                     shared.runtime.log,
--- a/crates/relay/src/book_fetch.rs
+++ b/crates/relay/src/book_fetch.rs
@@ -4,7 +4,7 @@
 
 use chestnut_book::{BookDelta, BookVersion, RouteBook};
 use chestnut_flow::lock;
-use chestnut_port::{RawBook, unpack};
+use chestnut_port::{EncodedDelta, unpack};
 use chestnut_unit::Time;
 use futures::{StreamExt, stream::FuturesUnordered};
 use rand::Rng;
@@ -74,7 +74,10 @@
 
 /// Applies the delta of an answer to the current book. Returns how many rules it adds,
 /// replaces or removes, and the new book.
-fn apply_delta(raw: &RawBook, current: Option<&RouteBook>) -> Result<(usize, RouteBook), String> {
+fn apply_delta(
+    raw: &EncodedDelta,
+    current: Option<&RouteBook>,
+) -> Result<(usize, RouteBook), String> {
     let delta: BookDelta = unpack(&raw.delta).map_err(|error| error.to_string())?;
     let rules = delta.rules();
     let book = delta.apply(current).map_err(|error| error.to_string())?;
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -166,7 +166,7 @@
     let Some(until) = state.table.permitted_until(ix, shared.now()) else {
         return Some(Time::MAX);
     };
-    let suspended = shared.runtime.clock.slept();
+    let suspended = shared.runtime.clock.suspended();
     let lease = state.extra.cold.lease;
     let valid = lease.is_some_and(|lease| suspended <= lease.suspended + SUSPEND_TOLERANCE);
     valid.then_some(until)
@@ -214,7 +214,7 @@
 /// Makes a call to the store and passes its result to `leases`.
 async fn call_store(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
     shared.metrics.count_store_call("leases");
-    let (sent, suspended) = (shared.now(), shared.runtime.clock.slept());
+    let (sent, suspended) = (shared.now(), shared.runtime.clock.suspended());
     match call {
         LeaseCall::List => match store.list().await {
             Ok(list) => leases.on_list(list, shared.now()),
--- a/crates/relay/src/evacuations.rs
+++ b/crates/relay/src/evacuations.rs
@@ -83,7 +83,7 @@
 /// unreadable object counts by its name.
 fn domain_of(item: &Item<DomainName>) -> Option<DomainName> {
     match &item.content {
-        Content::Is(domain) => Some(domain.clone()),
+        Content::Value(domain) => Some(domain.clone()),
         Content::Malformed => DomainName::new(&item.name).ok(),
         Content::Deleted => None,
     }
--- a/crates/relay/src/feed_server.rs
+++ b/crates/relay/src/feed_server.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use chestnut_book::BookVersion;
 use chestnut_flow::lock;
-use chestnut_port::{Batch, FeedError, FeedService, Item, RawBatch, RawBook};
+use chestnut_port::{Batch, EncodedBatch, EncodedDelta, FeedError, FeedService, Item};
 use chestnut_unit::{DomainName, LeafId};
 use futures::{FutureExt, future::BoxFuture};
 use serde::Serialize;
@@ -68,7 +68,7 @@
 
 impl FeedServer {
     /// Reads and encodes a part of the feed named `feed`.
-    fn read(&self, feed: &str, range: FeedRange) -> Result<RawBatch, FeedError> {
+    fn read(&self, feed: &str, range: FeedRange) -> Result<EncodedBatch, FeedError> {
         let copies = &self.0.feed_copies;
         match feed {
             LEAFS => encode(range.read(&lock(&copies.leafs))?),
@@ -78,14 +78,14 @@
     }
 
     /// Waits until objects of a feed have changed after `revision`, and reads those.
-    async fn wait_for_changes(&self, feed: &str, revision: u64) -> Result<RawBatch, FeedError> {
+    async fn wait_for_changes(&self, feed: &str, revision: u64) -> Result<EncodedBatch, FeedError> {
         let mut updates = self.0.feed_copies.updates.subscribe();
         let mut statuses = self.0.store_status.subscribe();
         loop {
             updates.borrow_and_update();
             statuses.borrow_and_update();
             // Fails if this entry has lost the store or has a peer as its upstream.
-            self.pulse()?;
+            self.poll_revision()?;
             let batch = self.read(feed, FeedRange::Since(revision))?;
             if !batch.items.is_empty() {
                 return Ok(batch);
@@ -104,7 +104,7 @@
         self.0.book_version()
     }
 
-    fn book(&self, have: BookVersion) -> Result<RawBook, FeedError> {
+    fn book_delta(&self, have: BookVersion) -> Result<EncodedDelta, FeedError> {
         let book = lock(&self.0.feed_copies.books).since(have);
         let book = book.map_err(|error| FeedError::Refused(error.to_string()))?;
         self.0.metrics.passed_bytes.inc_by(book.delta.len() as u64);
@@ -113,11 +113,11 @@
         Ok(book)
     }
 
-    fn pulse(&self) -> Result<u64, FeedError> {
+    fn poll_revision(&self) -> Result<u64, FeedError> {
         if let Some(Upstream::Peer(peer)) = *self.0.upstream.borrow() {
             return Err(match lock(&self.0.upstream_selector).is_current(peer) {
-                true => FeedError::Elsewhere(peer),
-                false => FeedError::Lost,
+                true => FeedError::Redirect(peer),
+                false => FeedError::StoreLost,
             });
         }
         let status = *self.0.store_status.borrow();
@@ -128,34 +128,34 @@
             lock(&self.0.upstream_selector).is_store_fresh(self.0.now()) && !status.is_lost();
         match connected && status.revision() > 0 {
             true => Ok(status.revision()),
-            false => Err(FeedError::Lost),
+            false => Err(FeedError::StoreLost),
         }
     }
 
     /// All objects of a feed, also while the store is lost: an entry that starts meanwhile
     /// can serve from them instead of refusing callers until the store is back.
-    fn all(&self, feed: &str) -> Result<RawBatch, FeedError> {
+    fn list(&self, feed: &str) -> Result<EncodedBatch, FeedError> {
         self.read(feed, FeedRange::All)
     }
 
-    fn follow(
+    fn watch(
         &self,
         feed: String,
         revision: u64,
         wait: Duration,
-    ) -> BoxFuture<'static, Result<RawBatch, FeedError>> {
+    ) -> BoxFuture<'static, Result<EncodedBatch, FeedError>> {
         let this = Self(self.0.clone());
         async move {
             let result = timeout(wait, this.wait_for_changes(&feed, revision)).await;
             let items = Vec::new();
-            result.unwrap_or(Ok(RawBatch { items, revision }))
+            result.unwrap_or(Ok(EncodedBatch { items, revision }))
         }
         .boxed()
     }
 }
 
 /// Encodes the values of a batch as JSON.
-fn encode<T: Serialize>(batch: Batch<T>) -> Result<RawBatch, FeedError> {
+fn encode<T: Serialize>(batch: Batch<T>) -> Result<EncodedBatch, FeedError> {
     let items = batch.items.into_iter().map(|item| {
         Ok(Item {
             name: item.name,
--- a/crates/relay/src/feed_watch.rs
+++ b/crates/relay/src/feed_watch.rs
@@ -178,7 +178,7 @@
             (Err(error @ FeedError::HistoryGone), _) => {
                 list_watch.record_failure(&error, &mut shared.runtime.rng());
             }
-            (Err(FeedError::Lost | FeedError::Elsewhere(_)), Upstream::Peer(_)) => {
+            (Err(FeedError::StoreLost | FeedError::Redirect(_)), Upstream::Peer(_)) => {
                 // The next heartbeat shows the outcome, and the upstream to use.
                 shared.upstream_changed.notify_one();
                 sleep(LOST_BACKOFF).await;
@@ -223,7 +223,7 @@
     let kind = match answer {
         Some(Ok(batch)) if batch.items.is_empty() => "nothing new",
         Some(Ok(_)) => "taken",
-        Some(Err(FeedError::Lost | FeedError::Elsewhere(_))) => "held back",
+        Some(Err(FeedError::StoreLost | FeedError::Redirect(_))) => "held back",
         Some(Err(_)) => "failed",
         None => "given up",
     };
@@ -268,7 +268,7 @@
         if upstream == Upstream::Store {
             shared.metrics.count_store_call("check");
         }
-        match feed.check(list_watch.latest_revision()).await {
+        match feed.poll(list_watch.latest_revision()).await {
             // Nothing of this kind has changed, so the watch may be healthy.
             Ok(batch) if batch.items.is_empty() => {
                 list_watch.record_answer(batch.revision.max(list_watch.latest_revision()));
--- a/crates/relay/src/feeds.rs
+++ b/crates/relay/src/feeds.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use chestnut_book::{BookVersion, RouteBook};
-use chestnut_port::{Feed, FeedError, FeedNet, PeerPulse, RawBook};
+use chestnut_port::{EncodedDelta, Feed, FeedError, FeedRpc, Heartbeat};
 use chestnut_unit::{DomainName, LeafId};
 use futures::{FutureExt, future::BoxFuture};
 
@@ -18,11 +18,15 @@
 pub trait PeerFeeds: Send + Sync {
     /// Returns the heartbeat of the entry at `to`: the revision of the store and the
     /// version of its route book.
-    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>>;
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<Heartbeat, FeedError>>;
 
     /// Returns the delta that turns version `have` (0 for none) into the route book of
     /// the entry at `to`.
-    fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>>;
+    fn book(
+        &self,
+        to: SocketAddr,
+        have: BookVersion,
+    ) -> BoxFuture<'_, Result<EncodedDelta, FeedError>>;
 
     /// Returns the feed of leafs of the entry at `to`.
     fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafRegistration)>>;
@@ -31,13 +35,17 @@
     fn evacuations(&self, to: SocketAddr) -> Arc<dyn Feed<DomainName>>;
 }
 
-impl PeerFeeds for FeedNet {
-    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
-        Self::pulse(self, to).boxed()
+impl PeerFeeds for FeedRpc {
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<Heartbeat, FeedError>> {
+        Self::heartbeat(self, to).boxed()
     }
 
-    fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>> {
-        Self::book(self, to, have).boxed()
+    fn book(
+        &self,
+        to: SocketAddr,
+        have: BookVersion,
+    ) -> BoxFuture<'_, Result<EncodedDelta, FeedError>> {
+        Self::book_delta(self, to, have).boxed()
     }
 
     fn leafs(&self, to: SocketAddr) -> Arc<dyn Feed<(LeafId, LeafRegistration)>> {
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use chestnut_book::{Kind, Rule, Target, greatest};
 use chestnut_flow::{AdmittedRequest, InFlightGuard, admit, lock, run};
-use chestnut_port::{LeafReply, Message};
+use chestnut_port::{ForwardedRequest, LeafReply};
 use chestnut_quarantine::Fingerprint;
 use chestnut_route::{
     AdmitRequest, End, Ix, PartialReason, Query, QueryConfig, Repeat, Sheddable, Timeliness,
@@ -35,7 +35,7 @@
     /// The host name, matched against the rules.
     pub host: String,
     /// The message that is forwarded to leafs.
-    pub message: Arc<Message>,
+    pub message: Arc<ForwardedRequest>,
     /// How much longer the caller will wait, if it says so.
     pub remaining: Option<Duration>,
 }
@@ -50,7 +50,7 @@
         Fingerprint::of(&[
             message.method.as_str().as_bytes(),
             self.host.as_bytes(),
-            message.target.as_str().as_bytes(),
+            message.path.as_str().as_bytes(),
             caller.map_or(&[], HeaderValue::as_bytes),
             &message.body,
         ])
@@ -179,7 +179,7 @@
         _ => return Err(not_run(DeclineReason::NotReady, Some(RETRY_AFTER_START))),
     };
     log.version = book.version.0;
-    let path = request.message.target.path();
+    let path = request.message.path.path();
     let Some(rule) = book.find(&request.host, path).cloned() else {
         return Err(not_run(DeclineReason::NoRule, None));
     };
@@ -320,11 +320,11 @@
 
 fn merge(top: usize, coverage: Coverage, query: Query<LeafReply>) -> Reply {
     let parts: Vec<LeafReply> = query.into_parts().map(|(_, reply)| reply).collect();
-    let bodies = parts.iter().map(|reply| reply.answer.body().as_ref());
+    let bodies = parts.iter().map(|reply| reply.response.body().as_ref());
     Reply::Merged {
         body: greatest(bodies, top).into(),
         missing: coverage.asked - coverage.answered,
-        signatures: parts.into_iter().map(|reply| reply.proof).collect(),
+        signatures: parts.into_iter().map(|reply| reply.signature).collect(),
     }
 }
 
@@ -375,7 +375,7 @@
 ) {
     let rule = log.rule.as_ref().map_or("-", |rule| rule.name.as_str());
     let outcome = match reply {
-        Reply::Whole(reply) if reply.answer.status().is_success() => "answered",
+        Reply::Whole(reply) if reply.response.status().is_success() => "answered",
         Reply::Whole(_) => "leaf failed",
         Reply::Merged { missing: 0, .. } => "answered",
         Reply::Merged { .. } => "partial",
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use chestnut_book::{BookDelta, BookVersion, RouteBook};
-use chestnut_port::{PackError, RawBook, pack};
+use chestnut_port::{EncodedDelta, PackError, pack};
 
 /// Versions that are kept; they share unchanged rules. An entry that is further behind,
 /// or has a version that is not kept, gets the whole book.
@@ -41,9 +41,9 @@
     /// # Errors
     ///
     /// The delta can't be packed.
-    pub fn since(&mut self, have: BookVersion) -> Result<RawBook, PackError> {
+    pub fn since(&mut self, have: BookVersion) -> Result<EncodedDelta, PackError> {
         let Some(newest) = self.books.back() else {
-            return Ok(RawBook {
+            return Ok(EncodedDelta {
                 version: BookVersion(0),
                 delta: Bytes::new(),
             });
@@ -51,7 +51,7 @@
         let version = newest.version;
         if have >= version {
             let delta = Bytes::new();
-            return Ok(RawBook { version, delta });
+            return Ok(EncodedDelta { version, delta });
         }
         let base = self.books.iter().find(|book| book.version == have);
         let key = base.map_or(BookVersion(0), |base| base.version);
@@ -62,6 +62,6 @@
         if self.packed.len() < MAX_PACKED {
             self.packed.insert(key, delta.clone());
         }
-        Ok(RawBook { version, delta })
+        Ok(EncodedDelta { version, delta })
     }
 }
--- a/crates/relay/src/leaf_calls.rs
+++ b/crates/relay/src/leaf_calls.rs
@@ -12,7 +12,7 @@
 
 use chestnut_book::Kind;
 use chestnut_flow::{CallFuture, CallReply, CallRequest, CallTransport, lock};
-use chestnut_port::{LeafCall, LeafFailure, LeafReply, Message};
+use chestnut_port::{ForwardedRequest, LeafCall, LeafFailure, LeafReply};
 use chestnut_route::{Eviction, Failure};
 use chestnut_unit::LeafId;
 use futures::FutureExt;
@@ -24,7 +24,7 @@
     /// The entry that makes the calls.
     pub(crate) shared: &'a Shared,
     /// The request as it is sent to every leaf.
-    pub(crate) message: Arc<Message>,
+    pub(crate) message: Arc<ForwardedRequest>,
     /// Whether the request may run more than once.
     pub(crate) kind: Kind,
     /// Whether the answers of several shards are merged into one.
@@ -62,14 +62,14 @@
         let endpoint = {
             let state = lock(&self.shared.cell.state);
             let endpoint = state.extra.endpoints.get(&request.to).cloned();
-            let until = send_until(self.shared, &state, request.to);
+            let send_before = send_until(self.shared, &state, request.to);
             endpoint
-                .zip(until)
-                .map(|(to, until)| (state.extra.connections(&to.service), to, until))
+                .zip(send_before)
+                .map(|(to, before)| (state.extra.connections(&to.service), to, before))
         };
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
         self.shared.metrics.count_call(request.kind);
-        let Some((connections, endpoint, until)) = endpoint else {
+        let Some((max_connections, endpoint, send_before)) = endpoint else {
             return async { Err(Failure::NotSent) }.boxed();
         };
         let callee = (endpoint.leaf.clone(), endpoint.address);
@@ -77,14 +77,14 @@
             leaf: endpoint.leaf,
             address: endpoint.address,
             distance: endpoint.distance,
-            message: self.message.clone(),
-            left: request.time_left,
-            connections,
-            idle: match self.kind {
+            request: self.message.clone(),
+            timeout: request.time_left,
+            max_connections,
+            max_idle: match self.kind {
                 Kind::Idempotent => Duration::MAX,
                 Kind::Once => ONCE_IDLE_MAX,
             },
-            until,
+            send_before,
         };
         let reply = self.shared.forward.call(call);
         let (last_failure, shards, merges) =
@@ -101,7 +101,7 @@
             match reply {
                 // An error status holds no records: merged, it would look like an
                 // empty shard.
-                Ok(reply) if merges && !reply.answer.status().is_success() => {
+                Ok(reply) if merges && !reply.response.status().is_success() => {
                     *lock(&last_failure) = Some(reply);
                     Err(Failure::Failed)
                 }
--- a/crates/relay/src/leaf_changes.rs
+++ b/crates/relay/src/leaf_changes.rs
@@ -65,10 +65,10 @@
     // The leaf may have been marked as leaving while its registration was missing.
     state.table.set_leaving(ix, false, now);
     let distance = match entry.domain == own.entry.domain {
-        true => Distance::Near,
-        false => Distance::Far,
+        true => Distance::Local,
+        false => Distance::Remote,
     };
-    state.table.set_remote(ix, distance == Distance::Far);
+    state.table.set_remote(ix, distance == Distance::Remote);
     let excluded = state.extra.evacuations.covers(&entry.domain);
     state.table.set_excluded(ix, excluded, now);
     let endpoint = Endpoint {
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -19,7 +19,7 @@
     Outgoing, Status, Swim, SwimConfig, serving_entries,
 };
 use chestnut_flow::lock;
-use chestnut_port::Probes;
+use chestnut_port::ProbeTransport;
 use chestnut_unit::{DomainName, Incarnation, MemberId, Time};
 use rand::Rng;
 use slog::info;
@@ -59,12 +59,12 @@
     load: AtomicU32,
     /// Keeps the number of serving entries for a while after the load has dropped.
     serving_count: Mutex<DelayedDecrease>,
-    probes: Arc<dyn Probes>,
+    probes: Arc<dyn ProbeTransport>,
 }
 
 impl Members {
     /// The view of an entry that has just started and knows only itself.
-    pub(crate) fn new(shared: &Shared, probes: Arc<dyn Probes>) -> Self {
+    pub(crate) fn new(shared: &Shared, probes: Arc<dyn ProbeTransport>) -> Self {
         let settings = &shared.settings;
         let mut own = Member::starting(
             settings.entry.member.clone(),
@@ -397,8 +397,8 @@
     let now: Time = shared.now();
     lock(&members.swim).receive(message, from, status(shared, members), now, out);
     let distance = match message.from.domain == shared.settings.entry.domain {
-        true => Distance::Near,
-        false => Distance::Far,
+        true => Distance::Local,
+        false => Distance::Remote,
     };
     quarantine::merge_reports(shared, &message.reports);
     shared.record_peer_version(message.from.addresses.peers, message.book, distance);
@@ -460,6 +460,6 @@
 /// including those that are leaving.
 pub(crate) fn update_quota(shared: &Shared, members: &Members) {
     shared.metrics.members.set(members.count() as i64);
-    shared.traffic.set_near(members.local_peers(shared));
+    shared.traffic.set_local(members.local_peers(shared));
     shared.set_quota(members.quota(shared));
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -7,7 +7,7 @@
 };
 
 use chestnut_flow::lock;
-use chestnut_port::{Distance, Flow, Purpose};
+use chestnut_port::{Direction, Distance, Purpose};
 use chestnut_route::CallKind;
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -231,12 +231,18 @@
         self.feed_reads.get_or_create(&KindLabels { kind }).inc();
     }
 
-    /// Sets the total bytes of one purpose, distance and flow.
-    pub(crate) fn set_bytes(&self, purpose: Purpose, distance: Distance, flow: Flow, bytes: u64) {
+    /// Sets the total bytes of one purpose, distance and direction.
+    pub(crate) fn set_bytes(
+        &self,
+        purpose: Purpose,
+        distance: Distance,
+        direction: Direction,
+        bytes: u64,
+    ) {
         let labels = ByteLabels {
             purpose: purpose.as_str(),
             distance: distance.as_str(),
-            flow: flow.as_str(),
+            flow: direction.as_str(),
         };
         self.bytes.get_or_create(&labels).set(bytes as i64);
     }
--- a/crates/relay/src/propagation.rs
+++ b/crates/relay/src/propagation.rs
@@ -79,8 +79,8 @@
         }
         let is_newer = self.newest().is_none_or(|newest| version > newest);
         let delay = match distance {
-            Distance::Near => Duration::ZERO,
-            Distance::Far => REMOTE_DELAY,
+            Distance::Local => Duration::ZERO,
+            Distance::Remote => REMOTE_DELAY,
         };
         let has_capacity = self.ahead.len() < MAX_TRACKED_PEERS;
         if let Some(ahead) = self.ahead.get_mut(&peer) {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -241,7 +241,11 @@
     if let Some((_, found)) = recent.filter(|(at, _)| now.since(*at) < CHECK_TTL) {
         return found;
     }
-    let result = timeout(CONNECT_TIMEOUT, shared.forward.listening(leaf, address)).await;
+    let result = timeout(
+        CONNECT_TIMEOUT,
+        shared.forward.check_listening(leaf, address),
+    )
+    .await;
     let found = result.unwrap_or(Listening::Unknown);
     let mut cache = lock(cache);
     cache.retain(|_, (at, _)| now.since(*at) < CHECK_TTL);
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -9,7 +9,7 @@
 
 use chestnut_book::{CallerLimits, RouteBook};
 use chestnut_flow::{Runtime, lock};
-use chestnut_port::{Feed, FeedService, Forward, Probes, Traffic};
+use chestnut_port::{Feed, FeedService, Forward, ProbeTransport, Traffic};
 use chestnut_unit::{DomainName, LeafId};
 use futures::future::BoxFuture;
 use slog::info;
@@ -57,7 +57,7 @@
     /// Calls to leafs.
     pub forward: Arc<dyn Forward>,
     /// Probe messages of the membership protocol.
-    pub probes: Arc<dyn Probes>,
+    pub probes: Arc<dyn ProbeTransport>,
     /// Byte counters of all interfaces.
     pub traffic: Arc<Traffic>,
 }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write, sync::Arc, time::Duration};
 
 use chestnut_flow::lock;
-use chestnut_port::{Distance, Flow, Purpose, Traffic};
+use chestnut_port::{Direction, Distance, Purpose, Traffic};
 use chestnut_route::{BudgetTotals, CallCounts};
 use slog::info;
 use tokio::time::sleep;
@@ -13,7 +13,7 @@
 /// Interval between log lines, long enough that they are few beside those of requests.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Total bytes by purpose, distance and flow.
+/// Total bytes by purpose, distance and direction.
 #[derive(Clone, Copy, Default)]
 struct ByteTotals([[[u64; 2]; 2]; Purpose::ALL.len()]);
 
@@ -21,9 +21,9 @@
     /// Reads the counters of `traffic`.
     fn read(traffic: &Traffic) -> Self {
         let mut bytes = Self::default();
-        for (purpose, distance, flow) in byte_kinds() {
-            bytes.0[purpose as usize][distance as usize][flow as usize] =
-                traffic.get(purpose, distance, flow);
+        for (purpose, distance, direction) in byte_kinds() {
+            bytes.0[purpose as usize][distance as usize][direction as usize] =
+                traffic.get(purpose, distance, direction);
         }
         bytes
     }
@@ -33,9 +33,9 @@
         let mut text = String::new();
         for purpose in Purpose::ALL {
             let separator = if text.is_empty() { "" } else { " " };
-            let count = |distance: usize, flow: usize| {
+            let count = |distance: usize, direction: usize| {
                 let at = purpose as usize;
-                self.0[at][distance][flow] - before.0[at][distance][flow]
+                self.0[at][distance][direction] - before.0[at][distance][direction]
             };
             let name = purpose.as_str();
             // Writing to a string can't fail.
@@ -52,12 +52,12 @@
     }
 }
 
-/// All combinations of purpose, distance and flow.
-fn byte_kinds() -> impl Iterator<Item = (Purpose, Distance, Flow)> {
+/// All combinations of purpose, distance and direction.
+fn byte_kinds() -> impl Iterator<Item = (Purpose, Distance, Direction)> {
     let pairs = |purpose| {
         Distance::ALL
             .into_iter()
-            .flat_map(move |distance| Flow::ALL.map(|flow| (purpose, distance, flow)))
+            .flat_map(move |distance| Direction::ALL.map(|way| (purpose, distance, way)))
     };
     Purpose::ALL.into_iter().flat_map(pairs)
 }
@@ -111,9 +111,11 @@
 
 /// Updates the metrics that are read from counters elsewhere.
 pub(crate) fn update_metrics(shared: &Shared) {
-    for (purpose, distance, flow) in byte_kinds() {
-        let bytes = shared.traffic.get(purpose, distance, flow);
-        shared.metrics.set_bytes(purpose, distance, flow, bytes);
+    for (purpose, distance, direction) in byte_kinds() {
+        let bytes = shared.traffic.get(purpose, distance, direction);
+        shared
+            .metrics
+            .set_bytes(purpose, distance, direction, bytes);
     }
     let (totals, counts, evacuated_calls) = {
         let state = lock(&shared.cell.state);
--- a/crates/relay/src/upstream_poll.rs
+++ b/crates/relay/src/upstream_poll.rs
@@ -107,7 +107,7 @@
     let starting = shared.phase() == Phase::Starting;
     match upstream {
         Upstream::Store if starting => {
-            let mut poll = feeds.book.pulse();
+            let mut poll = feeds.book.poll_revision();
             if let Ok(answer) = timeout(STARTUP_TIMEOUT, &mut poll).await {
                 return answer;
             }
@@ -117,10 +117,10 @@
             }
             poll.await
         }
-        Upstream::Store => feeds.book.pulse().await,
+        Upstream::Store => feeds.book.poll_revision().await,
         Upstream::Peer(peer) if starting => {
             let answer = peer_heartbeat(shared, feeds, peer, STARTUP_TIMEOUT).await;
-            if answer == Err(FeedError::Lost) {
+            if answer == Err(FeedError::StoreLost) {
                 load_from_peer(shared, feeds, peer).await;
             }
             answer
@@ -142,7 +142,7 @@
     let heartbeat = answer.unwrap_or_else(|_| none())?;
     // The upstream is read from in either case, in the same failure domain or in
     // another.
-    shared.record_peer_version(peer, heartbeat.book, Distance::Near);
+    shared.record_peer_version(peer, heartbeat.book, Distance::Local);
     heartbeat.store
 }
 
@@ -203,17 +203,17 @@
             choose_upstream(shared, members);
             PollOutcome::Answered
         }
-        Err(FeedError::Elsewhere(to)) => {
+        Err(FeedError::Redirect(to)) => {
             let own = shared.settings.listen.peers;
             lock(&shared.upstream_selector).redirected(peer, to, own, now);
             PollOutcome::TryNext
         }
-        Err(FeedError::Lost) if starting => {
+        Err(FeedError::StoreLost) if starting => {
             let age = now.since(Time::ZERO);
             lock(&shared.upstream_selector).not_ready(peer, age, now);
             PollOutcome::TryNext
         }
-        Err(error @ FeedError::Lost) => {
+        Err(error @ FeedError::StoreLost) => {
             lock(&shared.upstream_selector).lost(peer, now);
             if choose_upstream(shared, members) != Upstream::Peer(peer) {
                 return PollOutcome::TryNext;
@@ -249,7 +249,7 @@
 /// watchers.
 async fn check_store(shared: &Shared, feeds: &Feeds) -> Time {
     shared.metrics.count_store_call("pulse");
-    let answer = feeds.book.pulse().await;
+    let answer = feeds.book.poll_revision().await;
     info!(shared.runtime.log, "watch: asked the store, which the peers have lost";
         "answers" => answer.is_ok());
     let now = shared.now();
--- a/crates/relay/src/watch_cache.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -58,7 +58,7 @@
     pub fn apply_filtered(&mut self, batch: &Batch<T>, same: impl Fn(&T, &T) -> bool) {
         for item in &batch.items {
             let unchanged = match (self.values.get(&item.name), &item.content) {
-                (Some(Some(known)), Content::Is(value)) => same(known, value),
+                (Some(Some(known)), Content::Value(value)) => same(known, value),
                 _ => false,
             };
             self.put(item);
@@ -117,7 +117,7 @@
     fn put(&mut self, item: &Item<T>) {
         let name = item.name.clone();
         match &item.content {
-            Content::Is(value) => self.values.insert(name, Some(value.clone())),
+            Content::Value(value) => self.values.insert(name, Some(value.clone())),
             Content::Malformed => self.values.insert(name, None),
             Content::Deleted => self.values.remove(&name),
         };
@@ -125,7 +125,7 @@
 
     fn item(&self, name: &str) -> Item<T> {
         let content = match self.values.get(name) {
-            Some(Some(value)) => Content::Is(value.clone()),
+            Some(Some(value)) => Content::Value(value.clone()),
             Some(None) => Content::Malformed,
             None => Content::Deleted,
         };
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -269,7 +269,7 @@
     );
     assert_eq!(out, [EvacuationChange::Started(dub.clone())]);
     out.clear();
-    evacuations.changed(item("dub-a", Content::Is(dub.clone())), &mut out);
+    evacuations.changed(item("dub-a", Content::Value(dub.clone())), &mut out);
     evacuations.changed(item("nowhere", Content::Deleted), &mut out);
     assert_eq!(out, []);
     evacuations.changed(item("dub-a", Content::Deleted), &mut out);
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -111,7 +111,7 @@
     assert_eq!(cluster.leafs.received_calls().len(), 1);
     match reply {
         Reply::Declined(declined) => assert_eq!(declined.run, Run::Unknown),
-        Reply::Whole(reply) => assert_eq!(reply.answer.status(), 500),
+        Reply::Whole(reply) => assert_eq!(reply.response.status(), 500),
         Reply::Merged { .. } => panic!("not a gather"),
     }
 }
@@ -209,7 +209,7 @@
         (DeclineReason::Timeout, Run::Unknown)
     );
     assert!(start.elapsed() <= Duration::from_millis(701));
-    assert!(cluster.leafs.received_calls()[0].left <= Duration::from_millis(700));
+    assert!(cluster.leafs.received_calls()[0].timeout <= Duration::from_millis(700));
 }
 
 /// Guards against a retry storm: extra calls stay within a share of the first
@@ -282,7 +282,7 @@
     assert_eq!(declined.reason, DeclineReason::NoRule);
     sleep(Duration::from_millis(1)).await;
     assert!(
-        matches!(relay.forward(request("r", "/a/x")).await, Reply::Whole(r) if r.answer.body() == &record("archive"))
+        matches!(relay.forward(request("r", "/a/x")).await, Reply::Whole(r) if r.response.body() == &record("archive"))
     );
 }
 
--- a/crates/relay/tests/propagation.rs
+++ b/crates/relay/tests/propagation.rs
@@ -23,9 +23,9 @@
 #[test]
 fn entries_updated_together_ask_different_peers() {
     let mut propagation = BookPropagation::default();
-    assert!(report(&mut propagation, 1, 5, Distance::Near));
+    assert!(report(&mut propagation, 1, 5, Distance::Local));
     assert!(
-        !report(&mut propagation, 2, 5, Distance::Near),
+        !report(&mut propagation, 2, 5, Distance::Local),
         "already reported"
     );
     assert_eq!(propagation.next(0, NOW), NextRead::From(peer(1)));
@@ -37,13 +37,13 @@
 #[test]
 fn a_remote_peer_is_asked_if_no_local_one_reports_soon() {
     let mut propagation = BookPropagation::default();
-    report(&mut propagation, 8, 5, Distance::Far);
+    report(&mut propagation, 8, 5, Distance::Remote);
     let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
     };
     assert!(until.since(NOW) <= Duration::from_millis(200));
     assert_eq!(propagation.next(0, until), NextRead::From(peer(8)));
-    report(&mut propagation, 2, 5, Distance::Near);
+    report(&mut propagation, 2, 5, Distance::Local);
     assert_eq!(propagation.next(0, until), NextRead::From(peer(2)));
 }
 
@@ -52,8 +52,8 @@
 #[test]
 fn a_peer_that_failed_is_asked_last() {
     let mut propagation = BookPropagation::default();
-    report(&mut propagation, 1, 5, Distance::Near);
-    report(&mut propagation, 8, 5, Distance::Far);
+    report(&mut propagation, 1, 5, Distance::Local);
+    report(&mut propagation, 8, 5, Distance::Remote);
     propagation.failed(peer(1), NOW);
     let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
@@ -71,11 +71,11 @@
 #[test]
 fn a_slow_fetch_is_hedged_once() {
     let mut propagation = BookPropagation::default();
-    report(&mut propagation, 1, 5, Distance::Near);
+    report(&mut propagation, 1, 5, Distance::Local);
     propagation.read_started(peer(1), NOW);
     assert_eq!(propagation.next(0, NOW), NextRead::Nothing);
-    report(&mut propagation, 2, 5, Distance::Near);
-    report(&mut propagation, 3, 5, Distance::Near);
+    report(&mut propagation, 2, 5, Distance::Local);
+    report(&mut propagation, 3, 5, Distance::Local);
     let NextRead::WaitUntil(until) = propagation.next(0, NOW) else {
         panic!("asked at once");
     };
@@ -93,8 +93,8 @@
 #[test]
 fn versions_in_force_are_not_fetched() {
     let mut propagation = BookPropagation::default();
-    report(&mut propagation, 1, 5, Distance::Near);
-    report(&mut propagation, 2, 7, Distance::Near);
+    report(&mut propagation, 1, 5, Distance::Local);
+    report(&mut propagation, 2, 7, Distance::Local);
     let later = NOW + Duration::from_secs(3);
     assert_eq!(propagation.lag(later), Some(Duration::from_secs(3)));
     propagation.installed(BookVersion(5), later);
@@ -104,11 +104,11 @@
         Some(Duration::from_secs(3))
     );
     assert_eq!((propagation.lag(later), propagation.newest()), (None, None));
-    assert!(!report(&mut propagation, 1, 7, Distance::Near));
+    assert!(!report(&mut propagation, 1, 7, Distance::Local));
     assert_eq!(propagation.next(0, later), NextRead::Nothing);
     // One that has restarted lacks what it had reported.
-    report(&mut propagation, 1, 9, Distance::Near);
-    report(&mut propagation, 1, 0, Distance::Near);
+    report(&mut propagation, 1, 9, Distance::Local);
+    report(&mut propagation, 1, 0, Distance::Local);
     assert_eq!(
         (propagation.next(0, later), propagation.lag(later)),
         (NextRead::Nothing, None)
@@ -120,7 +120,7 @@
 fn state_of_peers_is_bounded() {
     let mut propagation = BookPropagation::default();
     for n in 0..=u8::MAX {
-        report(&mut propagation, n, 5, Distance::Far);
+        report(&mut propagation, n, 5, Distance::Remote);
     }
     let later = NOW + Duration::from_secs(1);
     let asked: std::collections::BTreeSet<String> = (0..1000)
--- a/crates/relay/tests/propagation_model.rs
+++ b/crates/relay/tests/propagation_model.rs
@@ -114,8 +114,8 @@
             Event::Reported(n, from) => {
                 let version = self.received[from].map_or(BookVersion(0), |_| NEW);
                 let distance = match n % self.domains == from % self.domains {
-                    true => Distance::Near,
-                    false => Distance::Far,
+                    true => Distance::Local,
+                    false => Distance::Remote,
                 };
                 self.propagations[n].reported(address(from), version, distance, now);
                 self.handle(Event::Decide(n), now);
--- a/crates/relay/tests/regressions.rs
+++ b/crates/relay/tests/regressions.rs
@@ -246,7 +246,7 @@
     sleep(Duration::from_secs(8)).await;
     let relays = || {
         let service = lock(&cluster.feeds.0).get(&peer_address(2)).cloned();
-        service.is_some_and(|service| service.pulse().is_ok())
+        service.is_some_and(|service| service.poll_revision().is_ok())
     };
     assert!(relays());
     cluster.store.isolate([2].into());
--- a/crates/relay/tests/upstream.rs
+++ b/crates/relay/tests/upstream.rs
@@ -262,7 +262,7 @@
 fn batch(revision: u64, items: &[(&str, Option<u32>)]) -> Batch<u32> {
     let item = |(name, value): &(&str, Option<u32>)| Item {
         name: (*name).to_owned(),
-        content: value.map_or(Content::Deleted, Content::Is),
+        content: value.map_or(Content::Deleted, Content::Value),
     };
     Batch {
         items: items.iter().map(item).collect(),
--- a/crates/relay/tests/world/leafs.rs
+++ b/crates/relay/tests/world/leafs.rs
@@ -53,9 +53,9 @@
     /// When it arrived.
     pub at: Instant,
     /// Time left for the answer.
-    pub left: Duration,
+    pub timeout: Duration,
     /// Connections that the entry may open to the leaf.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 #[derive(Default)]
@@ -187,11 +187,11 @@
 }
 
 fn leaf_reply(leaf: &LeafId, status: u16, body: Bytes) -> LeafReply {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status.try_into().unwrap();
+    let mut response = Response::new(body);
+    *response.status_mut() = status.try_into().unwrap();
     LeafReply {
-        answer,
-        proof: HeaderValue::from_str(leaf.as_str()).unwrap(),
+        response,
+        signature: HeaderValue::from_str(leaf.as_str()).unwrap(),
     }
 }
 
@@ -205,22 +205,22 @@
                     return Err(LeafFailure::Unsent);
                 }
                 let in_flight = state.in_flight.entry(call.leaf.clone()).or_default();
-                if *in_flight >= call.connections {
+                if *in_flight >= call.max_connections {
                     return Err(LeafFailure::Refused(Refusal::Connections));
                 }
                 *in_flight += 1;
                 state.received_calls.push(ReceivedCall {
                     leaf: call.leaf.clone(),
                     address: call.address,
-                    request: call.message.id.clone(),
-                    path: call.message.target.to_string(),
+                    request: call.request.id.clone(),
+                    path: call.request.path.to_string(),
                     at: Instant::now(),
-                    left: call.left,
-                    connections: call.connections,
+                    timeout: call.timeout,
+                    max_connections: call.max_connections,
                 });
                 let behaviour = state.behaviours.get(&call.leaf).cloned();
                 let slots = state.slots.get(&call.leaf).cloned();
-                let crashing = state.crashing_paths.contains(call.message.target.as_str());
+                let crashing = state.crashing_paths.contains(call.request.path.as_str());
                 (behaviour, slots, state.watch_crashes(&call.leaf), crashing)
             };
             if crashing {
@@ -279,7 +279,7 @@
         .boxed()
     }
 
-    fn listening(&self, leaf: &LeafId, _: SocketAddr) -> BoxFuture<'static, Listening> {
+    fn check_listening(&self, leaf: &LeafId, _: SocketAddr) -> BoxFuture<'static, Listening> {
         let down = lock(&self.0).is_down(leaf);
         async move {
             match down {
@@ -290,5 +290,5 @@
         .boxed()
     }
 
-    fn forget(&self, _: &LeafId) {}
+    fn remove(&self, _: &LeafId) {}
 }
--- a/crates/relay/tests/world/mod.rs
+++ b/crates/relay/tests/world/mod.rs
@@ -19,7 +19,7 @@
     BookVersion, CallerLimits, ColdRule, Kind, RouteBook, Rule, ServiceRule, Target,
 };
 use chestnut_flow::{Runtime, TraceLevel, lock};
-use chestnut_port::{Clock, Message};
+use chestnut_port::{Clock, ForwardedRequest};
 use chestnut_relay::{
     LeafRegistration, LeafState, PeerFeeds, Phase, Relay, RelayPorts, RelayRequest, RelaySettings,
     Reply,
@@ -215,10 +215,10 @@
 
 /// Returns a request for `path` with two seconds left.
 pub fn request(id: &str, path: &'static str) -> RelayRequest {
-    let message = Message {
+    let message = ForwardedRequest {
         id: id.to_owned(),
         method: Method::GET,
-        target: PathAndQuery::from_static(path),
+        path: PathAndQuery::from_static(path),
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
--- a/crates/relay/tests/world/net.rs
+++ b/crates/relay/tests/world/net.rs
@@ -11,8 +11,8 @@
 use chestnut_fleet::Message;
 use chestnut_flow::lock;
 use chestnut_port::{
-    Batch, Content, Feed, FeedError, FeedService, Freshness, Item, PeerPulse, Probes, RawBatch,
-    RawBook,
+    Batch, Content, EncodedBatch, EncodedDelta, Feed, FeedError, FeedService, Freshness, Heartbeat,
+    Item, ProbeTransport,
 };
 use chestnut_relay::PeerFeeds;
 use chestnut_unit::DomainName;
@@ -39,7 +39,7 @@
 /// Entries that can neither send nor receive probes.
 type Isolated = Arc<Mutex<BTreeSet<SocketAddr>>>;
 
-/// The [`Probes`] port of one entry.
+/// The [`ProbeTransport`] port of one entry.
 pub struct FakeProbes {
     net: FakeNet,
     own: SocketAddr,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Probes for FakeProbes {
+impl ProbeTransport for FakeProbes {
     fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         let isolated = {
             let isolated = lock(&self.net.1);
@@ -203,9 +203,9 @@
 pub const ANSWER_OVERHEAD: usize = 64;
 
 /// Returns the size of an answer in bytes.
-fn encoded_size(raw: &RawBatch) -> usize {
+fn encoded_size(raw: &EncodedBatch) -> usize {
     let size = |item: &Item<bytes::Bytes>| match &item.content {
-        Content::Is(value) => value.len(),
+        Content::Value(value) => value.len(),
         Content::Deleted | Content::Malformed => 0,
     };
     ANSWER_OVERHEAD + raw.items.iter().map(size).sum::<usize>()
@@ -242,19 +242,23 @@
 }
 
 impl PeerFeeds for FakeFeeds {
-    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>> {
+    fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<Heartbeat, FeedError>> {
         async move {
             let service = self.service(to).await?;
-            let (store, book) = (service.pulse(), service.version());
+            let (store, book) = (service.poll_revision(), service.version());
             self.transfer(to, ANSWER_OVERHEAD).await?;
-            Ok(PeerPulse { store, book })
+            Ok(Heartbeat { store, book })
         }
         .boxed()
     }
 
-    fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>> {
+    fn book(
+        &self,
+        to: SocketAddr,
+        have: BookVersion,
+    ) -> BoxFuture<'_, Result<EncodedDelta, FeedError>> {
         async move {
-            let raw = self.service(to).await?.book(have)?;
+            let raw = self.service(to).await?.book_delta(have)?;
             self.transfer(to, ANSWER_OVERHEAD + raw.delta.len()).await?;
             Ok(raw)
         }
@@ -304,7 +308,7 @@
         self.0.service(self.1).await
     }
 
-    async fn transfer(&self, raw: &RawBatch) -> Result<(), FeedError> {
+    async fn transfer(&self, raw: &EncodedBatch) -> Result<(), FeedError> {
         self.0.transfer(self.1, encoded_size(raw)).await
     }
 }
@@ -323,15 +327,15 @@
     }
 }
 
-/// Maps errors as the adapter does: those without a code on the wire become `Lost`.
+/// Maps errors as the adapter does: those without a code on the wire become `StoreLost`.
 fn adapter_error(error: FeedError) -> FeedError {
     match error {
-        FeedError::HistoryGone | FeedError::Elsewhere(_) => error,
-        _ => FeedError::Lost,
+        FeedError::HistoryGone | FeedError::Redirect(_) => error,
+        _ => FeedError::StoreLost,
     }
 }
 
-fn parse<T: DeserializeOwned>(raw: RawBatch) -> Batch<T> {
+fn parse<T: DeserializeOwned>(raw: EncodedBatch) -> Batch<T> {
     let items = raw.items.into_iter().map(|item| Item {
         name: item.name,
         content: item
@@ -347,16 +351,16 @@
 impl<T: DeserializeOwned + Send + Sync> Feed<T> for FakePeerFeed {
     fn list(&self, _: Freshness) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         async move {
-            let raw = self.service().await?.all(self.2).map_err(adapter_error)?;
+            let raw = self.service().await?.list(self.2).map_err(adapter_error)?;
             self.transfer(&raw).await?;
             Ok(parse(raw))
         }
         .boxed()
     }
 
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
         async move {
-            let revision = self.service().await?.pulse()?;
+            let revision = self.service().await?.poll_revision()?;
             let items = Vec::new();
             self.transfer(&Batch { items, revision }).await?;
             Ok(revision)
@@ -368,7 +372,7 @@
         async move {
             let service = self.service().await?;
             let raw = tokio::select! {
-                raw = service.follow(self.2.to_owned(), after, wait) => raw.map_err(adapter_error)?,
+                raw = service.watch(self.2.to_owned(), after, wait) => raw.map_err(adapter_error)?,
                 () = self.replaced(&service) => {
                     return Err(FeedError::Unavailable("reset".to_owned()));
                 }
@@ -383,7 +387,7 @@
         .boxed()
     }
 
-    fn check(&self, after: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
+    fn poll(&self, after: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         async move {
             let watch = self.watch(after, Duration::from_millis(1));
             let answer = timeout(IDLE_TIMEOUT, watch).await;
--- a/crates/relay/tests/world/store.rs
+++ b/crates/relay/tests/world/store.rs
@@ -157,7 +157,7 @@
     /// Transfers the objects of an answer over the caller's link.
     async fn transfer<T: Serialize>(&self, batch: Batch<T>) -> Batch<T> {
         let size = |item: &Item<T>| match &item.content {
-            Content::Is(value) => serde_json::to_vec(value).unwrap().len(),
+            Content::Value(value) => serde_json::to_vec(value).unwrap().len(),
             Content::Deleted | Content::Malformed => 0,
         };
         let bytes = ANSWER_OVERHEAD + batch.items.iter().map(size).sum::<usize>();
@@ -283,7 +283,7 @@
                 let stored = lock(&self.stored);
                 let item = |(_, book): &(u64, RouteBook)| Item {
                     name: "main".to_owned(),
-                    content: Content::Is(book.clone()),
+                    content: Content::Value(book.clone()),
                 };
                 Batch {
                     items: stored.book.iter().map(item).collect(),
@@ -295,7 +295,7 @@
         .boxed()
     }
 
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
         async move {
             self.check().await?;
             Ok(lock(&self.stored).revision)
@@ -315,7 +315,7 @@
                 (*revision > after).then(|| Batch {
                     items: vec![Item {
                         name: "main".to_owned(),
-                        content: Content::Is(book.clone()),
+                        content: Content::Value(book.clone()),
                     }],
                     revision: stored.revision,
                 })
@@ -326,7 +326,7 @@
         .boxed()
     }
 
-    fn check(&self, after: u64) -> BoxFuture<'_, Result<Batch<RouteBook>, FeedError>> {
+    fn poll(&self, after: u64) -> BoxFuture<'_, Result<Batch<RouteBook>, FeedError>> {
         async move {
             let watch = Feed::<RouteBook>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
@@ -350,7 +350,7 @@
 fn leaf_item(id: &LeafId, entry: &LeafRegistration) -> Item<LeafItem> {
     Item {
         name: id.to_string(),
-        content: Content::Is((id.clone(), entry.clone())),
+        content: Content::Value((id.clone(), entry.clone())),
     }
 }
 
@@ -377,8 +377,8 @@
         .boxed()
     }
 
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
-        Feed::<RouteBook>::pulse(self)
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
+        Feed::<RouteBook>::poll_revision(self)
     }
 
     fn watch(
@@ -408,7 +408,7 @@
         .boxed()
     }
 
-    fn check(&self, after: u64) -> BoxFuture<'_, Result<Batch<LeafItem>, FeedError>> {
+    fn poll(&self, after: u64) -> BoxFuture<'_, Result<Batch<LeafItem>, FeedError>> {
         async move {
             let watch = Feed::<LeafItem>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
@@ -422,7 +422,7 @@
     Item {
         name: domain.to_string(),
         content: match evacuated {
-            true => Content::Is(domain.clone()),
+            true => Content::Value(domain.clone()),
             false => Content::Deleted,
         },
     }
@@ -447,8 +447,8 @@
         .boxed()
     }
 
-    fn pulse(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
-        Feed::<RouteBook>::pulse(self)
+    fn poll_revision(&self) -> BoxFuture<'_, Result<u64, FeedError>> {
+        Feed::<RouteBook>::poll_revision(self)
     }
 
     fn watch(
@@ -473,7 +473,7 @@
         .boxed()
     }
 
-    fn check(&self, after: u64) -> BoxFuture<'_, Result<Batch<DomainName>, FeedError>> {
+    fn poll(&self, after: u64) -> BoxFuture<'_, Result<Batch<DomainName>, FeedError>> {
         async move {
             let watch = Feed::<DomainName>::watch(self, after, Duration::from_millis(1));
             let answer = timeout(CHECK_WAIT, watch).await;
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -166,7 +166,7 @@
         .boxed()
     }
 
-    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, most: usize) {
+    fn set_leafs(&self, leafs: Vec<(LeafId, SocketAddr)>, most: usize) {
         let now: BTreeSet<LeafId> = leafs.into_iter().map(|(id, _)| id).collect();
         let before = std::mem::replace(&mut *lock(&self.held), now.clone());
         let mut all = lock(&self.leafs);
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -13,7 +13,8 @@
 use chestnut_fleet::{Member, Message};
 use chestnut_once::HandedTicket;
 use chestnut_port::{
-    Dispatch, PeerError, PeerService, Peers, Probes, SubAnswer, SubQuery, Submission, SubmitReply,
+    Dispatch, PeerError, PeerService, Peers, ProbeTransport, SubAnswer, SubQuery, Submission,
+    SubmitReply,
 };
 use chestnut_route::Failure;
 pub(crate) use chestnut_unit::lock;
@@ -185,27 +186,31 @@
         .boxed()
     }
 
-    fn leaving(&self, to: SocketAddr, leafs: Vec<LeafId>) -> BoxFuture<'_, Result<(), PeerError>> {
+    fn report_leaving(
+        &self,
+        to: SocketAddr,
+        leafs: Vec<LeafId>,
+    ) -> BoxFuture<'_, Result<(), PeerError>> {
         self.call(to, CONTROL_WAIT, async move |p: Process| {
-            p.service.leaving(leafs);
+            p.service.report_leaving(leafs);
         })
         .boxed()
     }
 
-    fn records(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
+    fn copy_refusals(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
         self.call(to, CONTROL_WAIT, async move |p: Process| {
-            p.service.records(&batch);
+            p.service.copy_refusals(&batch);
         })
         .boxed()
     }
 
-    fn adopt(
+    fn take_tickets(
         &self,
         to: SocketAddr,
         tickets: Vec<HandedTicket>,
     ) -> BoxFuture<'_, Result<Incarnation, PeerError>> {
         self.call(to, CONTROL_WAIT, async move |p: Process| {
-            p.service.adopt(tickets)
+            p.service.take_tickets(tickets)
         })
         .boxed()
     }
@@ -220,7 +225,7 @@
     pub(crate) inbox: tokio::sync::Mutex<mpsc::Receiver<(Message, SocketAddr)>>,
 }
 
-impl Probes for FakeProbes {
+impl ProbeTransport for FakeProbes {
     fn send(&self, to: SocketAddr, message: Message) -> BoxFuture<'_, ()> {
         async move {
             self.life.gate().await;
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -37,7 +37,7 @@
         async move { submit::dispatch_local(&shared, request).await }.boxed()
     }
 
-    fn leaving(&self, ids: Vec<LeafId>) {
+    fn report_leaving(&self, ids: Vec<LeafId>) {
         leafs::record_leaving(&self.0, &ids, "a peer's word");
     }
 
@@ -53,14 +53,14 @@
         propagation::apply_and_forward(&self.0, objects, "a peer");
     }
 
-    fn records(&self, batch: &[u8]) {
+    fn copy_refusals(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
             Ok(batch) => lock(&self.0.replica_batches).add(batch),
             Err(_) => slog::warn!(self.0.runtime.log, "refuse: invalid records from a peer"),
         }
     }
 
-    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation {
+    fn take_tickets(&self, tickets: Vec<HandedTicket>) -> Incarnation {
         info!(
             self.0.runtime.log,
             "keep: took over {} tickets",
--- a/crates/tier/src/place.rs
+++ b/crates/tier/src/place.rs
@@ -57,12 +57,12 @@
             now_held.len()
         );
         let list: Vec<_> = now_held.iter().cloned().collect();
-        shared.targets.hold(list.clone(), 1);
+        shared.targets.set_leafs(list.clone(), 1);
         held = now_held;
         let (shared, pool) = (shared.clone(), shared.settings.route.pool);
         tokio::spawn(async move {
             sleep(HANDOVER_DELAY).await;
-            shared.targets.hold(list, pool);
+            shared.targets.set_leafs(list, pool);
         });
     }
 }
--- a/crates/tier/src/ports.rs
+++ b/crates/tier/src/ports.rs
@@ -4,8 +4,8 @@
 
 use chestnut_conf::Settings;
 use chestnut_port::{
-    Clock, HttpPlatform, HttpTargets, PeerNet, PeerService, Peers, Platform, ProbeSocket, Probes,
-    Targets, TargetsConfig,
+    Clock, HttpPlatform, HttpTargets, PeerRpc, PeerService, Peers, Platform, ProbeSocket,
+    ProbeTransport, Targets, TargetsConfig,
 };
 use futures::{FutureExt, future::BoxFuture};
 
@@ -20,7 +20,7 @@
     /// Stored configuration, the list of VMs and refusal records.
     pub platform: Arc<dyn Platform>,
     /// Datagrams of the failure detector between entries.
-    pub probes: Arc<dyn Probes>,
+    pub probes: Arc<dyn ProbeTransport>,
     /// Binder of the port for calls between entries.
     pub peers: PeerBinder,
     /// Source of time for all ports.
@@ -36,14 +36,14 @@
     pub async fn open(settings: &Settings) -> io::Result<Self> {
         let clock = Clock::start();
         let config = TargetsConfig {
-            answer: settings.limits.answer.0 as usize,
+            max_answer: settings.limits.answer.0 as usize,
             ..TargetsConfig::default()
         };
         let address = settings.listen.peers;
         let probes = ProbeSocket::bind(address, Arc::default()).await?;
         let binder: PeerBinder = Box::new(move |service| {
             async move {
-                let net = PeerNet::bind(address, service).await?;
+                let net = PeerRpc::bind(address, service).await?;
                 Ok(Arc::new(net) as Arc<dyn Peers>)
             }
             .boxed()
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -54,7 +54,10 @@
         return;
     };
     let copy = serde_json::to_vec(&batch).expect("records are plain JSON");
-    let copied = shared.peers().records(address, Bytes::from(copy)).await;
+    let copied = shared
+        .peers()
+        .copy_refusals(address, Bytes::from(copy))
+        .await;
     if copied.is_ok() {
         info!(
             shared.runtime.log,
--- a/crates/tier/src/shared.rs
+++ b/crates/tier/src/shared.rs
@@ -14,7 +14,7 @@
 pub(crate) use chestnut_flow::lock;
 use chestnut_flow::{Runtime, TraceLevel};
 use chestnut_once::{RegistryConfig, TicketRegistry};
-use chestnut_port::{Clock, Peers, Platform, Probes, SubmitReply, Targets};
+use chestnut_port::{Clock, Peers, Platform, ProbeTransport, SubmitReply, Targets};
 use chestnut_route::OrgLimiters;
 use chestnut_unit::{DomainName, LeafId, MemberId, OrgName, RequestId, ServiceName, Time};
 use rand::Rng;
@@ -114,7 +114,7 @@
     pub(crate) runtime: Runtime,
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
-    pub(crate) probes: Arc<dyn Probes>,
+    pub(crate) probes: Arc<dyn ProbeTransport>,
     pub(crate) peers: OnceLock<Arc<dyn Peers>>,
     /// This entry as a member.
     pub(crate) own: Member,
@@ -151,7 +151,7 @@
 pub(crate) struct SharedPorts {
     pub(crate) targets: Arc<dyn Targets>,
     pub(crate) platform: Arc<dyn Platform>,
-    pub(crate) probes: Arc<dyn Probes>,
+    pub(crate) probes: Arc<dyn ProbeTransport>,
     pub(crate) clock: Clock,
 }
 
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -92,7 +92,7 @@
     for (_, address) in shared.random_peers(LEAVING_FANOUT) {
         let (shared, leaving) = (shared.clone(), leaving.clone());
         tokio::spawn(async move {
-            let _ = shared.peers().leaving(address, leaving).await;
+            let _ = shared.peers().report_leaving(address, leaving).await;
         });
     }
 }
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -79,7 +79,7 @@
         deadline: request.deadline.unwrap_or(DEFAULT_DEADLINE),
     };
     let cause = match send_to_keeper(shared, submission).await {
-        SubmitReply::Done(answer) => {
+        SubmitReply::Ran(answer) => {
             return Ok(SubmitOutcome {
                 request_id: subject.request,
                 answer,
@@ -169,7 +169,7 @@
 /// Converts an outcome to the reply for the caller.
 fn reply_of(outcome: Outcome) -> SubmitReply {
     match outcome {
-        Outcome::Done(answer) => SubmitReply::Done(Bytes::from(answer)),
+        Outcome::Done(answer) => SubmitReply::Ran(Bytes::from(answer)),
         Outcome::NotRun(reason) => SubmitReply::NotRun(reason),
         Outcome::Unknown => SubmitReply::Unknown(Reason::FateUnknown),
     }
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -328,7 +328,7 @@
     };
     let tickets = lock(&shared.tickets).hand_over();
     let count = tickets.len();
-    let Ok(incarnation) = shared.peers().adopt(address, tickets).await else {
+    let Ok(incarnation) = shared.peers().take_tickets(address, tickets).await else {
         return false;
     };
     info!(
--- a/crates/tier/src/web.rs
+++ b/crates/tier/src/web.rs
@@ -84,11 +84,11 @@
     let read = timeout(limits.request_timeout, port_body(&mut body, limits.body)).await;
     match read {
         Err(_) => Err(BodyError::Slow),
-        Ok(Err(chestnut_port::BodyError::Large)) => {
+        Ok(Err(chestnut_port::BodyError::TooLarge)) => {
             let _ = timeout(limits.request_timeout, discard(&mut body)).await;
             Err(BodyError::Large)
         }
-        Ok(Err(chestnut_port::BodyError::Broken)) => Err(BodyError::Broken),
+        Ok(Err(chestnut_port::BodyError::Incomplete)) => Err(BodyError::Broken),
         Ok(Ok(body)) => Ok(body),
     }
 }
