--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -194,7 +194,7 @@
         .boxed()
     }
 
-    fn hold(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
+    fn set_leafs(&self, leafs: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
         let now: BTreeSet<LeafId> = leafs.into_iter().map(|(id, _)| id).collect();
         let before = std::mem::replace(&mut *lock(&self.connected), now.clone());
         let mut all = lock(&self.leafs);
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -43,7 +43,7 @@
 
     /// Marks leafs that the peer knows to be leaving, so that they get no new
     /// work.
-    fn leaving(&self, ids: Vec<LeafId>) {
+    fn report_leaving(&self, ids: Vec<LeafId>) {
         leafs::record_leaving(&self.0, &ids, "a peer's word");
     }
 
@@ -66,7 +66,7 @@
     /// Keeps a copy of a batch of the peer's refusal records, to be written to
     /// the platform in case the peer crashes. An invalid batch is logged and
     /// dropped.
-    fn records(&self, batch: &[u8]) {
+    fn copy_refusals(&self, batch: &[u8]) {
         match serde_json::from_slice(batch) {
             Ok(batch) => lock(&self.0.replica_batches).add(batch),
             Err(_) => slog::warn!(self.0.runtime.log, "refuse: invalid records from a peer"),
@@ -75,7 +75,7 @@
 
     /// Takes over the tickets of a leaving peer; returns the incarnation of
     /// this entry, which keeps them from now on.
-    fn adopt(&self, tickets: Vec<HandedTicket>) -> Incarnation {
+    fn take_tickets(&self, tickets: Vec<HandedTicket>) -> Incarnation {
         info!(
             self.0.runtime.log,
             "keep: took over {} tickets",
