--- a/crates/relay/src/adverts.rs
+++ b/crates/relay/src/adverts.rs
@@ -15,7 +15,8 @@
     shared::Shared,
 };
 
-/// The address record that an entry publishes in the store for other entries.
+/// The record that an entry publishes in the store for other entries: its member name,
+/// failure domain and addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advert {
     /// The entry's member name.
@@ -38,18 +39,21 @@
     fn remove(&self, member: MemberId) -> BoxFuture<'_, Result<(), FeedError>>;
 }
 
-/// Wait for the seeds to answer join requests.
+/// Time that the seeds have to answer join requests before adverts are read.
 const SEED_WAIT: Duration = Duration::from_millis(100);
-/// Retry interval while this entry knows no other, or its advert is not written.
+/// Interval between rounds of discovery while this entry knows no other, or watches the
+/// store and its advert is not written.
 const RETRY_INTERVAL: Duration = Duration::from_millis(700);
-/// Interval between reads of all adverts. Gossip propagates membership; adverts only
+/// Interval between rounds of discovery otherwise. Gossip propagates membership; adverts only
 /// rejoin partitioned groups, so a stale read, which is cheap for the store, is enough.
 const READ_INTERVAL: Duration = Duration::from_secs(20);
 /// Discovers other members for as long as the entry runs, including those that gossip
 /// lost.
 ///
-/// Seeds are asked first, which needs no call to the store. Entries that watch the
-/// store publish adverts there, for entries that can reach no seed and know no member.
+/// It starts once the entry serves. Each round asks the seeds to join, which needs no call to
+/// the store; the adverts are read by entries that watch the store or know no other. Entries
+/// that watch the store publish adverts there, for entries that can reach no seed and know
+/// no member, and remove those of members that are gone.
 pub(crate) async fn discover(
     shared: Arc<Shared>,
     members: Arc<Members>,
@@ -99,7 +103,7 @@
     }
 }
 
-/// Writes this entry's advert; returns whether that succeeded.
+/// Writes this entry's advert; returns whether that succeeded. A failure is logged.
 async fn publish(shared: &Shared, own: &Advert, adverts: &dyn Adverts) -> bool {
     shared.metrics.count_store_call("publish");
     match adverts.publish(own.clone()).await {
@@ -111,7 +115,8 @@
     }
 }
 
-/// Removes the adverts of members that have left.
+/// Removes the adverts in `list` of members that are gone, if this entry is the one to do so
+/// ([`Members::gone_members`]). Stops at the first failure.
 async fn remove_gone(shared: &Shared, members: &Members, list: &[Advert], adverts: &dyn Adverts) {
     let gone = members.gone_members(shared, list);
     for member in gone {
--- a/crates/relay/src/apply.rs
+++ b/crates/relay/src/apply.rs
@@ -17,8 +17,8 @@
     upstream::Upstream,
 };
 
-/// Applies an answer of the feed of leafs to the relay state, and to the cache that peers
-/// read from.
+/// Applies an answer of the feed of leafs, a full list if `whole` and changes otherwise, to
+/// the relay state, and to the cache that peers read from. May let the entry serve.
 pub(crate) fn update_leafs(shared: &Shared, batch: Batch<(LeafId, LeafRegistration)>, whole: bool) {
     let colder = leafs_cold_longer(shared, &batch);
     let mut cache = lock(&shared.feed_copies.leafs);
@@ -34,7 +34,8 @@
     apply_leafs(shared, batch, whole);
 }
 
-/// Returns the leafs of a batch that stay cold for longer than was known. A leaf that
+/// Returns the leafs of a batch whose registration keeps them cold for longer than was known,
+/// by more than the jitter of heartbeats. A leaf that
 /// becomes cold again before it has reported a shorter warm-up writes the same entry as
 /// before.
 fn leafs_cold_longer(
@@ -56,6 +57,8 @@
     longer.map(|(id, _)| id.clone()).collect()
 }
 
+/// Applies an answer to the known leafs and the routing table, logs the changes, updates the
+/// metric of leafs, and lets the entry serve if it can.
 fn apply_leafs(shared: &Shared, batch: Batch<(LeafId, LeafRegistration)>, whole: bool) {
     let now = shared.now();
     let mut changes = Vec::new();
@@ -83,6 +86,8 @@
     serve_if_ready(shared);
 }
 
+/// Applies a full list of leafs and appends the changes. Unreadable leafs are removed at once;
+/// those that the list lacks go missing, or are removed if they were draining.
 fn apply_leaf_list(
     leafs: &mut Leafs,
     items: Vec<Item<(LeafId, LeafRegistration)>>,
@@ -99,6 +104,7 @@
     leafs.listed(list, now, changes);
 }
 
+/// Applies one changed, deleted or unreadable registration and appends the changes.
 fn apply_leaf(
     leafs: &mut Leafs,
     item: Item<(LeafId, LeafRegistration)>,
@@ -114,7 +120,8 @@
     }
 }
 
-/// Removes leafs that stay missing past their time limit.
+/// Removes leafs that stay missing past their time limit, and closes those that have drained
+/// for too long, for as long as the entry runs; neither while the store is lost.
 pub(crate) async fn expire_leafs(shared: &Shared) {
     /// Interval between checks while no leaf is missing, or the store is lost.
     const CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -143,7 +150,8 @@
     }
 }
 
-/// Logs changes of leafs, and drops what was kept of calls to leafs that are gone or restarted.
+/// Logs changes of leafs up to the store's `revision`, 0 if they came from a timeout, and
+/// has the call port drop what it keeps of leafs that were removed or restarted.
 fn report_leaf_changes(shared: &Shared, changes: &[LeafChange], revision: u64) {
     for change in changes {
         let (event, id) = match change {
@@ -168,8 +176,9 @@
     }
 }
 
-/// Applies an answer of the feed of evacuations to the relay state, and to the cache that
-/// peers read from.
+/// Applies an answer of the feed of evacuations, a full list if `whole` and changes otherwise,
+/// to the relay state, and to the cache that peers read from. Has the call port drop what it
+/// keeps of newly evacuated leafs. May let the entry serve.
 pub(crate) fn update_evacuations(shared: &Shared, batch: Batch<DomainName>, whole: bool) {
     {
         let mut cache = lock(&shared.feed_copies.evacuations);
@@ -203,7 +212,8 @@
     serve_if_ready(shared);
 }
 
-/// Logs failure domains that were evacuated or returned to service.
+/// Logs failure domains that were evacuated or returned to service at the store's `revision`;
+/// warns if no leaf is known in one.
 fn report_evacuations(shared: &Shared, changes: &[EvacuationChange], revision: u64) {
     for change in changes {
         let (event, domain) = match change {
@@ -221,7 +231,8 @@
     }
 }
 
-/// Applies route books from the store.
+/// Puts route books from the store in force if they are newer, and lets the entry serve if it
+/// can. A deleted or unreadable book is logged and leaves the last one in force.
 pub(crate) fn apply_books(shared: &Shared, batch: Batch<RouteBook>) {
     for item in batch.items {
         let book = match item.content {
@@ -239,7 +250,7 @@
     serve_if_ready(shared);
 }
 
-/// Whether an entry has the state that it needs to serve.
+/// Whether an entry has what it needs to serve: incomplete, without evacuations, or ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
     /// It has no route book or no leafs.
@@ -250,7 +261,7 @@
     Ready,
 }
 
-/// Returns whether the entry has the state that it needs to serve.
+/// Returns whether the entry has the book, the leafs and the evacuations, as it needs to serve.
 pub(crate) fn readiness(shared: &Shared) -> Readiness {
     let state = lock(&shared.cell.state);
     let relay_state = &state.extra;
@@ -261,8 +272,8 @@
     }
 }
 
-/// Lets the entry serve once it has the route book, the leafs and the evacuated failure
-/// domains.
+/// Moves the entry from starting to serving, and logs that, if it has the route book, the
+/// leafs and the evacuated failure domains; otherwise does nothing.
 pub(crate) fn serve_if_ready(shared: &Shared) {
     let serves = readiness(shared) == Readiness::Ready
         && shared.phase.send_if_modified(|phase| {
--- a/crates/relay/src/book_fetch.rs
+++ b/crates/relay/src/book_fetch.rs
@@ -13,8 +13,10 @@
 
 use crate::{NextRead, Upstream, apply::serve_if_ready, feeds::Feeds, shared::Shared};
 
-/// Fetches newer route books from peers for as long as the entry runs. A fetch goes on
-/// when the upstream changes.
+/// Fetches newer route books, from the peers that [`BookPropagation`] names, for as long as
+/// the entry runs. A fetch goes on when the upstream changes.
+///
+/// [`BookPropagation`]: crate::BookPropagation
 pub(crate) async fn run(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let mut fetches = FuturesUnordered::new();
     loop {
@@ -37,12 +39,14 @@
     }
 }
 
-/// Fetches the book of `peer`, and returns the peer.
+/// Fetches the book of `peer`, and returns the peer in any case, to end its read.
 async fn fetch(shared: &Shared, feeds: &Feeds, peer: SocketAddr) -> SocketAddr {
     fetch_book(shared, feeds, peer).await;
     peer
 }
 
+/// Fetches the delta from the own book to that of `peer`, and puts the result in force. An
+/// empty delta clears the peer's report of a newer version; a failure starts its backoff.
 async fn fetch_book(shared: &Shared, feeds: &Feeds, peer: SocketAddr) {
     let current = lock(&shared.cell.state).extra.book.clone();
     let have = current.as_ref().map_or(BookVersion(0), |book| book.version);
@@ -73,7 +77,8 @@
 }
 
 /// Applies the delta of an answer to the current book. Returns how many rules it adds,
-/// replaces or removes, and the new book.
+/// replaces or removes, and the new book. Fails if the delta can't be unpacked or doesn't
+/// apply to `current`.
 fn apply_delta(raw: &RawBook, current: Option<&RouteBook>) -> Result<(usize, RouteBook), String> {
     let delta: BookDelta = unpack(&raw.delta).map_err(|error| error.to_string())?;
     let rules = delta.changed_rules();
@@ -81,6 +86,7 @@
     Ok((rules, book))
 }
 
+/// Counts and logs a failed fetch that took `ms` milliseconds, and starts the peer's backoff.
 fn record_failure(shared: &Shared, peer: SocketAddr, why: &str, ms: u64) {
     shared.metrics.count_feed_read("failed");
     info!(shared.runtime.log, "watch: a peer did not pass on its book"; "peer" => %peer,
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -9,14 +9,16 @@
 /// Upper limit of the estimated network delay to the caller and back, and the default
 /// before there are samples: lookup, connection and request, with timer delay.
 const MAX_NETWORK_DELAY: Duration = Duration::from_millis(26);
-/// Timer delay, here and at the caller.
+/// Timer delay, here and at the caller, that is added to the network delay estimated from
+/// samples.
 const TIMER_DELAY: Duration = Duration::from_millis(3);
 /// Quantile of the overruns that is reserved for completing an answer.
 const OVERRUN_QUANTILE: f64 = 0.75;
-/// Longer overruns are ignored: an answer below its minimum coverage at the objective
-/// is sent only once it reaches it.
+/// Longest overrun that is recorded. An answer below its minimum coverage at the objective
+/// is sent only once it reaches it, so longer ones say nothing about completing an answer.
 const MAX_OVERRUN: Duration = Duration::from_millis(20);
-/// Samples that an estimate needs before it replaces its default.
+/// Samples that the estimate of the network delay or of the overrun needs before it replaces
+/// its default.
 const MIN_SAMPLES: u64 = 8;
 /// Quantile of the elapsed times that estimates the network delay to a caller and back.
 /// It is low because callers that retry after a failure have spent much longer.
@@ -26,16 +28,20 @@
 /// are assumed to start with the full timeout.
 const TIMEOUT_TOLERANCE: Duration = MAX_NETWORK_DELAY;
 
-/// Interval at which the maximum rotates; each value is kept for at least this long.
+/// Interval at which [`MaxRemaining`] rotates; each value is kept for at least this long.
 const ROTATION_INTERVAL: Duration = Duration::from_secs(15);
 
 /// The greatest remaining time that callers of one rule sent recently.
 ///
-/// It is the maximum over the current and the previous rotation interval.
+/// It is the maximum over the current and the previous rotation interval. An interval ends
+/// with the first request after [`ROTATION_INTERVAL`], so it may last longer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MaxRemaining {
+    /// Maximum of the previous rotation interval.
     previous: Duration,
+    /// Maximum of the current rotation interval so far.
     current: Duration,
+    /// Start of the current rotation interval.
     rotated: Time,
 }
 
@@ -62,16 +68,18 @@
     }
 }
 
-/// Estimates of the time to subtract from a latency objective, which counts from the
-/// caller's own start.
+/// Quantile estimates of the time to subtract from a latency objective, which counts from
+/// the caller's own start: of the time elapsed before a request arrives, and of the overrun
+/// of answers after their cut-off.
 ///
 /// The estimates are learned: a fixed allowance for connecting would be too large for
 /// callers that keep their connections, and drop shards that would answer in time.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerDelays {
-    /// Time that callers had spent before they arrived, without zeros.
+    /// Time that callers had spent before their request arrived, without zeros; the basis of
+    /// the network delay.
     elapsed: Quantiles,
-    /// Delay from the time at which an answer was due to when it was sent.
+    /// Delay from the time at which a cut-off answer was due to when it was sent.
     overrun: Quantiles,
 }
 
@@ -87,7 +95,8 @@
 impl CallerDelays {
     /// Records a caller of a rule with `timeout` that sent the time `remaining`, and
     /// returns the time to subtract from its objective: the time it has spent, the network
-    /// delay and the overrun.
+    /// delay and the overrun. Updates `max`, the maximum of the rule. A caller that sent no
+    /// remaining time counts as one that has spent none.
     pub(crate) fn overhead(
         &mut self,
         max: &mut MaxRemaining,
@@ -102,14 +111,16 @@
         elapsed + self.network_delay(elapsed) + self.overrun()
     }
 
-    /// Records that an answer cut off at its objective was sent `late` after it.
+    /// Records that an answer cut off to meet the objective was sent `late` after it was due;
+    /// ignored above [`MAX_OVERRUN`].
     pub(crate) fn record_overrun(&mut self, late: Duration) {
         if late <= MAX_OVERRUN {
             self.overrun.record(late);
         }
     }
 
-    /// Returns the expected time to complete an answer after its cut-off.
+    /// Returns the expected time to complete an answer after its cut-off; zero before there
+    /// are enough samples.
     pub(crate) fn overrun(&self) -> Duration {
         match self.overrun.count() < MIN_SAMPLES {
             true => Duration::ZERO,
@@ -117,13 +128,15 @@
         }
     }
 
-    /// Returns the number of samples of the network delay.
+    /// Returns the number of samples of elapsed time, from which the network delay is
+    /// estimated.
     pub(crate) fn samples(&self) -> u64 {
         self.elapsed.count()
     }
 
-    /// Returns the network delay to a caller that has spent `elapsed`, and back. Before there
-    /// are enough samples it is the maximum less `elapsed`, and at least half of the maximum.
+    /// Returns the network delay to a caller that has spent `elapsed`, and back, at most
+    /// [`MAX_NETWORK_DELAY`]. Before there are enough samples it is that maximum less
+    /// `elapsed`, and at least half of the maximum; after that `elapsed` doesn't matter.
     pub(crate) fn network_delay(&self, elapsed: Duration) -> Duration {
         if self.elapsed.count() < MIN_SAMPLES {
             return MAX_NETWORK_DELAY
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -31,7 +31,8 @@
     /// Reads all leases, never from a stale copy.
     fn list(&self) -> BoxFuture<'_, Result<Vec<LeaseRecord>, FeedError>>;
 
-    /// Writes a lease if it is at the revision `expected`, or absent if that is none.
+    /// Writes `owner` (none to release) to the lease `id` if it is at the revision `expected`,
+    /// or absent if that is none.
     ///
     /// Each write that takes effect raises the revision, even if the content is unchanged.
     /// After an error the write may still have taken effect, or take effect later.
@@ -43,7 +44,8 @@
     ) -> BoxFuture<'_, Result<LeaseReply, FeedError>>;
 }
 
-/// Term of a lease, and the time for which calls sent under it count.
+/// Term of a lease, and its grace: the time for which calls sent under it still count towards
+/// the rate limit.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_millis(1500),
     grace: COLD_WINDOW,
@@ -51,11 +53,12 @@
 /// Serving entries that compete for leases: as many again as there are leases, as standby.
 /// The limit keeps calls to the store independent of the number of entries.
 const MAX_CANDIDATES: usize = 2 * LEASE_COUNT as usize;
-/// Interval at which an entry checks whether it is a candidate.
+/// Interval at which an entry checks whether it is a candidate, while there are cold leafs.
 const CANDIDATE_RECHECK: Duration = Duration::from_millis(500);
-/// Least time between two decisions that no notification triggered.
+/// Least time between two decisions about leases that no notification triggered.
 const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(5);
-/// Measurement error of the machine's suspended time.
+/// Tolerated increase of the VM's suspended time since a lease was requested, for the error of
+/// its measurement.
 const SUSPEND_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Settings that adjust the rate limit of cold leafs from the book.
@@ -69,7 +72,7 @@
 }
 
 impl Default for ColdLimits {
-    /// The rate in the book, unchanged.
+    /// The rate in the book, unchanged: multiplied by 1, with nothing added.
     fn default() -> Self {
         Self {
             over: 1.0,
@@ -78,12 +81,13 @@
     }
 }
 
-/// A lease that this entry holds.
+/// A lease that this entry holds: its id, its end, and the VM's suspended time at the request.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
+    /// End of the lease, unless it is renewed.
     until: Time,
-    /// Total suspended time of the machine when the lease was requested.
+    /// Total suspended time of the VM when the lease was requested.
     suspended: Duration,
 }
 
@@ -92,12 +96,13 @@
 pub(crate) struct ColdLeafs {
     /// The time at which each leaf stops being cold.
     leafs: BTreeMap<Ix, Time>,
+    /// The lease that this entry holds, if any.
     lease: Option<HeldLease>,
 }
 
 impl RelayState {
     /// Returns the rate limit of a cold leaf of `service`, in calls per second from all
-    /// entries together; none if the book sets no limit.
+    /// entries together, adjusted by the settings; none if the book sets no limit.
     fn cold_rate_limit(&self, service: &ServiceName) -> Option<u32> {
         let rule = self.book.as_ref()?.service(service)?.cold?;
         let calls = rule.rate.as_f64() * self.cold_limits.over + self.cold_limits.slack;
@@ -105,7 +110,8 @@
         Some(calls.max(0.0) as u32)
     }
 
-    /// Returns what this entry may send to a cold leaf under its lease; nothing without one.
+    /// Returns what this entry may send to a cold leaf under its lease, its share of the rate
+    /// limit until the lease ends; nothing without a lease or a limit.
     fn permit_for(&self, ix: Ix) -> ColdPermit {
         let endpoint = self.endpoints.get(&ix);
         let bound = endpoint.and_then(|endpoint| self.cold_rate_limit(&endpoint.service));
@@ -119,7 +125,8 @@
     }
 }
 
-/// Records that a leaf is cold until `until`, if its service has a rate limit.
+/// Rate-limits a leaf until `until`, with a permit under the current lease. Does nothing if
+/// its service has no limit in the book, or `until` is over.
 pub(crate) fn mark_cold(state: &mut State, ix: Ix, until: Time, now: Time) {
     let endpoint = state.extra.endpoints.get(&ix);
     let bounded =
@@ -133,7 +140,8 @@
     state.extra.cold.leafs.insert(ix, until);
 }
 
-/// Recomputes which cold leafs are rate limited, by the book in force.
+/// Recomputes which cold leafs are rate-limited after a change of the book: ends the limit of
+/// those whose service has none now, and limits all others that are cold.
 pub(crate) fn refresh_cold(state: &mut State, now: Time) {
     let bounded: Vec<Ix> = state.extra.cold.leafs.keys().copied().collect();
     for ix in bounded {
@@ -152,16 +160,18 @@
     }
 }
 
-/// Returns how long leafs of `service` stay cold; zero if the book sets no rate limit.
+/// Returns how long leafs of `service` stay cold, by the book; zero if it sets no rate limit
+/// for them.
 pub(crate) fn cold_duration(relay_state: &RelayState, service: &ServiceName) -> Duration {
     let book = relay_state.book.as_ref();
     let rule = book.and_then(|book| book.service(service)?.cold);
     rule.map_or(Duration::ZERO, |rule| rule.span)
 }
 
-/// Returns the time until which a call to `ix` may be sent; none if it may not be sent.
+/// Returns the time until which a call to `ix` may be sent: [`Time::MAX`] if the leaf is not
+/// rate-limited; none without a lease, or if the VM was suspended since it was requested.
 ///
-/// After the machine was suspended, another entry may have acquired this entry's lease.
+/// After the VM was suspended, another entry may have acquired this entry's lease.
 pub(crate) fn send_until(shared: &Shared, state: &State, ix: Ix) -> Option<Time> {
     let Some(until) = state.table.permitted_until(ix, shared.now()) else {
         return Some(Time::MAX);
@@ -172,7 +182,8 @@
     valid.then_some(until)
 }
 
-/// Acquires, renews and releases leases for as long as the entry runs.
+/// Acquires, renews and releases leases from when the entry serves. It wants one while there
+/// are rate-limited cold leafs and it is among the first [`MAX_CANDIDATES`] serving entries.
 pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, store: Arc<dyn LeaseStore>) {
     if !wait_until_serving(&shared).await {
         return;
@@ -211,7 +222,8 @@
     }
 }
 
-/// Makes a call to the store and passes its result to `leases`.
+/// Makes a call to the store and passes its result to `leases`. After a write it also updates
+/// the held lease and the permits, and logs whether the lease was acquired, lost or released.
 async fn call_store(shared: &Shared, store: &dyn LeaseStore, leases: &mut Leases, call: LeaseCall) {
     shared.metrics.count_store_call("leases");
     let (sent, suspended) = (shared.now(), shared.runtime.clock.slept());
@@ -248,7 +260,8 @@
     }
 }
 
-/// Records the lease that is held after a write to the store was answered.
+/// Records the lease that is held after a write to the store, and updates the permits.
+/// `suspended` is the VM's suspended time when the write was sent.
 fn record_lease(shared: &Shared, leases: &Leases, suspended: Duration) {
     let now = shared.now();
     let mut state = lock(&shared.cell.state);
@@ -267,7 +280,8 @@
     update_permits(shared, leases, now);
 }
 
-/// Updates the permits in the table to the held lease, and drops leafs that are warm.
+/// Updates the permits of cold leafs in the table to the held lease, dropped if it has ended;
+/// forgets leafs that are warm, and updates the metrics.
 fn update_permits(shared: &Shared, leases: &Leases, now: Time) {
     let mut state = lock(&shared.cell.state);
     let state = &mut *state;
@@ -289,7 +303,7 @@
     shared.metrics.cold_lease.set(held);
 }
 
-/// Returns whether any rate-limited leaf is cold.
+/// Returns whether any rate-limited leaf is cold at `now`.
 fn any_cold(shared: &Shared, now: Time) -> bool {
     let state = lock(&shared.cell.state);
     state.extra.cold.leafs.values().any(|until| now < *until)
--- a/crates/relay/src/evacuations.rs
+++ b/crates/relay/src/evacuations.rs
@@ -5,7 +5,8 @@
 use chestnut_port::{Content, Item};
 use chestnut_unit::DomainName;
 
-/// A change of the evacuated failure domains, for the request path.
+/// A change of the evacuated failure domains, for the request path: an evacuation started or
+/// ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationChange {
     /// The domain's evacuation started: its leafs get no calls from now on.
@@ -21,6 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     domains: BTreeSet<DomainName>,
+    /// Whether a list has been read.
     known: bool,
 }
 
@@ -31,7 +33,7 @@
         self.known
     }
 
-    /// Returns whether `domain` is evacuated.
+    /// Returns whether `domain` is evacuated; false while the set is unknown.
     #[must_use]
     pub fn covers(&self, domain: &DomainName) -> bool {
         self.domains.contains(domain)
@@ -43,7 +45,7 @@
     }
 
     /// Applies a full list and appends the changes to `out`; evacuations that it lacks
-    /// have ended.
+    /// have ended. From then on the set is known.
     pub fn listed(&mut self, items: Vec<Item<DomainName>>, out: &mut Vec<EvacuationChange>) {
         self.known = true;
         let listed: BTreeSet<DomainName> = items.iter().filter_map(domain_of).collect();
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Applies one changed object and appends the change, if any, to `out`.
+    /// Applies one changed object and appends the change, if any, to `out`. A deleted object
+    /// ends the evacuation of the domain that its name gives.
     pub fn changed(&mut self, item: Item<DomainName>, out: &mut Vec<EvacuationChange>) {
         match (domain_of(&item), DomainName::new(&item.name)) {
             (Some(domain), _) => self.evacuate(domain, out),
@@ -66,12 +69,14 @@
         }
     }
 
+    /// Adds `domain`, and appends the change to `out` unless it is evacuated already.
     fn evacuate(&mut self, domain: DomainName, out: &mut Vec<EvacuationChange>) {
         if self.domains.insert(domain.clone()) {
             out.push(EvacuationChange::Started(domain));
         }
     }
 
+    /// Removes `domain`, and appends the change to `out` if it was evacuated.
     fn restore(&mut self, domain: DomainName, out: &mut Vec<EvacuationChange>) {
         if self.domains.remove(&domain) {
             out.push(EvacuationChange::Ended(domain));
@@ -80,7 +85,7 @@
 }
 
 /// Returns the domain that an object evacuates; none if the object was deleted. An
-/// unreadable object counts by its name.
+/// unreadable object counts by its name, and evacuates nothing if that is no domain name.
 fn domain_of(item: &Item<DomainName>) -> Option<DomainName> {
     match &item.content {
         Content::Is(domain) => Some(domain.clone()),
--- a/crates/relay/src/feed_server.rs
+++ b/crates/relay/src/feed_server.rs
@@ -23,7 +23,8 @@
     shared::Shared,
 };
 
-/// Copies of the feeds that are served to other entries.
+/// Copies of the feeds that are served to other entries: the latest books, the leafs and the
+/// evacuated failure domains, with a counter that signals updates.
 pub(crate) struct FeedCopies {
     /// The last versions of the route book.
     pub(crate) books: Mutex<History>,
@@ -31,12 +32,13 @@
     pub(crate) leafs: Mutex<WatchCache<(LeafId, LeafRegistration)>>,
     /// The evacuated failure domains, as of the last update.
     pub(crate) evacuations: Mutex<WatchCache<DomainName>>,
-    /// Incremented with every update of a feed.
+    /// Incremented with every answer of the upstream that a feed watch applies, also an empty
+    /// one; wakes the waiting calls of followers.
     pub(crate) updates: watch::Sender<u64>,
 }
 
 impl FeedCopies {
-    /// No feed has been received yet.
+    /// Creates the copies of an entry that has received no feed yet.
     pub(crate) fn new() -> Self {
         Self {
             books: Mutex::default(),
@@ -47,7 +49,7 @@
     }
 }
 
-/// Serves the feeds to other entries.
+/// Serves the book, the leafs, the evacuations and the heartbeat of this entry to others.
 pub(crate) struct FeedServer(pub(crate) Arc<Shared>);
 
 /// The part of a feed that is requested: all objects, or those changed after a revision.
@@ -58,6 +60,8 @@
 }
 
 impl FeedRange {
+    /// Reads this part from `cache`. Fails before the first list, or if changes after the
+    /// revision were dropped.
     fn read<T: Clone>(self, cache: &WatchCache<T>) -> Result<Batch<T>, FeedError> {
         match self {
             Self::All => cache.list(),
@@ -67,7 +71,8 @@
 }
 
 impl FeedServer {
-    /// Reads and encodes a part of the feed named `feed`.
+    /// Reads and encodes a part of the feed named `feed`. Fails if there is no such feed, no
+    /// list was received yet, or the changes asked for are no longer kept.
     fn read(&self, feed: &str, range: FeedRange) -> Result<RawBatch, FeedError> {
         let copies = &self.0.feed_copies;
         match feed {
@@ -77,7 +82,9 @@
         }
     }
 
-    /// Waits until objects of a feed have changed after `revision`, and reads those.
+    /// Waits without time limit until objects of a feed have changed after `revision`, and
+    /// reads those. Fails if those changes are no longer kept, and as soon as this entry
+    /// can't report the store's revision ([`FeedService::pulse`]).
     async fn wait_for_changes(&self, feed: &str, revision: u64) -> Result<RawBatch, FeedError> {
         let mut updates = self.0.feed_copies.updates.subscribe();
         let mut statuses = self.0.store_status.subscribe();
@@ -154,7 +161,7 @@
     }
 }
 
-/// Encodes the values of a batch as JSON.
+/// Encodes the values of a batch as JSON; deleted and malformed objects stay such.
 fn encode<T: Serialize>(batch: Batch<T>) -> Result<RawBatch, FeedError> {
     let items = batch.items.into_iter().map(|item| {
         Ok(Item {
--- a/crates/relay/src/feed_watch.rs
+++ b/crates/relay/src/feed_watch.rs
@@ -20,7 +20,7 @@
 
 /// Name of the route book in metrics and logs.
 const BOOK: &str = "book";
-/// Longest time that a watch waits for a change. As long as stores allow, as each call
+/// Longest time that a watch call waits for a change. As long as stores allow, as each call
 /// is paid for; a lost watch is found by the revision poll and not by its end.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
 /// Backoff after a peer failed, in which another upstream is chosen.
@@ -29,13 +29,11 @@
 const LOST_BACKOFF: Duration = Duration::from_millis(50);
 /// Backoff after an answer older than what is known, from a peer that is behind.
 const STALE_BACKOFF: Duration = Duration::from_millis(100);
-/// How long a call for the book goes on after the upstream changed: enough for a large
-/// book on a slow link. A call that only waits would bring a whole book with the next
-/// change, which the new upstream sends as a small delta.
+/// How long a call for the book goes on after the upstream changed: enough for a large book
+/// on a slow link. The limit ends calls that only wait for the next change.
 const CALL_GRACE: Duration = Duration::from_secs(1);
-/// Delay between an answer of a watch and the next watch, so that changes that come
-/// together are read in one call. Short against the time that a draining leaf still
-/// serves.
+/// Delay between an answer of the store with changes and the next watch, which batches
+/// changes. It is short against the time that a draining leaf still serves.
 const BATCH_DELAY: Duration = Duration::from_millis(350);
 /// Longest such delay in a burst of changes: it doubles with each answer that came at
 /// once. It also delays the detection of a lost watch.
@@ -43,7 +41,7 @@
 /// A watch that waited for this long ends a burst.
 const BURST_GAP: Duration = Duration::from_secs(1);
 
-/// What happens to a call under way when the upstream changes.
+/// What happens to a call under way when the upstream changes: cancelled, or finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPolicy {
     /// It is cancelled, as answers of the former upstream may be stale.
@@ -61,8 +59,9 @@
     watch_feed(&shared, feed, CallPolicy::Finish, BOOK, apply).await;
 }
 
-/// Loads the leafs and evacuations that the entry at `from` knows. An entry that starts
-/// while the store is lost serves by them, and by that entry's book.
+/// Loads the leafs and evacuations that the entry at `from` knows, and applies those that are
+/// newer than the own ones; neither if one can't be read. An entry that starts while the
+/// store is lost serves by them, and by that entry's book.
 pub(crate) async fn load_from_peer(shared: &Shared, feeds: &Feeds, from: SocketAddr) {
     let (leafs, evacuations) = (feeds.peers.leafs(from), feeds.peers.evacuations(from));
     let lists = tokio::join!(
@@ -83,7 +82,8 @@
     }
 }
 
-/// Watches the leafs for as long as the entry runs.
+/// Watches the leafs at the current upstream for as long as the entry runs, and removes those
+/// whose registration stays missing.
 pub(crate) async fn leafs(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let apply = |batch, whole| update_leafs(&shared, batch, whole);
     let feed = |from| Some(feeds.leafs(from));
@@ -91,7 +91,8 @@
     tokio::join!(watch, expire_leafs(&shared));
 }
 
-/// Watches which failure domains are evacuated, for as long as the entry runs.
+/// Watches which failure domains are evacuated at the current upstream, for as long as the
+/// entry runs. Lists them from the store if no peer reports them.
 pub(crate) async fn evacuations(shared: Arc<Shared>, feeds: Arc<Feeds>) {
     let apply = |batch, whole| update_evacuations(&shared, batch, whole);
     let feed = |from| Some(feeds.evacuations(from));
@@ -99,7 +100,8 @@
     tokio::join!(watch, list_evacuations(&shared, &*feeds.evacuations));
 }
 
-/// Lists the evacuated failure domains from the store while no peer reports them. A
+/// Lists the evacuated failure domains from the store until they are known, once the book and
+/// the leafs are. A
 /// peer of an earlier version never does, and without the list the entry would not
 /// serve.
 async fn list_evacuations(shared: &Shared, evacuations: &dyn Feed<DomainName>) {
@@ -124,8 +126,10 @@
     }
 }
 
-/// Lists and watches one feed at the current upstream for as long as the entry runs; `apply`
-/// gets each answer, and whether it is the whole list.
+/// Lists and watches one feed at the current upstream for as long as the entry runs. `feed`
+/// returns its source at an upstream, or `None` to wait for another; `apply` gets each answer
+/// that is not stale, and whether it is the whole list. `what` names the feed in logs and
+/// metrics.
 async fn watch_feed<T>(
     shared: &Shared,
     feed: impl Fn(Upstream) -> Option<Arc<dyn Feed<T>>>,
@@ -211,8 +215,8 @@
     *shared.upstream.borrow() != Some(upstream)
 }
 
-/// Counts the outcome of a call, and logs one that was cancelled: what it had read is
-/// lost, and the next call starts over.
+/// Counts the outcome of a call in the metrics, and logs one that was cancelled (`answer` is
+/// `None`): what it had read is lost, and the next call starts over.
 fn record_outcome<T>(
     shared: &Shared,
     what: &'static str,
@@ -234,8 +238,9 @@
     }
 }
 
-/// Returns the answer to the next call of `list_watch`; `None` if the store is lost or the
-/// upstream has changed.
+/// Makes the next call of `list_watch` and returns its answer; `None` if it was cancelled as
+/// the store is lost or the upstream has changed. A watch that misses a change known from the
+/// polls is checked, and the answer of the check returned if it has the change.
 async fn next_answer<T>(
     shared: &Shared,
     feed: &dyn Feed<T>,
@@ -306,7 +311,8 @@
     let _ = upstreams.wait_for(|upstream| *upstream != Some(from)).await;
 }
 
-/// Waits until a call to `from` is to be cancelled.
+/// Waits until a call to `from` is to be cancelled: the store is lost, or the upstream has
+/// changed and the grace of `policy`, if any, is over.
 async fn call_cancelled(shared: &Shared, from: Upstream, policy: CallPolicy) {
     let mut statuses = shared.store_status.subscribe();
     let over = async {
--- a/crates/relay/src/feeds.rs
+++ b/crates/relay/src/feeds.rs
@@ -14,14 +14,14 @@
 /// Name of the feed of evacuated failure domains between entries.
 pub(crate) const EVACUATIONS: &str = "evacuations";
 
-/// Port to the feeds of other entries.
+/// Port to the heartbeat, route book, leafs and evacuations of other entries.
 pub trait PeerFeeds: Send + Sync {
-    /// Returns the heartbeat of the entry at `to`: the revision of the store and the
-    /// version of its route book.
+    /// Returns the heartbeat of the entry at `to`: the revision of the store, or why the entry
+    /// knows none, and the version of its route book.
     fn heartbeat(&self, to: SocketAddr) -> BoxFuture<'_, Result<PeerPulse, FeedError>>;
 
     /// Returns the delta that turns version `have` (0 for none) into the route book of
-    /// the entry at `to`.
+    /// the entry at `to`; empty if that is not newer.
     fn book(&self, to: SocketAddr, have: BookVersion) -> BoxFuture<'_, Result<RawBook, FeedError>>;
 
     /// Returns the feed of leafs of the entry at `to`.
@@ -62,7 +62,7 @@
 }
 
 impl Feeds {
-    /// Returns the feed of leafs of an upstream.
+    /// Returns the feed of leafs at an upstream: the store's, or that of a peer.
     pub(crate) fn leafs(&self, from: Upstream) -> Arc<dyn Feed<(LeafId, LeafRegistration)>> {
         match from {
             Upstream::Store => self.leafs.clone(),
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Returns the feed of evacuated failure domains of an upstream.
+    /// Returns the feed of evacuated failure domains at an upstream: the store's, or that of a
+    /// peer.
     pub(crate) fn evacuations(&self, from: Upstream) -> Arc<dyn Feed<DomainName>> {
         match from {
             Upstream::Store => self.evacuations.clone(),
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -29,7 +29,8 @@
     state::RelayState,
 };
 
-/// A request of a caller, with its host and its timeout.
+/// A request of a caller: its host, the message to forward, and the time that the caller
+/// still waits.
 #[derive(Clone, Debug)]
 pub struct RelayRequest {
     /// The host name, matched against the rules.
@@ -57,7 +58,7 @@
     }
 }
 
-/// Why a request was not answered by a leaf.
+/// Why a request was declined: no rule, not ready, refused, timed out, or every call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclineReason {
     /// No rule of the route book matches the request.
@@ -72,18 +73,19 @@
     Failed,
 }
 
-/// The refusal of a request, without further attempts.
+/// A request without an answer: why, whether it may have run, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Declined {
     /// The reason.
     pub reason: DeclineReason,
     /// Whether the request may have run on a leaf.
     pub run: Execution,
-    /// Delay before a retry, where one may help.
+    /// Delay after which the caller may retry; none if the request may have run, or no rule
+    /// matches it.
     pub retry_after: Option<Duration>,
 }
 
-/// The reply to a request.
+/// The reply to a request: one leaf's answer, the merged answers of a gather, or a refusal.
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// One leaf's answer, unchanged.
@@ -113,8 +115,11 @@
 
 /// Fields of the log line of a request, beside its reply.
 struct RequestLog {
+    /// The rule that matched.
     rule: Option<Arc<Rule>>,
+    /// Version of the route book; 0 if the entry was not ready.
     version: u64,
+    /// Number of calls to leafs.
     calls: usize,
     /// Extra calls that the budget did not allow.
     withheld: u32,
@@ -124,18 +129,20 @@
     /// Time from arrival by which the answer has to be sent to meet the latency objective,
     /// network delay to the caller deducted; none if that is impossible.
     send_by: Option<Duration>,
+    /// Which shards answered; none if the request was declined before any leaf was chosen.
     coverage: Option<Coverage>,
-    /// Leafs that were called for shards which are missing.
+    /// Ids of the leafs that were called for missing shards, separated by spaces.
     failed_leafs: String,
     /// Number of leafs whose connection was lost during a call.
     lost_leafs: usize,
     /// Whether a leaf ran the request and answered.
     answered: bool,
-    /// Shards whose lack of capacity caused the refusal.
+    /// Shards whose lack of capacity caused the refusal, separated by spaces.
     full_shards: String,
 }
 
-/// Handles a request and logs its outcome.
+/// Handles a request, logs its outcome, and records the overrun of an answer that was cut
+/// off to meet its objective. The request counts as in flight meanwhile.
 pub(crate) async fn forward(shared: &Shared, request: RelayRequest) -> Reply {
     let _in_flight = InFlightGuard::enter(&shared.in_flight);
     let start = shared.now();
@@ -167,6 +174,8 @@
     reply
 }
 
+/// Runs a request: matches its rule, asks the quarantine, waits for admission, and calls
+/// leafs. Fills in `log` as far as it gets; `start` is the time of arrival.
 async fn handle(
     shared: &Shared,
     request: &RelayRequest,
@@ -256,6 +265,7 @@
     reply(&rule, query, last_failure, retry_after)
 }
 
+/// Creates the calls of a request by `rule`, with no outcomes yet.
 fn leaf_calls<'a>(shared: &'a Shared, rule: &Rule, request: &RelayRequest) -> LeafCalls<'a> {
     LeafCalls {
         shared,
@@ -267,7 +277,7 @@
     }
 }
 
-/// The names of leafs, separated by spaces.
+/// The ids of leafs, separated by spaces; those that were removed meanwhile are left out.
 fn leaf_names(shared: &Shared, leafs: &[Ix]) -> String {
     let state = lock(&shared.cell.state);
     let endpoints = leafs.iter().filter_map(|ix| state.extra.endpoints.get(ix));
@@ -275,12 +285,14 @@
     names.join(" ")
 }
 
-/// Releases the admission slot of a request and records its calls.
+/// Releases the admission slot of a request, and reports its calls and those that leafs shed
+/// to its admission queue.
 fn release(mut admitted: AdmittedRequest<'_, RelayState>, query: &Query<LeafReply>) {
     admitted.calls = query.calls() as u32;
     admitted.shed_calls = query.shed_calls();
 }
 
+/// Maps the rank of a rule to the urgency of its requests in admission; 0 is the most urgent.
 fn urgency(rank: u32) -> Urgency {
     match rank {
         0 => Urgency::Now,
@@ -289,6 +301,7 @@
     }
 }
 
+/// The share of shards that must answer: the rule's minimum for a gather, all otherwise.
 fn min_coverage(rule: &Rule) -> Share {
     match &rule.target {
         Target::One(_) | Target::Split(_) => Share::FULL,
@@ -296,6 +309,8 @@
     }
 }
 
+/// Builds the reply from a finished query: merged answers if a gather has enough coverage, or
+/// the leaf's answer, else the last error reply of a leaf. Declines if there is none.
 fn reply(
     rule: &Rule,
     query: Query<LeafReply>,
@@ -318,6 +333,8 @@
     }
 }
 
+/// Merges the answers of a gather into one with the `top` greatest records, and counts the
+/// shards without an answer.
 fn merge(top: usize, coverage: Coverage, query: Query<LeafReply>) -> Reply {
     let parts: Vec<LeafReply> = query.into_parts().map(|(_, reply)| reply).collect();
     let bodies = parts.iter().map(|reply| reply.answer.body().as_ref());
@@ -328,8 +345,8 @@
     }
 }
 
-/// The refusal for a query whose coverage is too small. It says "not run" only if no call
-/// can have run on a leaf.
+/// The refusal for a query whose coverage is too small. It says "not run", with the delay
+/// `retry_after`, only if no call can have run on a leaf; otherwise it names no delay.
 fn query_failure(query: &Query<LeafReply>, retry_after: Duration) -> Declined {
     if query.not_run().is_some() {
         let reason = match query.end() {
@@ -357,6 +374,7 @@
     base.mul_f64(0.5 + draw as f64 / u64::MAX as f64)
 }
 
+/// The refusal of a request that has not run on any leaf.
 fn not_run(reason: DeclineReason, retry_after: Option<Duration>) -> Declined {
     Declined {
         reason,
@@ -365,7 +383,8 @@
     }
 }
 
-/// Logs the outcome of a request and updates the metrics.
+/// Logs the outcome of a request, and records its latency by rule and its outcome in the
+/// metrics. `elapsed` is the time since its arrival.
 fn log_outcome(
     shared: &Shared,
     request: &RelayRequest,
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -26,7 +26,8 @@
 }
 
 impl History {
-    /// Adds a version, which must be newer than all others.
+    /// Adds a version, which must be newer than all others. Drops all packed deltas,
+    /// and the oldest version if too many are kept.
     pub fn put(&mut self, book: Arc<RouteBook>) {
         self.packed.clear();
         self.books.push_back(book);
@@ -36,7 +37,8 @@
     }
 
     /// Returns the delta from `have` to the newest version, or the whole book if `have`
-    /// is not kept. The delta is empty if `have` is not older than the newest.
+    /// is not kept. The delta is empty if `have` is not older than the newest, or there is no
+    /// version, which counts as version 0.
     ///
     /// # Errors
     ///
--- a/crates/relay/src/leaf_calls.rs
+++ b/crates/relay/src/leaf_calls.rs
@@ -29,20 +29,20 @@
     pub(crate) kind: RetrySafety,
     /// Whether the answers of several shards are merged into one.
     pub(crate) merges: bool,
-    /// The last error reply of a leaf, returned to the caller if no call
-    /// succeeds.
+    /// The last error reply of a leaf, returned to the caller if no call succeeds and the
+    /// request is no gather.
     pub(crate) last_failure: Arc<Mutex<Option<LeafReply>>>,
-    /// Evidence for the quarantine.
+    /// Whether a leaf answered and which connections were lost, for the quarantine.
     pub(crate) outcomes: Arc<Mutex<CallOutcomes>>,
 }
 
-/// Outcomes of the calls of one request, from which the quarantine decides whether
-/// the request crashes leafs.
+/// Outcomes of the calls of one request, whether a leaf answered and which connections were
+/// lost, from which the quarantine decides whether the request crashes leafs.
 #[derive(Debug, Default)]
 pub(crate) struct CallOutcomes {
-    /// Whether a leaf ran the request and answered.
+    /// Whether a call returned a reply; one in [`LeafFailure::Failed`] doesn't count.
     pub(crate) answered: bool,
-    /// Leafs whose connection was lost during a call.
+    /// Id and address of the leafs whose connection was lost during a call.
     pub(crate) lost: Vec<(LeafId, SocketAddr)>,
 }
 
@@ -58,6 +58,12 @@
         &self.message.id
     }
 
+    /// Calls a leaf and counts the call. Fails with [`Failure::NotSent`] if the leaf has no
+    /// endpoint or may not be called while cold. Unsent, refused, lost and failed calls keep
+    /// their kind; in a gather, an error status is a failed call too.
+    ///
+    /// Records a reply and a lost connection in `outcomes`, and the reply of a failed call in
+    /// `last_failure`.
     fn call(&self, request: CallRequest<'_>) -> CallFuture<LeafReply> {
         let endpoint = {
             let state = lock(&self.shared.cell.state);
--- a/crates/relay/src/leaf_changes.rs
+++ b/crates/relay/src/leaf_changes.rs
@@ -12,7 +12,8 @@
     state::{Endpoint, State},
 };
 
-/// Applies changes of the known leafs to the table, and clears the caches they affect.
+/// Applies changes of the known leafs to the routing table and the endpoints. Clears the
+/// cached routes and leaf domains, unless leafs only became cold.
 pub(crate) fn apply_leaf_changes(
     state: &mut State,
     changes: &[LeafChange],
@@ -50,7 +51,9 @@
     }
 }
 
-/// Adds or updates a leaf that started at `since`.
+/// Adds a leaf to the routing table and the endpoints, or updates it, and makes it available
+/// for calls unless its domain is evacuated. `since` is the start of a leaf that is new to
+/// the table, ignored for a known one; `own` gives this entry's failure domain.
 fn add_leaf(
     state: &mut State,
     id: &LeafId,
@@ -83,8 +86,9 @@
     set_suspected(state, id, false);
 }
 
-/// Assumes that a leaf whose domain is no longer evacuated is cold: it may have cooled
-/// down, which its registration reports only with its next heartbeat.
+/// Marks a leaf whose domain is no longer evacuated as cold, for the time that the book sets
+/// for its service: it may have cooled down, which its registration reports only with its
+/// next heartbeat. Does nothing without an endpoint.
 fn assume_cold(state: &mut State, id: &LeafId, ix: Ix, now: Time) {
     let Some(endpoint) = state.extra.endpoints.get(&ix) else {
         return;
@@ -94,8 +98,8 @@
     mark_cold(state, ix, until, now);
 }
 
-/// Applies changes of the evacuated failure domains to the table. Returns the leafs that
-/// get no more calls.
+/// Excludes the leafs of newly evacuated failure domains from calls, and readmits those of
+/// domains whose evacuation ended as cold. Returns the known leafs that get no more calls.
 pub(crate) fn apply_evacuations(
     state: &mut State,
     changes: &[EvacuationChange],
@@ -126,7 +130,8 @@
     evacuated
 }
 
-/// Removes a leaf.
+/// Marks a leaf as leaving and drops its endpoint, so that no further call reaches it;
+/// nothing if it is not in the table. Its index and statistics stay in the table.
 fn remove_leaf(state: &mut State, id: &LeafId, now: Time) {
     set_leaving(state, id, now);
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
@@ -134,8 +139,8 @@
     }
 }
 
-/// Replaces a leaf by its new incarnation; results of calls to the old one don't count
-/// for the new one.
+/// Replaces a leaf by its new incarnation, which gets a new index and counts as started at
+/// `now`; results of calls to the old one don't count for it.
 fn restart_leaf(
     state: &mut State,
     id: &LeafId,
@@ -148,14 +153,16 @@
     add_leaf(state, id, entry, own, now, now);
 }
 
-/// Marks a leaf as leaving.
+/// Sets the leaving flag of a leaf in the routing table, after which it gets no new calls;
+/// nothing if it is not in the table. Its endpoint stays.
 fn set_leaving(state: &mut State, id: &LeafId, now: Time) {
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
         state.table.set_leaving(ix, true, now);
     }
 }
 
-/// Marks a leaf as suspected, which is called only if no other can be, or as present.
+/// Sets or clears the mark of a leaf in the routing table by which it is called only if no
+/// other can be; nothing if it is not in the table.
 fn set_suspected(state: &mut State, id: &LeafId, suspected: bool) {
     if let Some(ix) = state.table.find(&Backend::Leaf(id.clone())) {
         state.table.set_suspected(ix, suspected);
--- a/crates/relay/src/leafs.rs
+++ b/crates/relay/src/leafs.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// How the incarnation of a registration compares with the latest known one.
+/// How the incarnation of a registration compares with the latest known one of the leaf:
+/// earlier (the registration is stale), the same, or later (the leaf has restarted).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IncarnationOrder {
     Earlier,
@@ -56,19 +57,23 @@
     Later,
 }
 
-/// A known leaf: its latest registration and the state derived from it.
+/// A known leaf: its latest registration, and since when it is missing and until when it may
+/// be called while draining and is cold.
 #[derive(Clone, Debug)]
 struct Leaf {
+    /// The latest registration.
     entry: LeafRegistration,
     /// When the registration went missing, if it has.
     missing_since: Option<Time>,
-    /// Time until which a draining leaf may still be called.
+    /// Time until which a draining leaf may still be called; none if the leaf is not draining,
+    /// or that time is over.
     draining_until: Option<Time>,
-    /// Time until which the leaf is cold, as far as is known.
+    /// Time until which the leaf is cold, as far as is known; zero if it was never cold.
     cold_until: Time,
 }
 
-/// A change of the known leafs, for the request path.
+/// A change of the known leafs, for the request path: a leaf was updated, restarted, became
+/// cold, was reported by a stale registration, drains, is closed, is missing or was removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeafChange {
     /// A leaf is new, or its registration changed.
@@ -105,6 +110,7 @@
 /// last choice for a while too, or its shard would have no leaf until others start.
 #[derive(Clone, Debug)]
 pub struct Leafs {
+    /// The known leafs, including draining and missing ones.
     known: BTreeMap<LeafId, Leaf>,
     /// The latest incarnation that each leaf reported, also of removed leafs.
     incarnations: BTreeMap<LeafId, Incarnation>,
@@ -134,7 +140,7 @@
         self.draining_grace = draining_grace;
     }
 
-    /// Returns the number of known leafs, including missing ones.
+    /// Returns the number of known leafs, including draining and missing ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
@@ -146,7 +152,8 @@
         self.known.is_empty()
     }
 
-    /// Returns the service and failure domain of each ready leaf.
+    /// Returns the service and failure domain of each leaf whose latest registration is ready,
+    /// including missing ones.
     pub fn ready_leafs(&self) -> impl Iterator<Item = (&ServiceName, &DomainName)> {
         let ready = self.known.values().map(|known| &known.entry);
         ready
@@ -154,7 +161,7 @@
             .map(|entry| (&entry.service, &entry.domain))
     }
 
-    /// Returns the leafs of a failure domain.
+    /// Returns all known leafs of a failure domain, including draining and missing ones.
     pub fn in_domain<'a>(&'a self, domain: &'a DomainName) -> impl Iterator<Item = &'a LeafId> {
         let known = self.known.iter();
         known
@@ -173,7 +180,7 @@
             .filter(move |(_, entry)| entry.service == *service)
     }
 
-    /// Returns the cold leafs and the time until which each is cold.
+    /// Returns the leafs that are cold at `now`, and the time until which each is cold.
     pub fn cold(&self, now: Time) -> impl Iterator<Item = (LeafId, Time)> {
         let cold = self
             .known
@@ -182,7 +189,8 @@
         cold.map(|(id, known)| (id.clone(), known.cold_until))
     }
 
-    /// Returns the time until which a leaf is cold, as far as is known.
+    /// Returns the time until which a leaf is cold, as far as is known; zero if it is unknown
+    /// or was never cold.
     #[must_use]
     pub fn cold_until(&self, id: &LeafId) -> Time {
         self.known
@@ -191,7 +199,7 @@
     }
 
     /// Records that a leaf is cold until `until`, whatever its registration says. Returns
-    /// whether this extends the known time.
+    /// whether this extends the known time; false for an unknown leaf. It never shortens it.
     pub fn mark_cold(&mut self, id: &LeafId, until: Time) -> bool {
         let known = self.known.get_mut(id);
         known.is_some_and(|known| {
@@ -201,8 +209,8 @@
         })
     }
 
-    /// Applies a full list and appends the changes to `out`; leafs that it lacks are
-    /// missing.
+    /// Applies a full list and appends the changes to `out`. Leafs that it lacks are treated
+    /// as by [`Leafs::deleted`].
     pub fn listed(
         &mut self,
         list: Vec<(LeafId, LeafRegistration)>,
@@ -220,7 +228,8 @@
         }
     }
 
-    /// Applies a new or changed registration and appends the changes to `out`.
+    /// Applies a new or changed registration and appends the changes to `out`; none if
+    /// it is known and its warm-up ends no later. `now` starts its warm-up and drain times.
     ///
     /// One of an earlier incarnation than the latest known comes from a stale or reordered
     /// read. It is ignored, since it would send calls to an address that the leaf has left.
@@ -279,8 +288,8 @@
         }
     }
 
-    /// Removes a leaf whose registration can't be read. Unlike a deletion this is not
-    /// caused by an outage, so the leaf is removed at once.
+    /// Removes a leaf whose registration can't be read, if it is known. Unlike a deletion this
+    /// is not caused by an outage, so the leaf is removed at once.
     pub fn malformed(&mut self, id: &LeafId, out: &mut Vec<LeafChange>) {
         if self.known.remove(id).is_some() {
             out.push(LeafChange::Removed(id.clone()));
@@ -299,8 +308,8 @@
         }
     }
 
-    /// Records the latest incarnation of a leaf, and drops the oldest of the removed leafs
-    /// if there are too many.
+    /// Records the latest incarnation of a leaf, if it reports one, and drops the oldest
+    /// incarnation of a removed leaf if more than [`MAX_REMOVED`] are kept.
     fn record_incarnation(&mut self, id: &LeafId, incarnation: Option<Incarnation>) {
         let Some(incarnation) = incarnation else {
             return;
@@ -319,7 +328,7 @@
     }
 
     /// Applies the deletion of a registration: removes a draining leaf, and marks a ready
-    /// one as missing.
+    /// one as missing from `now` on. Does nothing if the leaf is unknown or missing already.
     pub fn deleted(&mut self, id: &LeafId, now: Time, out: &mut Vec<LeafChange>) {
         let Some(known) = self.known.get_mut(id) else {
             return;
@@ -333,8 +342,8 @@
         }
     }
 
-    /// Restarts the timeout of missing leafs, since the store has recovered from an outage
-    /// and their registrations may still return.
+    /// Restarts the timeout of all missing leafs at `now`, since the store has recovered from
+    /// an outage and their registrations may still return.
     pub fn restart_timeouts(&mut self, now: Time) {
         for known in self.known.values_mut() {
             if known.missing_since.is_some() {
@@ -343,8 +352,8 @@
         }
     }
 
-    /// Removes leafs that have been missing too long, and closes those that have been
-    /// draining too long.
+    /// Removes leafs that have been missing for the missing timeout, and reports as closed
+    /// those whose draining grace is over; appends the changes to `out`.
     pub fn tick(&mut self, now: Time, out: &mut Vec<LeafChange>) {
         for (id, known) in &mut self.known {
             if known.draining_until.is_some_and(|until| until <= now) {
@@ -366,7 +375,8 @@
         }
     }
 
-    /// Returns the time at which [`Leafs::tick`] is due next.
+    /// Returns the time at which [`Leafs::tick`] is due next; [`Time::MAX`] if no leaf is
+    /// missing or draining.
     #[must_use]
     pub fn wake(&self) -> Time {
         let known = self.known.values();
--- a/crates/relay/src/list_watch.rs
+++ b/crates/relay/src/list_watch.rs
@@ -1,5 +1,5 @@
-//! State of a list-and-watch client: which call to make next, and the backoff
-//! after a failed one.
+//! A list-and-watch client's choice of the next call, and its backoff after a
+//! failed one.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
     Watch(u64),
 }
 
-/// Backoff after the first failed call.
+/// Backoff after the first failed call, before jitter.
 const BACKOFF_MIN: Duration = Duration::from_millis(200);
-/// Longest backoff. It bounds the time until the entry reconnects after an
+/// Longest backoff, before jitter. It bounds the time until the entry reconnects after an
 /// outage, and the calls that are refused meanwhile.
 const BACKOFF_MAX: Duration = Duration::from_millis(1600);
 
@@ -29,14 +29,17 @@
 /// together.
 #[derive(Clone, Debug, Default)]
 pub struct ListWatch {
+    /// Revision to watch from; none if the list has to be read.
     revision: Option<u64>,
     /// Greatest revision received; kept while the list is read again.
     newest: u64,
+    /// Failed calls since the last answer.
     failures: u32,
 }
 
 impl ListWatch {
-    /// Returns the next call to make.
+    /// Returns the next call to make: a list at first and after lost history, else
+    /// a watch from the revision of the last answer.
     #[must_use]
     pub fn next_call(&self) -> NextCall {
         self.revision.map_or(NextCall::List, NextCall::Watch)
@@ -49,21 +52,23 @@
         revision < self.newest
     }
 
-    /// Records an answer that goes up to `revision`, and resets the backoff.
+    /// Records an answer that goes up to `revision`, from which the next watch
+    /// starts, and resets the backoff.
     pub fn record_answer(&mut self, revision: u64) {
         self.revision = Some(revision);
         self.newest = self.newest.max(revision);
         self.failures = 0;
     }
 
-    /// Returns the greatest revision received so far.
+    /// Returns the greatest revision received so far; 0 before the first answer.
     #[must_use]
     pub fn latest_revision(&self) -> u64 {
         self.newest
     }
 
-    /// Records a failed call and returns the backoff before the next one. After
-    /// [`FeedError::HistoryGone`] the list is read again at once.
+    /// Records a failed call and returns the backoff before the next one, with
+    /// jitter from `rng`. After [`FeedError::HistoryGone`] it is zero and the list
+    /// is read again.
     pub fn record_failure(&mut self, error: &FeedError, rng: &mut dyn Rng) -> Duration {
         if *error == FeedError::HistoryGone {
             self.revision = None;
--- a/crates/relay/src/members.rs
+++ b/crates/relay/src/members.rs
@@ -31,24 +31,26 @@
     state::LeafDomains,
 };
 
-/// Averaging time of the load by which serving entries are chosen.
+/// Time constant of the average load by which serving entries are chosen.
 const STEADY_LOAD_SPAN: Duration = Duration::from_secs(6);
 /// Members to which this entry announces directly that it starts, leaves or stops.
 const ANNOUNCE_FANOUT: usize = 32;
 
-/// Fan-out of status updates within the own failure domain. It reaches nearly all members
+/// Members in the own failure domain that get a status update. It reaches nearly all members
 /// within a few hops; the others learn of a new book by the next heartbeat or probe.
 const LOCAL_FANOUT: usize = 5;
-/// Fan-out to other failure domains, as a fallback: each domain usually has its own
-/// entry that watches the store.
+/// Members of all other failure domains together that get a status update, as a fallback:
+/// each domain usually has its own entry that watches the store.
 const REMOTE_FANOUT: usize = 1;
 
 /// An entry is taken to be isolated itself if fewer than one in this many of the other
 /// members is alive.
 const ISOLATED_DIVISOR: usize = 8;
 
-/// The membership view of an entry, and the loads from which quotas are derived.
+/// The membership of an entry: the view of the gossip protocol, its own call rate, and the
+/// number of serving entries, from which quotas are derived.
 pub(crate) struct Members {
+    /// Gossip and failure detection, with the view of all members.
     swim: Mutex<Swim>,
     /// The rate of calls to leafs, which is reported to other members.
     rate: Mutex<Rate>,
@@ -59,11 +61,13 @@
     load: AtomicU32,
     /// Keeps the number of serving entries for a while after the load has dropped.
     serving_count: Mutex<DelayedDecrease>,
+    /// The port for messages of the membership protocol.
     probes: Arc<dyn Probes>,
 }
 
 impl Members {
-    /// The view of an entry that has just started and knows only itself.
+    /// Creates the membership of an entry that has just started and knows only itself, with
+    /// the wall time as its incarnation.
     pub(crate) fn new(shared: &Shared, probes: Arc<dyn Probes>) -> Self {
         let settings = &shared.settings;
         let mut own = Member::starting(
@@ -88,7 +92,9 @@
         }
     }
 
-    /// Addresses of the serving entries for callers, at most `most`.
+    /// Caller addresses of the serving entries, a random selection of at most `most`. This
+    /// entry is left out unless it serves; members that don't answer are left out unless no
+    /// other member is alive.
     pub(crate) fn addresses(&self, shared: &Shared, most: usize) -> Vec<SocketAddr> {
         let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
@@ -119,7 +125,8 @@
         list
     }
 
-    /// The position of this entry in the list of serving entries, if it is one of them.
+    /// The position of this entry in the list of serving entries, from 0; `None` if it is not
+    /// one of them.
     pub(crate) fn serving_rank(&self, shared: &Shared) -> Option<usize> {
         let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
@@ -130,7 +137,8 @@
         serving.iter().position(|member| member.id == *own)
     }
 
-    /// The members that may serve callers, including those that are leaving.
+    /// All members that are present, also leaving ones, as candidates for serving; failure
+    /// domains alternate.
     fn candidates<'a>(
         &self,
         swim: &'a Swim,
@@ -141,7 +149,8 @@
         candidates.collect()
     }
 
-    /// The quota of this entry, from the numbers of serving and other entries.
+    /// The quota of this entry, from the numbers of serving and other entries. Updates the
+    /// number of serving entries, which drops only some time after the load has.
     fn quota(&self, shared: &Shared) -> Quota {
         let leaf_domains = shared.leaf_domains();
         let swim = lock(&self.swim);
@@ -160,7 +169,8 @@
         }
     }
 
-    /// A member as a candidate for serving, known as `id`.
+    /// Describes a member as a candidate for serving, identified by `id`: its weight, its load,
+    /// and whether its domain is one of `leaf_domains`. For this entry the load is the own average.
     fn candidate<T>(
         &self,
         swim: &Swim,
@@ -180,8 +190,8 @@
         }
     }
 
-    /// The members of `list` that are gone, for removal of their adverts. Empty except at the
-    /// member with the lowest id, so that each advert is removed once.
+    /// The members with an advert in `list` that are known to be gone, for removal of their
+    /// adverts. Empty except at the member with the lowest id, so that each is removed once.
     pub(crate) fn gone_members(&self, shared: &Shared, list: &[Advert]) -> Vec<MemberId> {
         if !self.has_lowest_id(shared) {
             return Vec::new();
@@ -202,8 +212,8 @@
         first == Some(&shared.settings.entry.member)
     }
 
-    /// Whether hardly any of the other known members is alive. Those that are leaving don't
-    /// count.
+    /// Whether fewer than one in [`ISOLATED_DIVISOR`] of the other started members is alive.
+    /// Those that are leaving don't count; false if there are no others.
     pub(crate) fn is_isolated(&self) -> bool {
         let swim = lock(&self.swim);
         let own = &swim.view.own().id;
@@ -216,7 +226,7 @@
         alive * ISOLATED_DIVISOR < known
     }
 
-    /// Addresses of the members in the same failure domain.
+    /// Peer IP addresses of the present members in the same failure domain, this one included.
     fn local_peers(&self, shared: &Shared) -> BTreeSet<IpAddr> {
         let own = &shared.settings.entry.domain;
         let swim = lock(&self.swim);
@@ -230,7 +240,8 @@
         lock(&self.swim).view.present().count()
     }
 
-    /// Chooses the upstream from which this entry receives updates, and says why.
+    /// Chooses the upstream from which this entry receives updates, by the members, the seeds
+    /// and what the upstream selector recorded, and returns it with the reason.
     pub(crate) fn choose_upstream(&self, shared: &Shared) -> (Upstream, Cause) {
         let now = shared.now();
         let swim = lock(&self.swim);
@@ -242,8 +253,8 @@
         (upstream, selector.cause())
     }
 
-    /// Messages that report this entry's status, such as a new book version, to a random
-    /// sample of members.
+    /// Messages that report this entry's load and book version to a random sample of live
+    /// members: up to [`LOCAL_FANOUT`] in the own domain and [`REMOTE_FANOUT`] in others.
     fn status_updates(&self, shared: &Shared) -> Vec<Outgoing> {
         let status = status(shared, self);
         let mut rng = shared.runtime.rng();
@@ -258,7 +269,7 @@
         swim.report_to(status, peers)
     }
 
-    /// Sends join requests to the seeds.
+    /// Sends join requests to all seeds but this entry, without waiting for answers.
     pub(crate) async fn send_join_requests(&self, shared: &Shared) {
         let out: Vec<Outgoing> = {
             let swim = lock(&self.swim);
@@ -270,7 +281,7 @@
         send_all(shared, self, out).await;
     }
 
-    /// Adds members that are known only by their adverts.
+    /// Adds the members of `adverts` that the view doesn't know, as not yet started.
     pub(crate) fn add_advertised(&self, shared: &Shared, adverts: &[Advert]) {
         let now = shared.now();
         let mut swim = lock(&self.swim);
@@ -286,8 +297,8 @@
     }
 }
 
-/// Orders members so that failure domains alternate. If only some of several equal members
-/// serve, they don't all fail with one domain.
+/// Orders members so that failure domains alternate, each in its given order. If only some of
+/// several equal members serve, they don't all fail with one domain.
 fn interleave_domains<'a>(members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
     let mut turns: BTreeMap<&DomainName, usize> = BTreeMap::new();
     let mut list: Vec<(usize, &Member)> = members
@@ -301,7 +312,7 @@
     list.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Addresses of a random sample of at most `most` members.
+/// Peer addresses of a random sample of at most `most` members.
 fn sample(mut members: Vec<&Member>, most: usize, rng: &mut dyn Rng) -> Vec<SocketAddr> {
     while members.len() > most {
         let at = (rng.next_u64() % members.len() as u64) as usize;
@@ -318,7 +329,7 @@
     member.incarnation > Incarnation(0)
 }
 
-/// The addresses at which this entry listens.
+/// The addresses at which this entry listens for callers, operators and peers.
 pub(crate) fn addresses(settings: &RelaySettings) -> Addresses {
     Addresses {
         callers: settings.listen.callers,
@@ -335,7 +346,8 @@
     served.is_ok()
 }
 
-/// Runs the membership protocol for as long as the entry runs: sends and answers probes.
+/// Runs the membership protocol from when the entry serves: announces it, sends and answers
+/// probes, reports new book versions, and updates upstream and quota after changes.
 pub(crate) async fn probe(shared: Arc<Shared>, members: Arc<Members>) {
     if !wait_until_serving(&shared).await {
         return;
@@ -368,25 +380,29 @@
     }
 }
 
-/// Announces to other members that this entry is leaving.
+/// Marks this entry as leaving in the membership view, and announces that to some members
+/// at once; gossip reaches the others.
 pub(crate) async fn leave(shared: &Shared, members: &Members) {
     lock(&members.swim).leave(None);
     announce(shared, members).await;
 }
 
-/// Sends the leave messages of an entry that stops now.
+/// Marks this entry as gone in the membership view, and announces that to some members at
+/// once.
 pub(crate) async fn announce_stop(shared: &Shared, members: &Members) {
     let out = lock(&members.swim).stop(status(shared, members), ANNOUNCE_FANOUT);
     send_all(shared, members, out).await;
 }
 
-/// Sends this entry's status to other members without waiting for the next probe.
+/// Sends this entry's status to up to [`ANNOUNCE_FANOUT`] members without waiting for the
+/// next probe.
 async fn announce(shared: &Shared, members: &Members) {
     let out = lock(&members.swim).announce(status(shared, members), ANNOUNCE_FANOUT);
     send_all(shared, members, out).await;
 }
 
-/// Handles a message of another member.
+/// Handles a message that came from the address `from`: updates the membership view, merges
+/// the quarantine reports and records the sender's book version. Answers go to `out`.
 fn receive_message(
     shared: &Shared,
     members: &Members,
@@ -405,6 +421,7 @@
 }
 
 /// The status that this entry reports: its load in calls per second and its book version.
+/// Each call adds a sample to both averages of the load.
 fn status(shared: &Shared, members: &Members) -> Status {
     let calls = shared.calls.load(Ordering::Relaxed);
     let load = lock(&members.rate).record(calls, shared.now());
@@ -417,13 +434,14 @@
     }
 }
 
-/// Sends quarantine reports to a random sample of members.
+/// Sends status updates with quarantine reports attached to a random sample of members.
 pub(crate) async fn send_reports(shared: &Shared, members: &Members) {
     let out = members.status_updates(shared);
     send_all(shared, members, out).await;
 }
 
-/// Sends messages, all with the same quarantine reports attached.
+/// Sends messages, all with the same quarantine reports attached; each report in them counts
+/// as sent. Nothing if `out` is empty.
 async fn send_all(shared: &Shared, members: &Members, out: Vec<Outgoing>) {
     if out.is_empty() {
         return;
@@ -435,7 +453,8 @@
     }
 }
 
-/// Logs membership changes, and updates the upstream and the quotas after them.
+/// Logs membership changes since the last call and, if there are any, has the upstream
+/// chosen again and updates this entry's quota.
 fn apply_changes(shared: &Shared, members: &Members) {
     let changes: BTreeMap<MemberId, Change> =
         lock(&members.swim).take_changes().into_iter().collect();
@@ -457,7 +476,7 @@
 }
 
 /// Updates this entry's quota of the shared limits from the members that are present,
-/// including those that are leaving.
+/// including those that are leaving; also the metric of members and the set of local peers.
 pub(crate) fn update_quota(shared: &Shared, members: &Members) {
     shared.metrics.members.set(members.count() as i64);
     shared.traffic.set_near(members.local_peers(shared));
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -29,21 +29,25 @@
 /// Number of latency buckets; the last bound is about 9 s.
 const BUCKETS: u16 = 19;
 
+/// Label of request counters: the outcome.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct OutcomeLabels {
     outcome: &'static str,
 }
 
+/// Label of latencies: the name of the rule, `-` if none matched.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct RuleLabels {
     rule: String,
 }
 
+/// Label of metrics by kind, such as of calls or of feed reads.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct KindLabels {
     kind: &'static str,
 }
 
+/// Labels of byte counts: purpose, distance and flow.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ByteLabels {
     purpose: &'static str,
@@ -51,6 +55,7 @@
     flow: &'static str,
 }
 
+/// Label of upstream changes: the cause.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct CauseLabels {
     cause: String,
@@ -58,10 +63,15 @@
 
 /// The metrics of one entry, and their registry.
 pub(crate) struct Metrics {
+    /// Names and help texts of all metrics, for encoding.
     registry: Registry,
+    /// Time to reply in seconds, by rule.
     latency: Family<RuleLabels, Histogram>,
+    /// Requests by outcome.
     outcomes: Family<OutcomeLabels, Counter>,
+    /// Calls to leafs by kind: first call, hedge or retry.
     calls: Family<KindLabels, Counter>,
+    /// Calls to the store, and heartbeats of peers, by kind.
     store_calls: Family<KindLabels, Counter>,
     /// Store calls by kind since they were logged last.
     unlogged_store_calls: Mutex<BTreeMap<&'static str, u64>>,
@@ -69,9 +79,9 @@
     pub(crate) evictions: Counter,
     /// Bytes of book updates sent to other entries.
     pub(crate) passed_bytes: Counter,
-    /// Entries that are present.
+    /// Entries that are present, this one and those that don't serve included.
     pub(crate) members: Gauge,
-    /// Leafs that are known.
+    /// Leafs that are known, as of the last answer of the feed of leafs.
     pub(crate) leafs: Gauge,
     /// Cold leafs, whose call rate is bounded after their start.
     pub(crate) cold_leafs: Gauge,
@@ -83,15 +93,21 @@
     pub(crate) evacuated_calls: Gauge,
     /// Version of the route book in force.
     pub(crate) book_version: Gauge,
+    /// Milliseconds since a newer book was first reported; 0 if the book is current.
     book_behind: Gauge,
+    /// Reads of feeds by result.
     feed_reads: Family<KindLabels, Counter>,
+    /// Changes of the upstream by cause.
     upstream_moves: Family<CauseLabels, Counter>,
+    /// Total bytes by purpose, distance and flow.
     bytes: Family<ByteLabels, Gauge>,
+    /// Totals of the extra-call budget and of calls that it affected, by kind.
     extra_calls: Family<KindLabels, Gauge<f64, AtomicU64>>,
+    /// Requests with a quarantine record, and those refused now.
     quarantine_records: Family<KindLabels, Gauge>,
     /// Requests being handled.
     pub(crate) in_flight: Gauge,
-    /// Latency classes in the routing table.
+    /// Classes of calls in the routing table.
     pub(crate) classes: Gauge,
 }
 
@@ -129,6 +145,7 @@
         metrics
     }
 
+    /// Registers all metrics with their names and help texts.
     fn register(&mut self) {
         let r = &mut self.registry;
         let latency = self.latency.clone();
@@ -201,7 +218,8 @@
         self.calls.get_or_create(&KindLabels { kind }).inc();
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store, or a heartbeat of a peer, by its kind; also for the next log
+    /// line.
     pub(crate) fn count_store_call(&self, kind: &'static str) {
         self.store_calls.get_or_create(&KindLabels { kind }).inc();
         *lock(&self.unlogged_store_calls).entry(kind).or_default() += 1;
@@ -212,13 +230,13 @@
         std::mem::take(&mut *lock(&self.unlogged_store_calls))
     }
 
-    /// Sets how long a newer book version has been known; `None` if the book is current.
+    /// Sets how long a newer book version has been known; `None`, for a current book, sets 0.
     pub(crate) fn set_book_behind(&self, delay: Option<Duration>) {
         self.book_behind
             .set(delay.map_or(0, |delay| delay.as_millis() as i64));
     }
 
-    /// Counts a change of upstream by its cause.
+    /// Counts a change of upstream by its cause; the label is the variant name in lower case.
     pub(crate) fn count_upstream_move(&self, cause: Cause) {
         let cause = format!("{cause:?}").to_lowercase();
         self.upstream_moves
@@ -249,14 +267,14 @@
         }
     }
 
-    /// Sets the total of extra calls (hedges and retries) of one kind.
+    /// Sets the total of one kind of the extra-call accounts, such as earned, spent or unpaid.
     pub(crate) fn set_extra_calls(&self, kind: &'static str, calls: f64) {
         self.extra_calls
             .get_or_create(&KindLabels { kind })
             .set(calls);
     }
 
-    /// Encodes all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string does not fail");
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -18,7 +18,8 @@
 /// memory. Classes of removed rules are reused, or edits would use them all up.
 const MAX_CLASSES: usize = 64;
 
-/// What a request needs from the shared tables to run.
+/// What a request needs from the shared tables to run: its routes, admission queue and call
+/// class, and the time its answer may take.
 pub(crate) struct Plan {
     /// The replicas of each shard.
     pub(crate) routes: Arc<Routes>,
@@ -33,8 +34,9 @@
     pub(crate) timeliness: Timeliness,
 }
 
-/// Plans a request of `rule` whose caller has the time `remaining`; `draw` is a random
-/// number that starts a weighted split.
+/// Plans a request of `rule` that arrives at `now` and whose caller waits for `remaining`;
+/// `draw` is a random number that starts a weighted split. Creates the class, routes, budget
+/// and queue on first use, advances the split, and records the caller's time.
 pub(crate) fn plan(
     state: &mut State,
     rule: &Rule,
@@ -75,7 +77,8 @@
     }
 }
 
-/// Returns the time that the answer may take to meet the objective, and whether it can.
+/// Returns the time from `now` that the answer may take to meet the objective, and whether it
+/// can: that time must exceed the median of the class. Records the caller's time.
 ///
 /// An answer that can't gets the whole objective from now: it is late in any case, and
 /// more complete with more time.
@@ -104,7 +107,8 @@
     }
 }
 
-/// Returns the class of a rule, allocating it on first use.
+/// Returns the class of a rule, allocating it on first use. Beyond [`MAX_CLASSES`] rules share
+/// the default class.
 fn class_of(state: &mut State, rule: &Rule) -> Class {
     if let Some(known) = state.extra.rules.get(&rule.name) {
         return known.class;
@@ -127,7 +131,8 @@
     class
 }
 
-/// Picks the next service of a weighted split.
+/// Picks the next service of a weighted split and advances the rule's round robin; the first
+/// service if all weights are 0. `draw` gives a new round robin its start.
 fn pick_service(
     state: &mut State,
     rule: &Rule,
@@ -140,7 +145,7 @@
     parts[at.unwrap_or(0)].0.clone()
 }
 
-/// Builds the routes to the replicas of `services`.
+/// Builds the routes to the replicas of `services`, one shard each, with their budgets.
 fn find_routes(state: &mut State, services: &[ServiceName]) -> Routes {
     let shards = services
         .iter()
@@ -159,7 +164,8 @@
     }
 }
 
-/// Returns the leafs of a service.
+/// Returns the indexes in the routing table of all known leafs of a service, including
+/// draining and missing ones.
 fn replicas(state: &State, service: &ServiceName) -> Vec<Ix> {
     state
         .extra
@@ -169,7 +175,8 @@
         .collect()
 }
 
-/// Returns the extra-call budget of a service, creating it on first use.
+/// Returns the extra-call budget of a service; creates an empty one, with the ratio and this
+/// entry's slack, on first use.
 fn budget_of(state: &mut State, service: &ServiceName) -> BudgetId {
     if let Some(id) = state.extra.budgets.get(service) {
         return *id;
--- a/crates/relay/src/propagation.rs
+++ b/crates/relay/src/propagation.rs
@@ -10,19 +10,20 @@
 /// Peers with a newer book that are tracked. Others are ignored: one is enough to read
 /// from, and each reports its version again with its next probe.
 const MAX_TRACKED_PEERS: usize = 64;
-/// Delay before a peer in another failure domain is asked. Peers in the own domain
-/// usually have the version shortly after, and traffic between domains costs money.
+/// Delay from the report of a peer in another failure domain until it is asked: peers in the
+/// own domain usually have the version shortly after, and remote traffic costs money.
 const REMOTE_DELAY: Duration = Duration::from_millis(100);
 /// Backoff of a peer from which a read failed.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Delay before a hedged read from another peer, as a peer whose link is congested is
-/// slow but not lost.
+/// Delay after the latest start of a read before a hedged read from another peer: a peer
+/// whose link is congested is slow but not lost.
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
-/// Concurrent reads.
+/// Reads of the book that may run at once, the hedged one included.
 const MAX_READS: usize = 2;
 
-/// The next step towards a newer book.
+/// The next step towards a newer book: read it from a peer, or wait, with or without a time
+/// limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
     /// Read the book from this peer.
@@ -33,7 +34,8 @@
     Nothing,
 }
 
-/// A peer's version of the book that is newer than the own one.
+/// A peer's version of the book that is newer than the own one, the peer's distance, and the
+/// earliest time to ask it.
 #[derive(Clone, Copy, Debug)]
 struct NewerVersion {
     version: BookVersion,
@@ -64,8 +66,9 @@
 }
 
 impl BookPropagation {
-    /// Records that `peer` has `version`. Returns whether it is newer than all versions
-    /// that were known.
+    /// Records that `peer` at `distance` has `version`. Returns whether it is newer than the
+    /// own version and all that tracked peers reported. A new peer is not tracked if there are
+    /// too many; one that has no newer version any more is dropped.
     pub fn reported(
         &mut self,
         peer: SocketAddr,
@@ -98,8 +101,9 @@
         is_newer
     }
 
-    /// Records that `version` is in force here. Returns for how long a newer version than
-    /// the one before had been known.
+    /// Records that `version` is in force here, and drops the peers that have no newer one.
+    /// Returns the time since the first report of a newer version after this entry was last up
+    /// to date; `None` if there was no such report.
     pub fn installed(&mut self, version: BookVersion, now: Time) -> Option<Duration> {
         self.own_version = self.own_version.max(version);
         self.ahead.retain(|_, ahead| ahead.version > version);
@@ -110,7 +114,8 @@
         Some(now.since(since))
     }
 
-    /// Records that `peer` has no newer version.
+    /// Records that `peer` has no newer version: it is no longer read from, and if it was the
+    /// last one this entry counts as up to date.
     pub fn not_newer(&mut self, peer: SocketAddr) {
         self.ahead.remove(&peer);
         if self.ahead.is_empty() {
@@ -118,14 +123,15 @@
         }
     }
 
-    /// Records that a read from `peer` failed, which starts its backoff.
+    /// Records that a read from `peer` failed: it is not asked again during a backoff
+    /// from `now` on.
     pub fn failed(&mut self, peer: SocketAddr, now: Time) {
         if let Some(ahead) = self.ahead.get_mut(&peer) {
             ahead.not_before = now + FAILURE_BACKOFF;
         }
     }
 
-    /// Records the start of a read from `peer`.
+    /// Records the start of a read from `peer` at `now`, from which the hedge delay counts.
     pub fn read_started(&mut self, peer: SocketAddr, now: Time) {
         self.reads.insert(peer, now);
     }
@@ -135,8 +141,9 @@
         self.reads.remove(&peer);
     }
 
-    /// Returns the next step. The random number `draw` breaks ties between peers, so that
-    /// entries that learn of a version together don't all ask the same peer.
+    /// Returns the next step, without recording it: [`BookPropagation::read_started`] does.
+    /// Near peers come first, then newer versions. The random number `draw` breaks ties, so
+    /// that entries that learn of a version together don't all ask the same peer.
     #[must_use]
     pub fn next(&self, draw: u64, now: Time) -> NextRead {
         let hedge_at = self.reads.values().max().map(|since| *since + HEDGE_DELAY);
@@ -166,13 +173,15 @@
         NextRead::From(*tied[at])
     }
 
-    /// Returns the newest version that a peer reported, if it is newer than the own one.
+    /// Returns the newest version among the tracked peers; `None` if no peer is known to have
+    /// a newer one than this entry.
     #[must_use]
     pub fn newest(&self) -> Option<BookVersion> {
         self.ahead.values().map(|ahead| ahead.version).max()
     }
 
-    /// Returns for how long a newer version has been known, if one is.
+    /// Returns how long before `now` a newer version was first reported; `None` if this entry
+    /// is up to date.
     #[must_use]
     pub fn lag(&self, now: Time) -> Option<Duration> {
         self.since.map(|since| now.since(since))
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -30,7 +30,7 @@
     shared::Shared,
 };
 
-/// Suspect attempts that wait for a check. Further ones are dropped: a request that
+/// Suspect attempts that may wait for a check. Further ones are dropped: a request that
 /// crashes leafs is sent again.
 const QUEUE_MAX: usize = 256;
 /// Attempts that are checked concurrently.
@@ -48,22 +48,24 @@
 /// Interval at which expired records are removed, while there is nothing to report.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An attempt that no leaf answered, with the leafs whose connection was lost.
+/// An attempt that no leaf answered: the request's fingerprint, and the leafs whose connection
+/// was lost, by id and address.
 pub(crate) struct SuspectAttempt {
     fingerprint: Fingerprint,
     leafs: Vec<(LeafId, std::net::SocketAddr)>,
 }
 
-/// The queue of suspect attempts to check.
+/// The receiving end of the queue of suspect attempts to check.
 pub(crate) type SuspectReceiver = mpsc::Receiver<SuspectAttempt>;
 
-/// The bounded queue of suspect attempts.
+/// Creates the queue of suspect attempts, bounded by [`QUEUE_MAX`].
 pub(crate) fn suspect_channel() -> (mpsc::Sender<SuspectAttempt>, SuspectReceiver) {
     mpsc::channel(QUEUE_MAX)
 }
 
 /// A running attempt at a request. Dropping it, also when the caller disconnects, passes
-/// the outcomes of its calls to the quarantine.
+/// the outcomes of its calls on: an answer is recorded in the ledger; without one, the
+/// leafs with lost connections are queued for a check.
 pub(crate) struct Attempt<'a> {
     shared: &'a Shared,
     fingerprint: Fingerprint,
@@ -71,7 +73,7 @@
 }
 
 impl<'a> Attempt<'a> {
-    /// An attempt whose calls are recorded in `outcomes`.
+    /// Starts an attempt at the request `fingerprint` whose calls are recorded in `outcomes`.
     pub(crate) fn new(
         shared: &'a Shared,
         fingerprint: Fingerprint,
@@ -122,11 +124,12 @@
     }
 }
 
-/// Decides how a request is handled: in full or with a single trial call.
+/// Decides by the ledger how a request is handled: trusted, or as suspect with a single trial
+/// call, which counts as started.
 ///
 /// # Errors
 ///
-/// The request is quarantined and must not run.
+/// The request is quarantined and must not run; the refusal says when to retry.
 pub(crate) fn admit(shared: &Shared, fingerprint: Fingerprint) -> Result<Trust, Declined> {
     match lock(&shared.ledger).admit(fingerprint, shared.now()) {
         Handling::Free => Ok(Trust::Trusted),
@@ -139,7 +142,8 @@
     }
 }
 
-/// Merges reports of other entries, or of the store, into the ledger.
+/// Merges reports of other entries, or of the store, into the ledger. Updates the metrics of
+/// records, and wakes the task that gossips if the ledger changed.
 pub(crate) fn merge_reports(shared: &Shared, reports: &[SuspectReport]) {
     if reports.is_empty() {
         return;
@@ -159,12 +163,13 @@
     }
 }
 
-/// The reports to attach to the next message, among this number of members.
+/// Takes the reports to attach to the next messages, at most [`RECORDS_PER_MESSAGE`]; `members`
+/// is the number of present members, among which they spread.
 pub(crate) fn next_reports(shared: &Shared, members: usize) -> Vec<SuspectReport> {
     lock(&shared.ledger).next_reports(RECORDS_PER_MESSAGE, members, shared.now())
 }
 
-/// Checks suspect attempts for as long as the entry runs.
+/// Checks suspect attempts, up to [`CHECKS_MAX`] at once, for as long as the entry runs.
 pub(crate) async fn check_suspects(shared: Arc<Shared>, suspects: SuspectReceiver) {
     let cache = Mutex::new(BTreeMap::new());
     let suspects = stream::unfold(suspects, |mut suspects| async move {
@@ -179,7 +184,9 @@
 /// Recent results of leaf checks, with their time.
 type CheckCache = Mutex<BTreeMap<LeafId, (Time, Listening)>>;
 
-/// Checks the leafs of a suspect attempt and records those that have crashed.
+/// Checks the leafs of a suspect attempt, and records those that refuse connections as crashed
+/// under its request. Does nothing if there are none. A change of the ledger is gossiped,
+/// and written to the store if the request is blamed.
 async fn check_leafs(shared: &Shared, cache: &CheckCache, suspect: SuspectAttempt) {
     let SuspectAttempt {
         fingerprint,
@@ -220,7 +227,8 @@
     }
 }
 
-/// Queues an update of the store's record of a request.
+/// Queues an update of the store's record of a request; drops it with a warning if the queue
+/// is full.
 fn queue_update(shared: &Shared, fingerprint: Fingerprint) {
     // A dropped update is no loss while other entries still have the record.
     if shared.record_updates.try_send(fingerprint).is_err() {
@@ -228,8 +236,9 @@
     }
 }
 
-/// Checks whether a leaf still accepts connections. A lost connection alone is no evidence
-/// of a crash: running leafs reset connections and cut off answers too.
+/// Checks whether a leaf still accepts connections, unless a result from the last
+/// [`CHECK_TTL`] is cached; unknown after [`CONNECT_TIMEOUT`]. A lost connection alone is no
+/// evidence of a crash: running leafs reset connections and cut off answers too.
 async fn check_leaf(
     shared: &Shared,
     cache: &CheckCache,
@@ -249,8 +258,8 @@
     found
 }
 
-/// Reports changed records to other entries, and removes expired ones, for as long as the
-/// entry runs.
+/// Reports changed records to a sample of other entries when the ledger says that a push is
+/// due, and removes expired ones, for as long as the entry runs.
 pub(crate) async fn gossip(shared: Arc<Shared>, members: Arc<Members>) {
     loop {
         let due = lock(&shared.ledger).push_due();
--- a/crates/relay/src/quota.rs
+++ b/crates/relay/src/quota.rs
@@ -22,7 +22,8 @@
 /// this.
 const NON_SERVING_DIVISOR: usize = 2;
 
-/// The entries that share the extra-call budget and the leafs' connections.
+/// The numbers of serving and other entries that share the extra-call budget and the leafs'
+/// connections, and this entry's role, from which its part of both follows.
 ///
 /// An extra call is a hedge or a retry: any call after the first of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +37,8 @@
 }
 
 impl Quota {
-    /// Returns the quota to use until the other entries are known. It assumes many:
+    /// Returns the quota to use until the other entries are known: that of one of 16 serving
+    /// entries. It assumes many:
     /// with too few, entries that start together would exceed the shared bounds.
     #[must_use]
     pub fn initial() -> Self {
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Returns how many extra calls this entry may accumulate, so that all entries
-    /// together stay within the slack.
+    /// Returns this entry's part of `extra.slack`, the extra calls in a window beyond the
+    /// ratio, so that all entries together stay within it.
     #[must_use]
     pub fn slack(&self, extra: &ExtraCalls) -> f64 {
         let serving = self.serving.max(1) as f64;
@@ -62,7 +64,7 @@
     }
 
     /// Returns how many connections this entry may open to a leaf that accepts `most`
-    /// from all entries together; at least one.
+    /// from all entries together; at least one, so many entries may exceed `most`.
     #[must_use]
     pub fn connections(&self, most: usize) -> usize {
         let others = self.others.min(most / NON_SERVING_DIVISOR);
@@ -73,26 +75,32 @@
     }
 }
 
-/// An exponentially weighted moving average of an event rate.
+/// An event rate in events per second, smoothed by an exponentially weighted moving average
+/// over samples of a total count.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     time_constant: Duration,
+    /// The average, in events per second.
     rate: f64,
+    /// The total count at the last sample.
     count: u64,
+    /// Time of the last sample.
     updated: Time,
 }
 
-/// Default time constant of the average.
+/// Default time constant of the average of a [`Rate`].
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 impl Default for Rate {
+    /// A smoothed rate that starts at zero, with a time constant of 2 s.
     fn default() -> Self {
         Self::with_time_constant(RATE_TIME_CONSTANT)
     }
 }
 
 impl Rate {
-    /// Returns a rate of zero that is averaged with the time constant `time_constant`.
+    /// Returns a rate that starts at zero and is averaged with `time_constant`: a longer one
+    /// smooths more and follows changes more slowly.
     #[must_use]
     pub fn with_time_constant(time_constant: Duration) -> Self {
         Self {
@@ -104,7 +112,7 @@
     }
 
     /// Records the total count of events so far and returns the average in events per
-    /// second.
+    /// second, rounded down. A second sample at the same `now` changes nothing.
     pub fn record(&mut self, count: u64, now: Time) -> u32 {
         let elapsed = now.since(self.updated).as_secs_f64();
         if elapsed > 0.0 {
--- a/crates/relay/src/ranking.rs
+++ b/crates/relay/src/ranking.rs
@@ -12,18 +12,20 @@
 /// first watches the store; the second takes over within a revision poll if it fails.
 const MAX_WATCHERS: usize = 2;
 
-/// The live entries by failure domain, in descending order of weight.
+/// The live entries that accept work, ranked by descending weight in their failure domain:
+/// all of the own domain, and the first of each other one.
 pub(crate) struct Ranking {
-    /// Peer addresses of the entries in the own domain.
+    /// Peer addresses of the entries in the own domain, this one included unless it is leaving.
     pub(crate) local: Vec<SocketAddr>,
-    /// Position of this entry in the own domain, unless it is leaving.
+    /// Position of this entry in `local`, from 0; none if it is leaving.
     pub(crate) own_rank: Option<usize>,
-    /// Peer address of the entry with the greatest weight in each other domain.
+    /// Peer address of the entry with the greatest weight in each other domain, rotated by a
+    /// hash of the own id so that entries prefer different domains.
     remote: Vec<SocketAddr>,
 }
 
 impl Ranking {
-    /// Ranks `own` and the live entries among `others`.
+    /// Ranks this entry, `own`, and those of `others` that are alive and accept work.
     pub(crate) fn new<'a>(own: &'a Member, others: impl Iterator<Item = &'a Member>) -> Self {
         let mut domains: BTreeMap<&DomainName, Vec<&Member>> = BTreeMap::new();
         let accepting = others
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Returns the other entries that may watch the store, in order of preference.
+    /// Returns the peer addresses of the other entries that may watch the store, in order of
+    /// preference: the first [`MAX_WATCHERS`] of the own domain, then the first of others.
     pub(crate) fn watchers(&self) -> Vec<SocketAddr> {
         let local = self.local.iter().enumerate().take(MAX_WATCHERS);
         let local = local.filter(|(rank, _)| Some(*rank) != self.own_rank);
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -17,7 +17,8 @@
     shared::Shared,
 };
 
-/// The stored record of a quarantined request.
+/// The stored record of a quarantined request: the report of its crashes, and when it was
+/// written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantineRecord {
     /// The crashes under the request, at the time of writing.
@@ -38,26 +39,27 @@
     fn remove(&self, fingerprint: Fingerprint) -> BoxFuture<'_, Result<(), FeedError>>;
 }
 
-/// Record updates that wait to be written. Further ones are dropped: the stored records
+/// Record updates that may wait to be written. Further ones are dropped: the stored records
 /// only matter once no entry has them in memory.
 const QUEUE_MAX: usize = 64;
-/// Delay of the first read after the start. By then the seeds have usually answered, and
+/// Delay of the first read after the entry serves. By then the seeds have usually answered, and
 /// no read is needed.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(200);
 /// Interval between reads of an entry that watches the store or knows no other entry.
 const READ_INTERVAL: Duration = Duration::from_secs(20);
 /// Interval between checks whether a read is due. An isolated entry reads at every check.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Backoff after a failed write.
+/// Backoff after a failed write, unless the store refused it.
 const WRITE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The bounded queue of requests whose stored record is to be updated.
+/// Creates the queue of requests whose stored record is to be updated, bounded by
+/// [`QUEUE_MAX`].
 pub(crate) fn update_channel() -> (mpsc::Sender<Fingerprint>, mpsc::Receiver<Fingerprint>) {
     mpsc::channel(QUEUE_MAX)
 }
 
-/// Writes this entry's records to the store and reads those of others, for as long as the
-/// entry runs.
+/// Writes the records of the requests in `updates` to the store and reads those of others,
+/// from when the entry serves.
 ///
 /// Gossip alone is not enough: all entries may restart together, or an entry may reach the
 /// store but no other entry. Without the stored records, more leafs would crash before the
@@ -107,8 +109,9 @@
     }
 }
 
-/// Writes the pending records in their current state. Returns whether none has to be
-/// retried.
+/// Writes the record of each pending request from the ledger, or removes it if the request is
+/// no longer blamed. Returns false at the first failure to retry, with the rest left in
+/// `pending`; a write that the store refused is dropped.
 async fn write_pending(
     shared: &Shared,
     records: &dyn RecordStore,
@@ -136,8 +139,8 @@
     true
 }
 
-/// Reads all records and merges them into the ledger. The member with the lowest id removes
-/// those that have expired or whose request was answered since.
+/// Reads all records and merges them into the ledger; a failure is logged. The member with the
+/// lowest id removes those that have expired or whose request was answered since.
 async fn read_all(shared: &Shared, members: &Members, records: &dyn RecordStore) {
     shared.metrics.count_store_call("records");
     let list = match records.list().await {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -33,7 +33,8 @@
     upstream_poll,
 };
 
-/// Serves this entry's feeds to other entries and returns the client of theirs.
+/// Called once at the start: serves this entry's feeds to other entries and returns the
+/// client of theirs. Fails if the address for peers can't be bound.
 pub type FeedBinder = Box<
     dyn FnOnce(Arc<dyn FeedService>) -> BoxFuture<'static, io::Result<Arc<dyn PeerFeeds>>> + Send,
 >;
@@ -62,16 +63,19 @@
     pub traffic: Arc<Traffic>,
 }
 
-/// A running entry. Clones share it; dropping the last one ends its tasks.
+/// The handle of a running entry. Clones share the entry; dropping the last one ends its
+/// tasks.
 #[derive(Clone)]
 pub struct Relay {
     shared: Arc<Shared>,
     members: Arc<Members>,
+    /// The background tasks, which end when the last clone is dropped.
     _tasks: Arc<JoinSet<()>>,
 }
 
 impl Relay {
-    /// Starts the tasks of an entry over `ports`.
+    /// Starts the tasks of an entry over `ports` and returns its handle, without waiting
+    /// until the entry serves ([`Relay::phases`] tells).
     ///
     /// # Errors
     ///
@@ -132,8 +136,8 @@
         })
     }
 
-    /// Forwards a request to leafs and returns the reply. Dropping the future cancels its
-    /// calls.
+    /// Forwards a request to leafs and returns the reply, [`Reply::Declined`] if there is no
+    /// answer. Dropping the future cancels its calls.
     pub async fn forward(&self, request: RelayRequest) -> Reply {
         forward::forward(&self.shared, request).await
     }
@@ -150,7 +154,8 @@
         self.shared.phase.subscribe()
     }
 
-    /// Limits on callers, from the route book in force.
+    /// Limits on callers, from the route book in force; the default limits before the first
+    /// book.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         let state = lock(&self.shared.cell.state);
@@ -158,7 +163,8 @@
         book.map_or_else(CallerLimits::default, |book| book.limits)
     }
 
-    /// Addresses of entries that callers should connect to, at most `most`.
+    /// Addresses of the serving entries that callers should connect to, a random selection of
+    /// at most `most`. This entry is among them only while it serves.
     #[must_use]
     pub fn addresses(&self, most: usize) -> Vec<SocketAddr> {
         self.members.addresses(&self.shared, most)
@@ -170,7 +176,8 @@
         lock(&self.shared.cell.state).extra.times.ttl
     }
 
-    /// The entry's metrics in the Prometheus text format.
+    /// The entry's metrics in the Prometheus text format; first updates those that are read
+    /// from other counters.
     #[must_use]
     pub fn metrics(&self) -> String {
         let in_flight = self.shared.in_flight.load(Ordering::Relaxed);
@@ -181,7 +188,7 @@
         self.shared.metrics.text()
     }
 
-    /// Longest time from the stop signal to the end of the process.
+    /// Longest time from the stop signal to the end of the process, from the settings.
     #[must_use]
     pub fn grace(&self) -> Duration {
         lock(&self.shared.cell.state).extra.times.grace
@@ -193,7 +200,8 @@
         self.shared.reload(settings.extra, settings.times);
     }
 
-    /// Maximum number of open connections from callers.
+    /// Maximum number of open connections from callers, a share of the entry's file
+    /// descriptors.
     #[must_use]
     pub fn max_caller_connections(&self) -> usize {
         self.shared.settings.entry.max_caller_connections()
@@ -205,8 +213,8 @@
         self.shared.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Starts a planned stop: callers are directed to other entries, and requests that
-    /// still arrive are served.
+    /// Starts a planned stop: sets [`Phase::Leaving`] and announces it to other members, which
+    /// no longer direct callers here. Requests that still arrive are served.
     pub async fn leave(&self) {
         let shared = &self.shared;
         shared.phase.send_replace(Phase::Leaving);
@@ -215,8 +223,8 @@
         members::leave(shared, &self.members).await;
     }
 
-    /// Waits until no request is in flight, for at most `wait`, and announces to the other
-    /// members that the entry stops.
+    /// Waits until no request is in flight, for at most `wait`, and then announces to other
+    /// members that the entry stops. It does not end the tasks.
     pub async fn finish(&self, wait: Duration) {
         /// Interval between checks for requests in flight.
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -10,7 +10,8 @@
 
 use crate::shared::Shared;
 
-/// Interval between log lines, long enough that they are few beside those of requests.
+/// Interval between log lines of bytes and calls, long enough that they are few beside those
+/// of requests.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Total bytes by purpose, distance and flow.
@@ -28,7 +29,8 @@
         bytes
     }
 
-    /// The bytes counted since `before`, as `purpose=local in/local out/remote in/remote out`.
+    /// The bytes counted since `before`, an earlier reading, as
+    /// `purpose=local in/local out/remote in/remote out` for each purpose.
     fn since(&self, before: &Self) -> String {
         let mut text = String::new();
         for purpose in Purpose::ALL {
@@ -62,14 +64,15 @@
     Purpose::ALL.into_iter().flat_map(pairs)
 }
 
-/// Totals of extra calls: their budget, and the calls made.
+/// Totals of the extra-call budgets (earned, discarded, spent) and of the calls made by kind.
 #[derive(Clone, Copy, Default)]
 struct ExtraTotals {
     totals: BudgetTotals,
     counts: CallCounts,
 }
 
-/// Logs the use of bytes and calls since the last line, for as long as the entry runs.
+/// Logs the bytes, store calls and extra calls since the last line, and the estimated caller
+/// delays, for as long as the entry runs. No line on extra calls if there was no first call.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let (mut bytes, mut extra) = (ByteTotals::default(), ExtraTotals::default());
     loop {
@@ -109,7 +112,8 @@
     }
 }
 
-/// Updates the metrics that are read from counters elsewhere.
+/// Updates the metrics that are read from counters elsewhere: bytes, calls in flight to
+/// evacuated domains, and extra calls.
 pub(crate) fn update_metrics(shared: &Shared) {
     for (purpose, distance, flow) in byte_kinds() {
         let bytes = shared.traffic.get(purpose, distance, flow);
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -52,9 +52,10 @@
     pub files: usize,
 }
 
-/// Processor time of one leaf call, in core seconds.
+/// Processor time of one leaf call, in core seconds, for the weight of an entry.
 const CALL_CORE_SECONDS: f64 = 85e-6;
-/// Network traffic of one leaf call in both directions, in megabits.
+/// Network traffic of one leaf call in both directions, in megabits, for the weight of an
+/// entry.
 const CALL_MEGABITS: f64 = 11.2e-3;
 
 /// Share of the file descriptors for connections from callers. Leafs, the store and other
@@ -62,7 +63,8 @@
 const CALLERS_SHARE: f64 = 0.6;
 
 impl RelayEntry {
-    /// Maximum number of open connections from callers.
+    /// Maximum number of open connections from callers, a fixed share of the file
+    /// descriptors.
     #[must_use]
     pub fn max_caller_connections(&self) -> usize {
         (self.files as f64 * CALLERS_SHARE) as usize
@@ -138,7 +140,7 @@
     pub ttl: Duration,
 }
 
-/// Default for [`Times::ttl`], short enough that callers drop a leaving entry before its
+/// Default for [`Times::ttl`], 2 s: short enough that callers drop a leaving entry before its
 /// grace time is over.
 fn ttl() -> Duration {
     Duration::from_secs(2)
@@ -153,13 +155,15 @@
 const LEAF_RECOVERY_SHARE: f64 = 0.75;
 
 impl Times {
-    /// How long a leaving leaf may still be called if no other leaf is available.
+    /// How long a leaving leaf may still be called if no other leaf is available, counted from
+    /// when this entry learns of it: the drain time less that of propagation.
     #[must_use]
     pub fn draining_leaf_grace(&self) -> Duration {
         self.drain.saturating_sub(PROPAGATION_MAX)
     }
 
-    /// How long a leaf may still be called after its entry in the store has expired.
+    /// How long a ready leaf may still be called after its entry in the store has gone missing;
+    /// limited by a share of the drain time.
     #[must_use]
     pub fn missing_leaf_grace(&self) -> Duration {
         LEAF_RECOVERY.min(self.drain.mul_f64(LEAF_RECOVERY_SHARE))
@@ -191,6 +195,8 @@
         Ok(settings)
     }
 
+    /// Checks the ranges of the values, and that callers and readiness have different addresses.
+    /// The error for the first invalid value names `path` and the key, and how to correct it.
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
         let fail = |key, problem: String, fix| {
             Err(SettingsError::Value {
@@ -244,9 +250,10 @@
     }
 }
 
-/// Fewest file descriptors, as some are reserved for other uses than sockets.
+/// Fewest file descriptors that `entry.files` may give, as some are reserved for other uses
+/// than sockets.
 const FILES_MIN: usize = 300;
-/// Greatest slack, far above the load of any service.
+/// Greatest `extra.slack`, `cold.over` and `cold.slack`, far above the load of any service.
 const SLACK_MAX: f64 = 1e6;
-/// Shortest grace time: other entries and callers have to learn of the stop.
+/// Shortest `times.grace`: other entries and callers have to learn of the stop.
 const GRACE_MIN: Duration = Duration::from_secs(1);
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -32,10 +32,11 @@
     upstream::{Upstream, UpstreamSelector},
 };
 
-/// The lifecycle phase of an entry.
+/// The lifecycle phase of an entry: starting, serving or leaving, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The entry has no book, or no list of leafs, yet.
+    /// The entry lacks the book, the leafs or the list of evacuated domains; it declines
+    /// requests.
     Starting,
     /// The entry serves callers.
     Serving,
@@ -47,7 +48,8 @@
 /// or compaction: shorter sends calls into the stall, longer idles a recovered leaf.
 const STALL_COOLDOWN: Duration = Duration::from_millis(250);
 
-/// The state and notifications that the tasks of one entry share.
+/// What the tasks of one entry share: settings, ports, the routing table with the relay state,
+/// the upstream and feed copies, the quarantine ledger, metrics and notifications.
 pub(crate) struct Shared {
     /// The settings that the entry started with.
     pub(crate) settings: RelaySettings,
@@ -63,11 +65,11 @@
     pub(crate) traffic: Arc<Traffic>,
     /// The lifecycle phase.
     pub(crate) phase: watch::Sender<Phase>,
-    /// The outcome of the last revision polls of the store.
+    /// Whether the store is lost and its greatest revision, from the revision polls.
     pub(crate) store_status: watch::Sender<StoreStatus>,
     /// The current upstream; none while no peer that was asked has answered.
     pub(crate) upstream: watch::Sender<Option<Upstream>>,
-    /// What this entry passes on to its followers.
+    /// The book, leafs and evacuations that this entry passes on to its followers.
     pub(crate) feed_copies: FeedCopies,
     /// The choice of the upstream, and the peers that failed as one.
     pub(crate) upstream_selector: Mutex<UpstreamSelector>,
@@ -77,7 +79,7 @@
     pub(crate) newer_book: Notify,
     /// The version of the book in force; 0 if there is none.
     pub(crate) version: watch::Sender<BookVersion>,
-    /// Notified when leafs become cold, or their rate limits change.
+    /// Notified when leafs become cold, or their rate limits or the evacuations change.
     pub(crate) cold_changed: Notify,
     /// Notified when the upstream has to be chosen again.
     pub(crate) upstream_changed: Notify,
@@ -85,7 +87,7 @@
     pub(crate) ledger: Mutex<SuspectLedger>,
     /// Notified when the ledger has updates to send.
     pub(crate) ledger_changed: Notify,
-    /// Queue of failed calls to examine for a suspect request.
+    /// Queue of attempts without an answer whose lost leafs are to be checked for crashes.
     pub(crate) suspect_attempts: mpsc::Sender<SuspectAttempt>,
     /// Queue of requests whose record in the store has to be updated.
     pub(crate) record_updates: mpsc::Sender<Fingerprint>,
@@ -98,7 +100,8 @@
 }
 
 impl Shared {
-    /// Creates the state of an entry that starts.
+    /// Creates the state of an entry that starts, with no book, leafs or upstream. The senders
+    /// feed the queues of the quarantine and of its records.
     pub(crate) fn new(
         settings: RelaySettings,
         runtime: Runtime,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Returns the current time.
+    /// Returns the current time of the runtime's monotonic clock, from the start of the entry.
     pub(crate) fn now(&self) -> Time {
         self.runtime.now()
     }
@@ -152,12 +155,13 @@
         *self.phase.borrow()
     }
 
-    /// Returns a new request id.
+    /// Returns a new request id, unique in this entry; counted from 1.
     pub(crate) fn next_request(&self) -> RequestId {
         RequestId(self.requests.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Records that a peer failed as upstream, and has the upstream chosen again.
+    /// Records that a peer failed as upstream, which starts its backoff, and has the upstream
+    /// chosen again.
     pub(crate) fn failed(&self, peer: SocketAddr) {
         let now = self.now();
         lock(&self.upstream_selector).failed(peer, now.since(Time::ZERO), now);
@@ -169,7 +173,8 @@
         *self.version.borrow()
     }
 
-    /// Records the version of the book that a peer has in force.
+    /// Records the version of the book that a peer at distance `from` has in force, and sets
+    /// the lag metric. If a newer version is known, it wakes the task that fetches books.
     pub(crate) fn record_peer_version(
         &self,
         peer: SocketAddr,
@@ -192,7 +197,9 @@
         }
     }
 
-    /// Puts a book in force if it is newer than the one in force; returns whether it is.
+    /// Puts a book read at `from` in force if it is newer than the one in force; returns
+    /// whether it is. Drops what is kept of rules that it lacks, updates connection bounds and
+    /// cold limits, passes the book on to followers, and notifies tasks of its version.
     pub(crate) fn install_book(&self, mut book: RouteBook, from: Upstream) -> bool {
         let (now, version) = (self.now(), book.version);
         if from == Upstream::Store {
@@ -227,7 +234,8 @@
         true
     }
 
-    /// Applies the settings that may change while the entry runs.
+    /// Applies the settings that may change while the entry runs: the bound on extra calls,
+    /// and the times with the timeouts of leafs that follow from them.
     pub(crate) fn reload(&self, extra: ExtraCalls, times: Times) {
         let mut state = lock(&self.cell.state);
         let state = &mut *state;
@@ -240,12 +248,13 @@
         set_budgets(state);
     }
 
-    /// Returns the failure domains of the leafs that the book's rules use.
+    /// Returns the failure domains and the number of the leafs that the book's rules use.
     pub(crate) fn leaf_domains(&self) -> Arc<LeafDomains> {
         lock(&self.cell.state).extra.leaf_domains()
     }
 
-    /// Sets this entry's quota of the resources that all entries share.
+    /// Sets this entry's quota of the resources that all entries share. If it has changed,
+    /// updates the extra-call budgets and the bounds of all leafs, and logs it.
     pub(crate) fn set_quota(&self, quota: Quota) {
         let mut state = lock(&self.cell.state);
         let state = &mut *state;
@@ -260,7 +269,8 @@
     }
 }
 
-/// Keeps the state of the rules that `book` names, and frees the classes of all others.
+/// Keeps what is known of the rules that `book` names, and frees the classes of all others,
+/// except the shared default class.
 fn retain_rules(relay_state: &mut RelayState, book: &RouteBook) {
     let named: BTreeSet<&String> = book.rules().map(|rule| &rule.name).collect();
     relay_state.rules.retain(|name, kept| {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -25,7 +25,7 @@
     settings::{ExtraCalls, RelaySettings, Times},
 };
 
-/// The address and attributes of a leaf that can be called.
+/// A leaf in the routing table: id, address, service, distance and number of slots.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     /// The leaf's id.
@@ -34,7 +34,7 @@
     pub(crate) address: SocketAddr,
     /// The service that the leaf runs.
     pub(crate) service: ServiceName,
-    /// Whether the leaf is in this entry's failure domain.
+    /// Near if the leaf is in this entry's failure domain, far otherwise.
     pub(crate) distance: Distance,
     /// Requests that the leaf runs at once.
     pub(crate) slots: u32,
@@ -43,10 +43,12 @@
 /// Size of a leaf's signature in a merged answer, in bytes.
 const SIGNATURE_BYTES: usize = 36;
 
-/// Connections that a leaf accepts from all entries if the book does not list its service.
+/// Connections that a leaf accepts from all entries together if the book does not list its
+/// service.
 const DEFAULT_CONNECTIONS: usize = 8;
 
-/// The state of one rule, kept by the rule's name across versions of the book.
+/// What is kept of one rule, by its name, across versions of the book: its call class, its
+/// position in the weighted round robin, and the greatest remaining time of its callers.
 #[derive(Debug)]
 pub(crate) struct RuleState {
     /// The class of calls whose statistics the rule uses.
@@ -57,7 +59,8 @@
     pub(crate) max_remaining: MaxRemaining,
 }
 
-/// The failure domains of the leafs that the book's rules use.
+/// The failure domains and the number of the leafs that the book's rules use: those
+/// registered as ready, outside evacuated domains.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeafDomains {
     /// Failure domains whose leafs cover at least half as many of these services as the
@@ -72,7 +75,7 @@
 pub(crate) struct RelayState {
     /// The book in force; none before the first.
     pub(crate) book: Option<Arc<RouteBook>>,
-    /// The known leafs.
+    /// The known leafs, from their registrations.
     pub(crate) leafs: Leafs,
     /// The evacuated failure domains.
     pub(crate) evacuations: Evacuations,
@@ -80,11 +83,11 @@
     pub(crate) cold: ColdLeafs,
     /// Adjustment of the rate limit of cold leafs, from the settings.
     pub(crate) cold_limits: ColdLimits,
-    /// The endpoints of the leafs, by their index in the table.
+    /// The endpoints of the leafs, by their index in the table; removed leafs have none.
     pub(crate) endpoints: BTreeMap<Ix, Endpoint>,
     /// Estimates of the time that requests spend outside this entry.
     pub(crate) caller_delays: CallerDelays,
-    /// The state of each rule, by its name.
+    /// The class, round robin and greatest remaining time of each rule, by its name.
     pub(crate) rules: BTreeMap<String, RuleState>,
     /// Classes of removed rules, free for reuse.
     pub(crate) free_classes: Vec<Class>,
@@ -92,7 +95,8 @@
     pub(crate) budgets: BTreeMap<ServiceName, BudgetId>,
     /// The admission queue of each list of services that a rule calls.
     pub(crate) queues: BTreeMap<Vec<ServiceName>, QueueId>,
-    /// Cached routes of each list of services; cleared when leafs change.
+    /// Cached routes of each list of services; cleared when leafs change, unless they only
+    /// became cold.
     pub(crate) routes: BTreeMap<Vec<ServiceName>, Arc<Routes>>,
     /// Cached failure domains of the leafs; none until they are computed.
     pub(crate) leaf_domains: Option<Arc<LeafDomains>>,
@@ -107,7 +111,8 @@
 }
 
 impl RelayState {
-    /// Creates the state of an entry that has received no book and no leafs.
+    /// Creates the state of an entry that has received no book, leafs or evacuations, with the
+    /// limits and times of `settings` and the initial quota.
     pub(crate) fn new(settings: &RelaySettings) -> Self {
         let times = settings.times;
         Self {
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Returns the transmission delay of an answer to `rule` on this entry's link. It
-    /// matters for gathers, whose answers carry a signature per shard.
+    /// Returns the transmission delay of the largest answer to `rule` on this entry's link:
+    /// a signature per shard and the records of a gather; zero for other targets.
     pub(crate) fn transmission_delay(&self, rule: &Rule) -> Duration {
         let Target::Gather { shards, top, .. } = &rule.target else {
             return Duration::ZERO;
@@ -141,7 +146,8 @@
         Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link * 1e6))
     }
 
-    /// Returns the failure domains of the leafs that the book's rules use, cached.
+    /// Returns the failure domains of the leafs that the book's rules use. The result is
+    /// cached until the book, the leafs or the evacuations change.
     pub(crate) fn leaf_domains(&mut self) -> Arc<LeafDomains> {
         if let Some(leaf_domains) = &self.leaf_domains {
             return leaf_domains.clone();
@@ -151,6 +157,8 @@
         leaf_domains
     }
 
+    /// Computes [`LeafDomains`] from the book, the leafs and the evacuations; empty without a
+    /// book.
     fn find_leaf_domains(&self) -> LeafDomains {
         let rules = self.book.iter().flat_map(|book| book.rules());
         let services: BTreeSet<&ServiceName> =
@@ -181,14 +189,16 @@
         }
     }
 
-    /// Returns how many connections this entry may open to a leaf of `service`.
+    /// Returns how many connections this entry may open to a leaf of `service`: its quota of
+    /// the book's limit, or of [`DEFAULT_CONNECTIONS`]; at least one.
     pub(crate) fn connections(&self, service: &ServiceName) -> usize {
         let rule = self.book.as_ref().and_then(|book| book.service(service));
         let most = rule.map_or(DEFAULT_CONNECTIONS, |rule| rule.connections);
         self.quota.connections(most)
     }
 
-    /// Returns this entry's bounds on concurrent calls to a leaf.
+    /// Returns this entry's bounds on concurrent calls to a leaf, from the leaf's slots, the
+    /// number of serving entries and the connections that this entry may open.
     pub(crate) fn bounds(&self, endpoint: &Endpoint) -> Bounds {
         let connections = self.connections(&endpoint.service);
         Bounds::share(endpoint.slots, self.quota.serving, connections)
@@ -198,20 +208,22 @@
 /// The routing table and the relay state, which tasks share under one lock.
 pub(crate) type State = chestnut_flow::CellState<RelayState>;
 
-/// Concurrent requests of one list of services. It bounds memory; the leafs' own queues
-/// limit concurrency first.
+/// Concurrent requests of one admission queue, that is of one list of services. It bounds
+/// memory; the leafs' own queues limit concurrency first.
 const MAX_CONCURRENT_REQUESTS: u32 = 256;
-/// Requests that may be queued for admission.
+/// Requests that may wait in one admission queue.
 const MAX_QUEUED_REQUESTS: usize = 64;
 
-/// Updates the bounds on concurrent calls of all leafs.
+/// Recomputes the bounds on concurrent calls of all leafs, after a change of the book or of
+/// this entry's quota.
 pub(crate) fn set_bounds(state: &mut State) {
     for (ix, endpoint) in &state.extra.endpoints {
         state.table.set_bounds(*ix, state.extra.bounds(endpoint));
     }
 }
 
-/// Updates all extra-call budgets to the settings and this entry's quota.
+/// Updates the ratio, slack and window of all extra-call budgets to the settings and this
+/// entry's quota.
 pub(crate) fn set_budgets(state: &mut State) {
     let extra = state.extra.extra;
     let slack = state.extra.quota.slack(&extra);
@@ -223,7 +235,7 @@
     }
 }
 
-/// Creates the admission queue of one list of services.
+/// Creates an admission queue with a fixed concurrency limit, for one list of services.
 pub(crate) fn admission_queue() -> Admission {
     Admission::new(AdmitConfig {
         initial_limit: MAX_CONCURRENT_REQUESTS,
--- a/crates/relay/src/store_status.rs
+++ b/crates/relay/src/store_status.rs
@@ -8,7 +8,7 @@
 /// Longer than a slow store takes to answer a watch.
 const CHECK_DELAY: Duration = Duration::from_millis(800);
 
-/// State of the store according to its revision polls.
+/// Since when the store is lost, and its greatest revision, according to its revision polls.
 ///
 /// A watch whose answer was lost looks like one that waits: the connection is
 /// healthy and nothing arrives on it. Short watches would detect that, but each
@@ -20,7 +20,8 @@
 /// like any other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStatus {
-    /// When the store was lost: the first failed poll since the last answer.
+    /// When the store was lost: the first failed poll since the last answer. None while the
+    /// store answers, and before the first poll.
     lost_since: Option<Time>,
     /// Greatest revision seen.
     revision: u64,
@@ -29,8 +30,8 @@
 }
 
 impl StoreStatus {
-    /// Records an answered poll; returns for how long the store had been lost,
-    /// if it had.
+    /// Records a poll answered with `revision`; returns for how long the store had
+    /// been lost, `None` if it had not.
     pub fn record_answer(&mut self, revision: u64, now: Time) -> Option<Duration> {
         if revision > self.revision {
             self.revision = revision;
@@ -39,20 +40,20 @@
         self.lost_since.take().map(|since| now.since(since))
     }
 
-    /// Records a failed poll; returns whether the store was reachable before.
+    /// Records a failed poll; returns whether it is the first since the last answer.
     pub fn record_failure(&mut self, now: Time) -> bool {
         let new = self.lost_since.is_none();
         self.lost_since.get_or_insert(now);
         new
     }
 
-    /// Returns whether the last poll failed.
+    /// Returns whether the last recorded poll failed; false before the first.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.lost_since.is_some()
     }
 
-    /// Returns the greatest revision seen.
+    /// Returns the greatest revision seen; 0 before the first answer.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -8,7 +8,8 @@
 
 use crate::ranking::Ranking;
 
-/// Backoff of a peer that did not answer.
+/// Backoff of a peer that did not answer after [`SLOW_SEED_WAIT`] from the start, or has lost
+/// the store while it answers this entry.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
 /// Lifetime of a peer's report that it has lost the store, or of a redirect to another
 /// peer.
@@ -35,9 +36,10 @@
 /// Weight, in calls per second, from which an entry turns to the store so soon. Lighter
 /// ones are many and rarely serve callers, so their calls to the store would not pay off.
 const FAST_WEIGHT: u32 = 1500;
-/// Time that lighter entries ask the seeds.
+/// Time that lighter entries ask the seeds before the store.
 const SLOW_SEED_WAIT: Duration = Duration::from_millis(400);
-/// Backoff of a seed that did not answer, during that time.
+/// Backoff of a peer that did not answer or is not ready, during [`SLOW_SEED_WAIT`] from the
+/// start.
 const SEED_BACKOFF: Duration = Duration::from_millis(25);
 /// Time after the start for which an entry keeps the peer that answered it. With an
 /// incomplete view of the members, many would rank themselves first in their domain.
@@ -86,7 +88,8 @@
     }
 }
 
-/// The state from which an entry chooses its upstream.
+/// Chooses an entry's upstream, from the backoffs of peers and store, the peers that have lost
+/// the store, the last peer that answered, redirects, and the last answer of the store.
 ///
 /// The entry with the greatest weight in each failure domain watches the store and passes
 /// on updates. The others receive updates from it, from the second in the domain, or from
@@ -110,7 +113,7 @@
     redirect: Option<(SocketAddr, Time)>,
     /// End of the backoff of the store, after it did not answer this entry.
     store_backoff: Option<Time>,
-    /// Time of the store's last answer to this entry; none after a failure.
+    /// Time of the store's last answer to this entry; none after a failure, or before the first.
     last_answer: Option<Time>,
     /// Reason for the last choice.
     cause: Cause,
@@ -138,14 +141,14 @@
         self.back_off(peer, now + backoff);
     }
 
-    /// Records that a peer answered.
+    /// Records that a peer answered: it becomes the current one, and has the store again.
     pub fn answered(&mut self, peer: SocketAddr) {
         self.lost.remove(&peer);
         self.current = Some(peer);
     }
 
-    /// Records that a peer has lost the store. If the store has just answered this entry,
-    /// the peer counts as failed instead.
+    /// Records that a peer has lost the store, which holds for a few seconds. If the store has just
+    /// answered this entry, the peer counts as failed instead.
     pub fn lost(&mut self, peer: SocketAddr, now: Time) {
         self.clear_current(peer);
         match self
@@ -157,7 +160,8 @@
         };
     }
 
-    /// Records that `peer` redirected this entry, whose address is `own`, to `to`.
+    /// Records that `peer` redirected this entry, whose address is `own`, to `to`, which is then
+    /// preferred for a few seconds. If `to` is unusable or `own`, `peer` goes into backoff.
     ///
     /// If `to` has lost the store, `peer` has lost it too and will notice. Were `peer` only
     /// put into backoff, the quorum would be missed and all entries would ask the store.
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Records that the store answered this entry.
+    /// Records that the store answered this entry at `now`.
     pub fn store_answered(&mut self, now: Time) {
         self.last_answer = Some(now);
     }
@@ -194,7 +198,8 @@
         self.last_answer = None;
     }
 
-    /// Returns whether the store is in backoff, as it did not answer this entry.
+    /// Returns whether the store is in backoff, as it did not answer this entry. A backoff ends
+    /// with the next [`UpstreamSelector::choose`] after its time.
     #[must_use]
     pub fn is_store_in_backoff(&self) -> bool {
         self.store_backoff.is_some()
@@ -215,7 +220,8 @@
         self.current == Some(peer)
     }
 
-    /// Returns whether a peer has lost the store.
+    /// Returns whether a peer has lost the store, by a report that had not expired at the last
+    /// [`UpstreamSelector::choose`].
     #[must_use]
     pub fn is_lost(&self, peer: SocketAddr) -> bool {
         self.lost.contains_key(&peer)
@@ -226,7 +232,7 @@
         !self.backoffs.contains_key(&peer) && !self.lost.contains_key(&peer)
     }
 
-    /// Starts the backoff of a peer.
+    /// Starts the backoff of a peer, which is no longer the current one.
     fn back_off(&mut self, peer: SocketAddr, until: Time) {
         self.clear_current(peer);
         self.backoffs.insert(peer, until);
@@ -238,7 +244,7 @@
     }
 
     /// Chooses the upstream of `own`, which started `age` ago, among the store, the known
-    /// members `others` and the seeds.
+    /// members `others` and the seeds. Expires backoffs and reports, and keeps the reason.
     pub fn choose<'a>(
         &mut self,
         own: &'a Member,
@@ -256,13 +262,14 @@
         upstream
     }
 
-    /// Returns the reason for the last choice.
+    /// Returns the reason for the last choice; [`Cause::Starts`] before the first.
     #[must_use]
     pub fn cause(&self) -> Cause {
         self.cause
     }
 
-    /// Chooses the upstream by the ranking, without expiring any state.
+    /// Chooses the upstream and its reason by the ranking, without expiring or changing what is
+    /// recorded.
     fn decide(
         &self,
         own: &Member,
@@ -312,20 +319,23 @@
         }
     }
 
-    /// Returns the first usable peer of `watchers`.
+    /// Returns the first usable peer of `watchers`; `None` if all are in backoff or have lost
+    /// the store.
     fn first_usable(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
         let peer = watchers.iter().find(|peer| self.is_usable(**peer));
         peer.copied()
     }
 
-    /// Returns one of `watchers` that has lost the store, if a quorum has.
+    /// Returns the first of `watchers` that has lost the store; `None` unless [`LOST_QUORUM`] of
+    /// them have.
     fn find_lost(&self, watchers: &[SocketAddr]) -> Option<SocketAddr> {
         let mut lost = watchers.iter().filter(|peer| self.is_lost(**peer));
         let enough = lost.clone().count() >= LOST_QUORUM;
         lost.next().copied().filter(|_| enough)
     }
 
-    /// Chooses the upstream before any member is known.
+    /// Chooses the upstream of an entry that knows at most one live entry in its domain, usually
+    /// itself: a seed until [`seed_wait`] is over, then the store.
     fn seed_upstream(&self, own: &Member, seeds: &[SocketAddr], age: Duration) -> Upstream {
         if age >= seed_wait(own) {
             return Upstream::Store;
@@ -339,8 +349,8 @@
         }
     }
 
-    /// Picks one of the seeds that are not in backoff, by a hash of the member id; the
-    /// store if there is none.
+    /// Picks one of the seeds `peers` that are not in backoff, by a hash of the own member id;
+    /// the store if there is none.
     fn pick_seed(&self, own: &Member, peers: &[SocketAddr]) -> Upstream {
         let usable: Vec<&SocketAddr> = peers
             .iter()
@@ -353,7 +363,8 @@
     }
 }
 
-/// Returns how long `own` asks the seeds when it starts.
+/// Returns how long `own` asks the seeds when it starts, before it asks the store: a fixed time
+/// for light entries, otherwise one that varies by member id.
 fn seed_wait(own: &Member) -> Duration {
     /// Number of different wait limits.
     const STEPS: usize = 16;
@@ -364,7 +375,7 @@
     MIN_SEED_WAIT + (MAX_SEED_WAIT - MIN_SEED_WAIT).mul_f64(part)
 }
 
-/// Hashes the member id, so that entries make different choices.
+/// Hashes the member id, for choices that are stable but differ between entries.
 pub(crate) fn member_hash(own: &Member) -> usize {
     let mix = |sum: usize, byte: u8| sum.wrapping_mul(31).wrapping_add(usize::from(byte));
     own.id.as_str().bytes().fold(0, mix)
--- a/crates/relay/src/upstream_poll.rs
+++ b/crates/relay/src/upstream_poll.rs
@@ -17,28 +17,26 @@
     shared::{Phase, Shared},
 };
 
-/// Interval between polls; the bound on noticing that the store or a peer is lost.
+/// Interval between polls of the upstream once the entry serves; it bounds how late the loss
+/// of the store or a peer is noticed.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// First interval between polls until the entry has a book and leafs; it doubles up to
-/// the longest. Callers are refused meanwhile, and each call to a lost store is paid
-/// for.
+/// First interval between polls until the entry serves; it doubles up to the longest.
+/// Callers are refused meanwhile, and each call to a lost store is paid for.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest interval between polls until the entry serves.
 const STARTUP_INTERVAL_MAX: Duration = Duration::from_millis(320);
 
 /// Delay before another peer is asked, so that peers that redirect to each other are
 /// not asked in a tight loop.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Timeout of a peer's heartbeat while this entry starts: a seed without power never
-/// answers, and the next one or the store may. Longer than a round trip to another
-/// region.
+/// Timeout of a peer's heartbeat while this entry starts, and wait for the store's answer
+/// before the seeds are asked too. Longer than a round trip to another region.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(45);
 /// Interval between heartbeats of a peer that has lost the store. They cost the store
 /// nothing, and changes are due soon after it is back.
 const LOST_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest interval between polls of the store by an entry whose peers have all lost
-/// it, or that has lost it and follows a peer; the longest is twice that. It bounds how
-/// long such an entry misses changes that only it could read, and the load of all
-/// entries on the store.
+/// Shortest interval between polls of a store that the peers, or this entry alone, have lost;
+/// the longest is twice that. It bounds the delay of its changes and the load on the store.
 const CHECK_INTERVAL_MIN: Duration = Duration::from_secs(4);
 /// Longest delay of the first such poll after the peers have lost the store. Short, as
 /// the store may have taken a version in that moment and serve it to this entry only.
@@ -46,18 +44,19 @@
 /// The same for each member, where that is longer: it spreads the polls of a large fleet.
 const FIRST_CHECK_PER_MEMBER: Duration = Duration::from_millis(2);
 
-/// Outcome of a poll.
+/// Outcome of a poll: answered, the store is lost, or another upstream is to be polled.
 #[derive(Clone, Copy)]
 enum PollOutcome {
     /// The store or a peer answered.
     Answered,
-    /// The store is lost.
+    /// The store is lost to this entry or to the peer, and there is no better upstream.
     StoreLost,
-    /// Another upstream is to be polled.
+    /// Another upstream is to be polled, after [`RETRY_DELAY`].
     TryNext,
 }
 
-/// Chooses the upstream and polls it, for as long as the entry runs.
+/// Chooses the upstream and polls it, for as long as the entry runs. While the peers have lost
+/// the store, it also asks the store itself from time to time.
 pub(crate) async fn run(shared: Arc<Shared>, members: Arc<Members>, feeds: Arc<Feeds>) {
     let mut interval = STARTUP_INTERVAL;
     let mut next_check = Time::MAX;
@@ -102,7 +101,8 @@
 }
 
 /// Polls `upstream` and returns the revision of the store. While the entry starts, it also
-/// loads what peers know if the store doesn't answer soon.
+/// loads what the seeds know if the store doesn't answer within [`STARTUP_TIMEOUT`], or what
+/// `upstream` knows if that is a peer that has lost the store.
 async fn poll(shared: &Shared, feeds: &Feeds, upstream: Upstream) -> Result<u64, FeedError> {
     let starting = shared.phase() == Phase::Starting;
     match upstream {
@@ -130,7 +130,8 @@
 }
 
 /// Asks a peer for its heartbeat, and records the version of its book. Returns the
-/// revision of the store that it reports.
+/// revision of the store that it reports, or why it reports none;
+/// [`FeedError::Unavailable`] if it doesn't answer within `limit`.
 async fn peer_heartbeat(
     shared: &Shared,
     feeds: &Feeds,
@@ -146,8 +147,8 @@
     heartbeat.store
 }
 
-/// Loads the state of the seeds until this entry can serve, while the store doesn't
-/// answer.
+/// Asks the seeds in turn and loads the leafs and evacuations of each that answers, until this
+/// entry can serve or all were asked.
 async fn load_from_seeds(shared: &Shared, feeds: &Feeds) {
     let own = shared.settings.listen.peers;
     let seeds = shared.settings.seeds.iter().filter(|seed| **seed != own);
@@ -162,7 +163,8 @@
     }
 }
 
-/// Records the answer of the store to a revision poll.
+/// Records the answer of the store to a revision poll. After an error the store is in
+/// backoff; it counts as lost if no peer can be the upstream instead.
 fn handle_store_poll(
     shared: &Shared,
     members: &Members,
@@ -187,7 +189,9 @@
     }
 }
 
-/// Records the answer of a peer to a heartbeat.
+/// Records the answer of `peer` to a heartbeat: a revision, a redirect, the loss of the store
+/// or a failure. The store counts as lost only if this entry serves and no better upstream is
+/// found than a peer that has lost it.
 fn handle_heartbeat(
     shared: &Shared,
     members: &Members,
@@ -230,7 +234,8 @@
     }
 }
 
-/// Records that the store is lost, until a poll is answered.
+/// Records that the store is lost from `now` on, until a poll is answered. Logs `error` the
+/// first time.
 fn mark_lost(shared: &Shared, error: &FeedError, now: Time) {
     let mut new = false;
     shared
@@ -242,7 +247,8 @@
 }
 
 /// Polls the store to check whether this entry has lost it as its peers have, and makes
-/// it the upstream if it has a newer revision. Returns when to poll again.
+/// it the upstream if it has a newer revision. Returns when to poll it again,
+/// [`Time::MAX`] if that is not needed.
 ///
 /// Without a newer revision the entry waits for its peers: if all entries moved to a
 /// store that just came back, each would list and watch it for seconds beside the
@@ -263,8 +269,8 @@
     }
 }
 
-/// Chooses the upstream to poll, and publishes it once it is the store or a peer that
-/// has answered.
+/// Chooses and returns the upstream to poll, and publishes it to the feed watches if it is the
+/// store or the peer that answered last; otherwise it publishes that there is none.
 ///
 /// An entry in search of an upstream polls several in turn: seeds that start with it,
 /// or watchers that have all lost the store. If each were published, calls would be
@@ -287,7 +293,8 @@
     upstream
 }
 
-/// Records that the store answered, to this entry or to its upstream.
+/// Records that the store answered with `revision`, to this entry or to its upstream. If it
+/// had been lost, the timeouts of missing leafs start again.
 fn mark_answered(shared: &Shared, revision: u64, now: Time) {
     let mut lost = None;
     shared
@@ -299,7 +306,8 @@
     }
 }
 
-/// Waits for the next poll, or until the upstream may have to change.
+/// Waits for three quarters of `span` up to all of it, chosen at random, or until the upstream
+/// has to be chosen again.
 async fn wait_interval(shared: &Shared, span: Duration) {
     // Jitter of a quarter, so that entries that started together don't poll together.
     tokio::select! {
@@ -308,7 +316,8 @@
     }
 }
 
-/// Returns the delay until an entry whose peers have just lost the store polls it.
+/// Returns the random delay until an entry whose peers have just lost the store polls it; its
+/// limit grows with the number of members, within bounds.
 fn first_check_delay(shared: &Shared, members: &Members) -> Duration {
     let each = FIRST_CHECK_PER_MEMBER * u32::try_from(members.count()).unwrap_or(u32::MAX);
     FIRST_CHECK_MAX
@@ -316,7 +325,8 @@
         .mul_f64(random_fraction(shared))
 }
 
-/// Returns the jittered interval until the store is polled again.
+/// Returns a random interval until the store is polled again, from [`CHECK_INTERVAL_MIN`] to
+/// twice that.
 fn check_delay(shared: &Shared) -> Duration {
     CHECK_INTERVAL_MIN.mul_f64(1.0 + random_fraction(shared))
 }
--- a/crates/relay/src/watch_cache.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -5,10 +5,11 @@
 
 use chestnut_port::{Batch, Content, FeedError, Item};
 
-/// Number of changes kept. A follower that is further behind reads the whole list.
+/// Number of changes kept of one list. A follower that is further behind reads the whole list.
 const HISTORY_LIMIT: usize = 1024;
 
-/// Objects of one list and its latest changes.
+/// Objects of one list by name, its latest changes by revision, and the revision up to which
+/// it is known.
 #[derive(Clone, Debug)]
 pub struct WatchCache<T> {
     /// Value of each object by name; `None` if it can't be parsed.
@@ -33,7 +34,8 @@
 }
 
 impl<T: Clone> WatchCache<T> {
-    /// Replaces the content with a whole list.
+    /// Replaces the content with a whole list. Changes up to its revision are no longer known,
+    /// so followers that are behind it have to list again.
     pub fn replace(&mut self, batch: &Batch<T>) {
         self.values.clear();
         for item in &batch.items {
@@ -44,7 +46,7 @@
         self.latest = Some(batch.revision);
     }
 
-    /// Applies changes.
+    /// Applies changes, and keeps each for followers.
     pub fn apply(&mut self, batch: &Batch<T>) {
         self.apply_filtered(batch, |_, _| false);
     }
@@ -94,7 +96,7 @@
         })
     }
 
-    /// Returns the changes after `revision`.
+    /// Returns the present state of each object that changed after `revision`, once each.
     ///
     /// # Errors
     ///
@@ -114,6 +116,7 @@
         })
     }
 
+    /// Sets or removes the value of an object, without recording a change.
     fn put(&mut self, item: &Item<T>) {
         let name = item.name.clone();
         match &item.content {
@@ -123,6 +126,7 @@
         };
     }
 
+    /// Returns the present state of the object `name`; deleted if there is none.
     fn item(&self, name: &str) -> Item<T> {
         let content = match self.values.get(name) {
             Some(Some(value)) => Content::Is(value.clone()),
@@ -135,6 +139,8 @@
         }
     }
 
+    /// Returns the revision up to which the list is known; [`FeedError::Unavailable`] before the
+    /// first list.
     fn revision(&self) -> Result<u64, FeedError> {
         self.latest
             .ok_or_else(|| FeedError::Unavailable("no list received yet".to_owned()))
