--- a/crates/cli/tests/blackbox/bench.rs
+++ b/crates/cli/tests/blackbox/bench.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use chestnut_fake::World;
+use chestnut_fake::DeploymentSpec;
 use chestnut_port::{HttpClient, HttpReply};
 use nix::{
     sys::signal::{Signal, kill},
@@ -95,7 +95,7 @@
 /// A deployment of separate processes: a platform, back ends and entries.
 pub struct Cluster {
     /// The layout of the deployment.
-    pub world: World,
+    pub spec: DeploymentSpec,
     /// The entry processes, by number; `None` for one that was stopped.
     pub entries: Vec<Option<Process>>,
     /// The client for all requests.
@@ -128,7 +128,7 @@
         let host = unique_host();
         let dir = std::env::temp_dir().join(format!("chestnut-{host}"));
         write_files(&dir, host);
-        let world = World::open(&dir.join("world.toml")).unwrap();
+        let spec = DeploymentSpec::open(&dir.join("world.toml")).unwrap();
         let at = dir.to_str().unwrap();
         let fake = binary("chestnut-fake");
         let platform = Process::spawn(&fake, &["platform", "--folder", at]);
@@ -139,15 +139,15 @@
             dir,
             _platform: platform,
             _targets: targets,
-            world,
+            spec,
         };
-        let platform = cluster.world.platform;
+        let platform = cluster.spec.platform;
         cluster
             .eventually("the platform answers", async |c: &Cluster| {
                 c.get(platform, "/control/counts").await.is_some()
             })
             .await;
-        for number in 0..cluster.world.entry.len() {
+        for number in 0..cluster.spec.entry.len() {
             cluster.write_settings(number, settings);
             let entry = cluster.spawn_entry(number);
             cluster.entries.push(Some(entry));
@@ -158,7 +158,7 @@
 
     /// Writes the settings file of an entry, with the lines of `more` added.
     fn write_settings(&self, number: usize, more: &str) {
-        let text = self.world.settings_of(&self.world.entry[number]);
+        let text = self.spec.settings_of(&self.spec.entry[number]);
         let control = "[control]\nttl = \"1s\"\nprobe = \"200ms\"\nrecords = \"500ms\"\n";
         let path = self.dir.join(format!("entry-{number}.toml"));
         std::fs::write(path, format!("{text}\n{control}\n{more}")).unwrap();
@@ -197,12 +197,12 @@
 
     /// Returns an entry's address for callers.
     pub fn callers(&self, number: usize) -> SocketAddr {
-        self.world.entry[number].callers
+        self.spec.entry[number].callers
     }
 
     /// Returns an entry's address for operators.
     pub fn operators(&self, number: usize) -> SocketAddr {
-        self.world.entry[number].operators
+        self.spec.entry[number].operators
     }
 
     /// Returns the path of a file in the deployment's directory.
@@ -281,16 +281,16 @@
     /// Returns how often the leafs have applied a submission.
     pub async fn applied(&self, id: &str) -> u64 {
         let mut times = 0;
-        for leaf in self.world.leafs() {
-            let ledger = self.get(leaf.address, "/control/ledger").await.unwrap();
-            times += ledger["applied"][id].as_u64().unwrap_or(0);
+        for leaf in self.spec.leafs() {
+            let counters = self.get(leaf.address, "/control/ledger").await.unwrap();
+            times += counters["applied"][id].as_u64().unwrap_or(0);
         }
         times
     }
 
     /// Changes one key in the configuration of every leaf of a service.
     pub async fn set_targets(&self, service: &str, key: &str, value: Value) {
-        for leaf in self.world.leafs() {
+        for leaf in self.spec.leafs() {
             if leaf.service.as_str() != service {
                 continue;
             }
--- a/crates/cli/tests/blackbox/edits.rs
+++ b/crates/cli/tests/blackbox/edits.rs
@@ -77,7 +77,7 @@
 #[tokio::test]
 async fn a_write_whose_answer_is_lost_is_made_once() {
     let cluster = Cluster::start().await;
-    let platform = cluster.world.platform;
+    let platform = cluster.spec.platform;
     cluster
         .put(platform, "/control/fault", json!({ "lose_answers": 1 }))
         .await;
--- a/crates/cli/tests/blackbox/evacuations.rs
+++ b/crates/cli/tests/blackbox/evacuations.rs
@@ -7,7 +7,7 @@
 /// Returns the number of queries that the leafs in a domain have run.
 async fn queries_run(cluster: &Cluster, domain: &str) -> u64 {
     let mut count = 0;
-    for leaf in cluster.world.leafs() {
+    for leaf in cluster.spec.leafs() {
         if leaf.domain.as_str() == domain {
             let counts = cluster.get(leaf.address, "/control/ledger").await.unwrap();
             count += counts["queries"].as_u64().unwrap();
@@ -29,7 +29,7 @@
 #[tokio::test]
 async fn an_evacuated_domain_gets_no_calls_from_any_entry() {
     let cluster = Cluster::start().await;
-    let domain = cluster.world.domains[0].to_string();
+    let domain = cluster.spec.domains[0].to_string();
     let (status, text) = cluster
         .chestnut(0, &["evacuate", &domain, "--by", "aoife"])
         .await;
@@ -64,7 +64,7 @@
 #[tokio::test]
 async fn with_every_domain_evacuated_a_query_is_refused_as_not_run() {
     let cluster = Cluster::start().await;
-    for domain in &cluster.world.domains {
+    for domain in &cluster.spec.domains {
         let (status, text) = cluster.chestnut(0, &["evacuate", domain.as_str()]).await;
         assert_eq!(status, 0, "{text}");
     }
--- a/crates/cli/tests/blackbox/junk.rs
+++ b/crates/cli/tests/blackbox/junk.rs
@@ -25,7 +25,7 @@
 #[tokio::test]
 async fn malformed_input_gets_an_error_and_later_queries_are_served() {
     let cluster = Cluster::start().await;
-    let entry = &cluster.world.entry[0];
+    let entry = &cluster.spec.entry[0];
     let malformed: Vec<u8> = (0..4096u32)
         .map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8)
         .collect();
@@ -34,7 +34,7 @@
         send_raw(address, b"GET / HTTP/1.1\r\n").await;
         send_raw(address, b"").await;
     }
-    let udp = UdpSocket::bind((cluster.world.host, 0)).await.unwrap();
+    let udp = UdpSocket::bind((cluster.spec.host, 0)).await.unwrap();
     for length in [0, 1, 7, 64, 1400] {
         udp.send_to(&malformed[..length], entry.peers)
             .await
--- a/crates/cli/tests/blackbox/queries.rs
+++ b/crates/cli/tests/blackbox/queries.rs
@@ -29,7 +29,7 @@
 #[tokio::test]
 async fn a_query_that_misses_a_shard_is_refused_and_explained() {
     let cluster = Cluster::start().await;
-    for leaf in cluster.world.leafs().into_iter().take(3) {
+    for leaf in cluster.spec.leafs().into_iter().take(3) {
         let mut config = cluster.get(leaf.address, "/control/config").await.unwrap();
         config["shards"] = json!({});
         cluster.put(leaf.address, "/control/config", config).await;
--- a/crates/cli/tests/blackbox/stops.rs
+++ b/crates/cli/tests/blackbox/stops.rs
@@ -10,13 +10,13 @@
 /// Returns the load of callers that first connect to the third entry.
 fn load(cluster: &Cluster, seconds: u64) -> LoadConfig {
     LoadConfig {
-        first: cluster.callers(2),
+        seed_entry: cluster.callers(2),
         domain: None,
         rate: 60.0,
         span: Duration::from_secs(seconds),
         organisation: "galway".to_owned(),
         service: "ladder".to_owned(),
-        calls: vec!["standings".to_owned(), "finals".to_owned()],
+        call_types: vec!["standings".to_owned(), "finals".to_owned()],
         deadline: Duration::from_secs(5),
         seed: 7,
         operators: Vec::new(),
--- a/crates/fake/src/bound.rs
+++ b/crates/fake/src/bound.rs
@@ -9,16 +9,16 @@
 use displaydoc::Display;
 use serde::Deserialize;
 
-/// Describes a deployment and the time spans to evaluate.
+/// Flow model of a deployment, and the time spans to evaluate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Deployment {
+pub struct FlowModel {
     /// Budget for extra calls of each shard, as a fraction of its requests.
     pub part: f64,
     /// Budget for extra calls of each shard beyond that, per second.
     pub slack: f64,
     /// Classes of requests; each request goes to all shards.
-    pub classes: Vec<ClassShape>,
+    pub classes: Vec<RequestClass>,
     /// Time spans, each evaluated by itself.
     pub spans: Vec<Span>,
 }
@@ -26,7 +26,7 @@
 /// Describes a class of requests that go to all shards.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassShape {
+pub struct RequestClass {
     /// Requests per second.
     pub rate: f64,
     /// Service time of a call, in milliseconds.
@@ -54,7 +54,7 @@
     #[serde(default = "one")]
     pub load: f64,
     /// Shards, grouped by the state of their leafs.
-    pub shards: Vec<Shards>,
+    pub shards: Vec<ShardGroup>,
 }
 
 fn one() -> f64 {
@@ -64,7 +64,7 @@
 /// Describes a group of shards whose leafs are in the same state.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Shards {
+pub struct ShardGroup {
     /// Number of shards.
     pub count: u32,
     /// Calls that a leaf runs concurrently.
@@ -97,12 +97,12 @@
 
 impl std::error::Error for BoundError {}
 
-impl Deployment {
-    /// Reads a deployment from a TOML file.
+impl FlowModel {
+    /// Reads a flow model from a TOML file.
     ///
     /// # Errors
     ///
-    /// The file can't be read or is not a valid deployment.
+    /// The file can't be read or is not a valid flow model.
     pub fn open(path: &Path) -> Result<Self, BoundError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path);
@@ -112,8 +112,8 @@
 
     /// Returns the bound of each span, in order.
     #[must_use]
-    pub fn bounds(&self) -> Vec<Row> {
-        let row = |span: &Span| Row {
+    pub fn bounds(&self) -> Vec<SpanBound> {
+        let row = |span: &Span| SpanBound {
             span: span.name.clone(),
             bound: self.bound(span),
         };
@@ -122,7 +122,7 @@
 
     /// Returns the largest fraction of the total weight that a span can earn.
     fn bound(&self, span: &Span) -> f64 {
-        let weight = |class: &ClassShape| class.rate * class.worth;
+        let weight = |class: &RequestClass| class.rate * class.worth;
         let all: f64 = self.classes.iter().map(weight).sum();
         let classes = self.classes.iter();
         let earned: f64 = classes.map(|c| weight(c) * self.mean_credit(c, span)).sum();
@@ -132,14 +132,14 @@
 
     /// Returns the largest mean credit of a class while entries run: a complete answer
     /// earns 1, one of minimum coverage the square of that coverage.
-    fn mean_credit(&self, class: &ClassShape, span: &Span) -> f64 {
+    fn mean_credit(&self, class: &RequestClass, span: &Span) -> f64 {
         /// Steps of the search over the fraction of requests that are answered.
         const STEPS: u32 = 400;
         let rate = class.rate * span.load;
         let shards: Vec<(u32, f64)> = span
             .shards
             .iter()
-            .map(|shards| (shards.count, self.shard_rate(class, shards, span.load)))
+            .map(|group| (group.count, self.shard_rate(class, group, span.load)))
             .collect();
         let count: u32 = shards.iter().map(|(count, _)| count).sum();
         let count = f64::from(count);
@@ -166,7 +166,7 @@
     }
 
     /// Returns the requests per second of a class that one shard can answer.
-    fn shard_rate(&self, class: &ClassShape, shards: &Shards, load: f64) -> f64 {
+    fn shard_rate(&self, class: &RequestClass, group: &ShardGroup, load: f64) -> f64 {
         let all: f64 = self.classes.iter().map(|class| class.rate).sum();
         let busy: f64 = self
             .classes
@@ -175,31 +175,31 @@
             .sum();
         let share = class.rate / all;
         // Calls per second of this class that one leaf can run.
-        let leaf_rate = shards.slots * 1e3 / (busy / all) * share;
+        let leaf_rate = group.slots * 1e3 / (busy / all) * share;
         let rate = class.rate * load;
-        let in_time = class.work * shards.times <= class.goal;
+        let in_time = class.work * group.times <= class.goal;
         let slow = if in_time {
-            shards.slow / shards.times
+            group.slow / group.times
         } else {
             0.0
         };
-        let healthy = rate.min((shards.sound + slow) * leaf_rate);
+        let healthy = rate.min((group.sound + slow) * leaf_rate);
         let spare = rate * (1.0 + self.part) + self.slack * share - healthy;
-        let accepted = (spare * (1.0 - shards.fails)).min(shards.faulty * leaf_rate);
+        let accepted = (spare * (1.0 - group.fails)).min(group.faulty * leaf_rate);
         rate.min(healthy + accepted.max(0.0))
     }
 }
 
 /// Holds the bound of one span.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct SpanBound {
     /// Name of the span.
     pub span: String,
     /// Largest fraction of the total weight that can be earned, from 0 to 1.
     pub bound: f64,
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for SpanBound {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "| {} | {:.2} |", self.span, self.bound)
     }
--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -7,13 +7,13 @@
 use displaydoc::Display;
 use slog::Logger;
 
-use crate::{PlatformServer, TargetServer, World, WorldError};
+use crate::{DeploymentSpec, PlatformServer, SpecError, TargetServer};
 
 /// Errors from starting the demo.
 #[derive(Debug, Display)]
 pub enum DemoError {
     /// {0}
-    World(WorldError),
+    Spec(SpecError),
     /// {0}
     Settings(String),
     /// can't bind: {0}. Is another demo running?
@@ -37,12 +37,12 @@
 /// A running demo, stopped on drop.
 pub struct Demo {
     /// Description of the deployment.
-    pub world: World,
+    pub spec: DeploymentSpec,
     /// Simulated platform.
     pub platform: PlatformServer,
-    /// Simulated leafs, in the order of [`World::leafs`].
+    /// Simulated leafs, in the order of [`DeploymentSpec::leafs`].
     pub targets: Vec<TargetServer>,
-    /// Entries, in the order of [`World::entry`].
+    /// Entries, in the order of [`DeploymentSpec::entry`].
     pub entries: Vec<DemoEntry>,
 }
 
@@ -54,36 +54,40 @@
     ///
     /// A file can't be read, or an address can't be bound.
     pub async fn spawn(folder: &Path, log: &Logger) -> Result<Self, DemoError> {
-        let world = World::open(&folder.join("world.toml")).map_err(DemoError::World)?;
-        Self::spawn_world(world, folder, log).await
+        let spec = DeploymentSpec::open(&folder.join("world.toml")).map_err(DemoError::Spec)?;
+        Self::spawn_spec(spec, folder, log).await
     }
 
-    /// Starts `world` with the templates and organisations in `folder`.
+    /// Starts `spec` with the templates and organisations in `folder`.
     ///
     /// # Errors
     ///
     /// See [`Demo::spawn`].
-    pub async fn spawn_world(world: World, folder: &Path, log: &Logger) -> Result<Self, DemoError> {
-        let platform = PlatformServer::bind_world(&world)
+    pub async fn spawn_spec(
+        spec: DeploymentSpec,
+        folder: &Path,
+        log: &Logger,
+    ) -> Result<Self, DemoError> {
+        let platform = PlatformServer::bind_deployment(&spec)
             .await
             .map_err(DemoError::Bind)?;
-        for (key, value) in objects_in(folder)? {
+        for (key, value) in read_objects(folder)? {
             let name = key.to_string();
             let put = platform.store().put(key, 0, value);
             put.map_err(|e| DemoError::Object(name, e.to_string()))?;
         }
         let mut targets = Vec::new();
-        for leaf in world.leafs() {
+        for leaf in spec.leafs() {
             let target = TargetServer::bind_leaf(&leaf).await;
             targets.push(target.map_err(DemoError::Bind)?);
         }
         let mut entries = Vec::new();
-        for spec in &world.entry {
-            let text = world.settings_of(spec);
+        for entry in &spec.entry {
+            let text = spec.settings_of(entry);
             entries.push(spawn_entry(&text, log).await?);
         }
         Ok(Self {
-            world,
+            spec,
             platform,
             targets,
             entries,
@@ -124,7 +128,7 @@
 /// # Errors
 ///
 /// A file can't be read or is not JSON.
-pub fn objects_in(folder: &Path) -> Result<Vec<KeyedObject>, DemoError> {
+pub fn read_objects(folder: &Path) -> Result<Vec<KeyedObject>, DemoError> {
     let mut objects = Vec::new();
     for (kind, name) in [
         (Kind::Template, "templates"),
@@ -160,6 +164,6 @@
 }
 
 /// Returns a logger that discards all records.
-pub fn no_log() -> Logger {
+pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/fake/src/world.rs
+++ b/crates/fake/src/deployment.rs
@@ -18,14 +18,14 @@
 
 /// Errors from reading a deployment description.
 #[derive(Debug, Display)]
-pub enum WorldError {
+pub enum SpecError {
     /// can't read {0}: {1}
     Read(String, std::io::Error),
     /// {0}: {1}
     Parse(String, String),
 }
 
-impl std::error::Error for WorldError {}
+impl std::error::Error for SpecError {}
 
 /// Describes a service and its leafs.
 #[derive(Clone, Debug, Deserialize)]
@@ -73,7 +73,7 @@
 /// Describes a deployment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct World {
+pub struct DeploymentSpec {
     /// Failure domains.
     pub domains: Vec<DomainName>,
     /// Listen address of the leafs.
@@ -114,16 +114,16 @@
     pub shards: Vec<ShardName>,
 }
 
-impl World {
+impl DeploymentSpec {
     /// Reads a deployment description from a TOML file.
     ///
     /// # Errors
     ///
     /// The file can't be read or is not a valid description.
-    pub fn open(path: &Path) -> Result<Self, WorldError> {
+    pub fn open(path: &Path) -> Result<Self, SpecError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| WorldError::Read(name.clone(), e))?;
-        Self::parse(&text).map_err(|e| WorldError::Parse(name, e))
+        let text = std::fs::read_to_string(path).map_err(|e| SpecError::Read(name.clone(), e))?;
+        Self::parse(&text).map_err(|e| SpecError::Parse(name, e))
     }
 
     /// Parses a deployment description in TOML.
@@ -142,7 +142,7 @@
     }
 
     fn leafs_of(&self, spec: &ServiceSpec) -> Vec<LeafSpec> {
-        let layout = layout_of(spec, IndexVersion(1), spec.shards);
+        let layout = layout(spec, IndexVersion(1), spec.shards);
         (0..spec.leafs)
             .map(|n| {
                 let id = leaf_id(spec, n);
@@ -175,7 +175,7 @@
             let versions = vec![IndexVersion(1)];
             let service = self.service_object(spec, versions);
             objects.push(keyed(Kind::Service, spec.name.as_str(), &service));
-            let layout = layout_of(spec, IndexVersion(1), spec.shards);
+            let layout = layout(spec, IndexVersion(1), spec.shards);
             objects.push(keyed(Kind::Layout, &format!("{}.1", spec.name), &layout));
         }
         objects
@@ -232,7 +232,7 @@
 
 /// Returns the layout of an index version: which leafs hold each of `shards` shards.
 #[must_use]
-pub fn layout_of(spec: &ServiceSpec, version: IndexVersion, shards: u32) -> Layout {
+pub fn layout(spec: &ServiceSpec, version: IndexVersion, shards: u32) -> Layout {
     let shard = |s: u32| LayoutShard {
         name: ShardName::new(format!("{}-s{s:03}", spec.name)).expect("a legal name"),
         leafs: (0..spec.replicas)
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -4,7 +4,7 @@
 //! An entry is a process of the tier that callers connect to. A leaf is a
 //! back-end process that answers queries for its shards.
 //!
-//! - [`World`] describes a deployment: domains, services, leafs, entries.
+//! - [`DeploymentSpec`] describes a deployment: domains, services, leafs, entries.
 //! - [`PlatformServer`] simulates the platform, [`TargetServer`] a leaf; both
 //!   support fault injection.
 //! - [`load`] sends queries in an open loop and reports their outcomes.
@@ -13,20 +13,20 @@
 
 pub mod bound;
 pub mod demo;
+mod deployment;
 pub mod experiment;
-mod gate;
 pub mod load;
 pub mod membership;
 mod platform;
 mod plot;
 mod queue;
+mod stall;
 mod store;
 mod target;
-mod world;
 
-pub use gate::Silence;
+pub use deployment::{DeploymentSpec, EntrySpec, LeafSpec, ServiceSpec, SpecError, layout};
 pub use platform::PlatformServer;
 pub use plot::{Series, plot_lines};
-pub use store::{Counts, PlatformFault, Store};
-pub use target::{TargetConfig, TargetLedger, TargetServer};
-pub use world::{EntrySpec, LeafSpec, ServiceSpec, World, WorldError, layout_of};
+pub use stall::Stall;
+pub use store::{CallCounts, PlatformFault, Store};
+pub use target::{LeafCounters, TargetConfig, TargetServer};
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
     /// Entry that is asked for the list of entries at first.
-    pub first: SocketAddr,
+    pub seed_entry: SocketAddr,
     /// Failure domain of the caller, if known.
     pub domain: Option<String>,
     /// Mean request rate, per second.
@@ -42,7 +42,7 @@
     /// Service that is queried.
     pub service: String,
     /// Call types, chosen uniformly.
-    pub calls: Vec<String>,
+    pub call_types: Vec<String>,
     /// Deadline of each request.
     pub deadline: Duration,
     /// Seed of the arrival times and call types.
@@ -148,7 +148,7 @@
 /// Client state of a caller: its cached list of entries.
 struct Caller {
     client: HttpClient,
-    first: SocketAddr,
+    seed_entry: SocketAddr,
     domain: Option<String>,
     known: Vec<SocketAddr>,
     expires: Instant,
@@ -160,17 +160,17 @@
         if Instant::now() >= self.expires {
             self.refresh().await;
         }
-        self.known.first().copied().unwrap_or(self.first)
+        self.known.first().copied().unwrap_or(self.seed_entry)
     }
 
-    /// Fetches the list from the first entry that answers: those known, then `first`.
+    /// Fetches the list from the first entry that answers: those known, then `seed_entry`.
     async fn refresh(&mut self) {
         let path = match &self.domain {
             Some(domain) => format!("/v1/entries?domain={domain}"),
             None => "/v1/entries".to_owned(),
         };
         let mut candidates = self.known.clone();
-        candidates.push(self.first);
+        candidates.push(self.seed_entry);
         for address in candidates {
             let timeout = Duration::from_secs(1);
             let call = self
@@ -229,7 +229,7 @@
     let client = HttpClient::default();
     let mut caller = Caller {
         client: client.clone(),
-        first: config.first,
+        seed_entry: config.seed_entry,
         domain: config.domain.clone(),
         known: Vec::new(),
         expires: Instant::now(),
@@ -277,7 +277,7 @@
 }
 
 fn query_body(config: &LoadConfig, rng: &mut ChaCha8Rng) -> Bytes {
-    let call = &config.calls[rng.next_u64() as usize % config.calls.len()];
+    let call = &config.call_types[rng.next_u64() as usize % config.call_types.len()];
     let body = json!({
         "organisation": config.organisation,
         "service": config.service,
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -5,9 +5,9 @@
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
 use chestnut_fake::{
-    PlatformServer, TargetServer, World,
-    bound::Deployment,
-    demo::{Demo, objects_in},
+    DeploymentSpec, PlatformServer, TargetServer,
+    bound::FlowModel,
+    demo::{Demo, read_objects},
     experiment::{Shape, conditions, plot_rooms, policies, run_rooms, run_table},
     load::{self, LoadConfig},
     membership,
@@ -205,7 +205,7 @@
     demo.ready().await;
     println!("platform   {}", demo.platform.address());
     println!("targets    {} leafs", demo.targets.len());
-    for (entry, spec) in demo.entries.iter().zip(&demo.world.entry) {
+    for (entry, spec) in demo.entries.iter().zip(&demo.spec.entry) {
         let (callers, operators) = (entry.http.callers(), entry.http.operators());
         println!(
             "entry      {} callers {callers} operators {operators}",
@@ -229,7 +229,7 @@
 
 /// Returns an organisation, a service and a call that it may query there.
 fn sample_query(folder: &std::path::Path) -> Option<(String, String, String)> {
-    let objects = objects_in(folder).ok()?;
+    let objects = read_objects(folder).ok()?;
     let spec_of = |kind: chestnut_conf::Kind, name: &str| {
         let matches = |(key, _): &&(chestnut_conf::ObjectKey, serde_json::Value)| {
             key.kind == kind && (name.is_empty() || key.name == name)
@@ -251,9 +251,9 @@
 }
 
 async fn platform(folder: &std::path::Path) -> Result<(), BoxError> {
-    let world = World::open(&folder.join("world.toml"))?;
-    let server = PlatformServer::bind_world(&world).await?;
-    for (key, value) in objects_in(folder)? {
+    let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
+    let server = PlatformServer::bind_deployment(&spec).await?;
+    for (key, value) in read_objects(folder)? {
         server.store().put(key, 0, value)?;
     }
     println!("platform {}", server.address());
@@ -262,9 +262,9 @@
 }
 
 async fn targets(folder: &std::path::Path, only: &str) -> Result<(), BoxError> {
-    let world = World::open(&folder.join("world.toml"))?;
+    let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
     let mut servers = Vec::new();
-    for leaf in world.leafs() {
+    for leaf in spec.leafs() {
         if leaf.id.as_str().starts_with(only) {
             servers.push(TargetServer::bind_leaf(&leaf).await?);
         }
@@ -275,11 +275,11 @@
 }
 
 fn settings(folder: &std::path::Path, out: &std::path::Path) -> Result<(), BoxError> {
-    let world = World::open(&folder.join("world.toml"))?;
+    let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
     std::fs::create_dir_all(out)?;
-    for entry in &world.entry {
+    for entry in &spec.entry {
         let path = out.join(format!("{}.toml", entry.member));
-        std::fs::write(&path, world.settings_of(entry))?;
+        std::fs::write(&path, spec.settings_of(entry))?;
         println!("{}", path.display());
     }
     Ok(())
@@ -287,7 +287,7 @@
 
 /// Prints the bound of each span in the file.
 fn print_bounds(file: &std::path::Path) -> Result<(), BoxError> {
-    let rows = Deployment::open(file)?.bounds();
+    let rows = FlowModel::open(file)?.bounds();
     println!("| span | bound |");
     println!("|---|---|");
     rows.iter().for_each(|row| println!("{row}"));
@@ -341,13 +341,13 @@
 
 async fn send_load(args: LoadArgs) -> Result<(), BoxError> {
     let config = LoadConfig {
-        first: args.entry,
+        seed_entry: args.entry,
         domain: args.domain,
         rate: args.rate,
         span: args.span,
         organisation: args.organisation,
         service: args.service,
-        calls: args.calls,
+        call_types: args.calls,
         deadline: args.deadline,
         seed: args.seed,
         operators: args.operators,
@@ -359,7 +359,7 @@
 
 fn logger(enabled: bool) -> Logger {
     if !enabled {
-        return chestnut_fake::demo::no_log();
+        return chestnut_fake::demo::discard_logger();
     }
     let decorator = slog_term::TermDecorator::new().stderr().build();
     let drain = slog_term::CompactFormat::new(decorator).build();
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -26,7 +26,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{Store, World};
+use crate::{DeploymentSpec, Store};
 
 /// Maximum wait of a watch.
 const WATCH_MAX: Duration = Duration::from_secs(60);
@@ -75,19 +75,19 @@
         })
     }
 
-    /// Starts a server with the services, layouts and VMs of `world`.
+    /// Starts a server with the services, layouts and VMs of `spec`.
     ///
     /// # Errors
     ///
     /// The address can't be bound.
-    pub async fn bind_world(world: &World) -> io::Result<Self> {
-        let server = Self::bind(world.platform).await?;
+    pub async fn bind_deployment(spec: &DeploymentSpec) -> io::Result<Self> {
+        let server = Self::bind(spec.platform).await?;
         {
             let mut store = server.store();
-            for (key, value) in world.objects() {
+            for (key, value) in spec.objects() {
                 store.put(key, 0, value).map_err(io::Error::other)?;
             }
-            store.set_vms(world.vms(), server.inner.clock.now());
+            store.set_vms(spec.vms(), server.inner.clock.now());
         }
         Ok(server)
     }
@@ -216,7 +216,7 @@
             }
             Err(error) => invalid(error),
         },
-        (&Method::GET, ["control", "vms"]) => reply(StatusCode::OK, &lock(&inner.store).true_vms()),
+        (&Method::GET, ["control", "vms"]) => reply(StatusCode::OK, &lock(&inner.store).last_vms()),
         (&Method::PUT, ["control", "fault"]) => match serde_json::from_slice(body) {
             Ok(fault) => {
                 lock(&inner.store).fault = fault;
--- a/crates/fake/src/gate.rs
+++ b/crates/fake/src/stall.rs
@@ -18,11 +18,11 @@
 /// Switch that makes a connection unresponsive: reads stay pending, writes are
 /// dropped and it never closes, as after the loss of its NAT table entry.
 #[derive(Clone, Debug, Default)]
-pub struct Silence(Arc<AtomicBool>);
+pub struct Stall(Arc<AtomicBool>);
 
-impl Silence {
+impl Stall {
     /// Makes the connection unresponsive for good.
-    pub fn fall(&self) {
+    pub fn activate(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
@@ -31,24 +31,24 @@
     }
 }
 
-/// TCP stream that stops when its [`Silence`] is set.
-pub(crate) struct GatedStream {
+/// TCP stream that stops when its [`Stall`] is set.
+pub(crate) struct StallableStream {
     pub(crate) stream: TcpStream,
-    pub(crate) silence: Silence,
+    pub(crate) stall: Stall,
 }
 
-impl AsyncRead for GatedStream {
+impl AsyncRead for StallableStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silence.is_set() {
+        if self.stall.is_set() {
             return Poll::Pending;
         }
         let filled = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
-        if self.silence.is_set() {
+        if self.stall.is_set() {
             buffer.set_filled(filled);
             return Poll::Pending;
         }
@@ -56,13 +56,13 @@
     }
 }
 
-impl AsyncWrite for GatedStream {
+impl AsyncWrite for StallableStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.silence.is_set() {
+        if self.stall.is_set() {
             // Accepts and drops the bytes: backpressure would reveal the fault.
             return Poll::Ready(Ok(buffer.len()));
         }
@@ -74,7 +74,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silence.is_set() {
+        if self.stall.is_set() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -25,7 +25,7 @@
 
 /// Counts calls since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct CallCounts {
     /// Reads of one object.
     pub gets: u64,
     /// Lists of a kind.
@@ -38,7 +38,7 @@
     pub vms: u64,
 }
 
-impl Counts {
+impl CallCounts {
     /// Returns the number of calls other than writes.
     #[must_use]
     pub fn reads(&self) -> u64 {
@@ -54,7 +54,7 @@
     /// Injected faults.
     pub fault: PlatformFault,
     /// Calls since the start.
-    pub counts: Counts,
+    pub counts: CallCounts,
 }
 
 impl Store {
@@ -97,8 +97,8 @@
     }
 
     /// Writes an object unconditionally, ignoring faults.
-    pub fn write(&mut self, key: ObjectKey, value: serde_json::Value) {
-        let version = self.peek(&key).map_or(0, |object| object.version) + 1;
+    pub fn put_unfaulted(&mut self, key: ObjectKey, value: serde_json::Value) {
+        let version = self.get_unfaulted(&key).map_or(0, |object| object.version) + 1;
         self.history.push(Object {
             key,
             version,
@@ -108,13 +108,13 @@
 
     /// Returns the latest version of an object, ignoring faults.
     #[must_use]
-    pub fn peek(&self, key: &ObjectKey) -> Option<Object> {
+    pub fn get_unfaulted(&self, key: &ObjectKey) -> Option<Object> {
         self.latest(key, self.revision()).cloned()
     }
 
     /// Returns the latest version of every object of a kind, ignoring faults.
     #[must_use]
-    pub fn peek_all(&self, kind: Kind) -> Vec<Object> {
+    pub fn list_unfaulted(&self, kind: Kind) -> Vec<Object> {
         self.latest_all(kind, self.revision())
     }
 
@@ -188,7 +188,7 @@
 
     /// Returns the current list of VMs, ignoring faults.
     #[must_use]
-    pub fn true_vms(&self) -> Vec<Vm> {
+    pub fn last_vms(&self) -> Vec<Vm> {
         self.vms
             .last()
             .map(|(_, vms)| vms.clone())
--- a/crates/fake/src/target/calls.rs
+++ b/crates/fake/src/target/calls.rs
@@ -23,11 +23,11 @@
         (Method::POST, "/query") => query(inner, &body).await,
         (Method::POST, "/submit") => submit(inner, &body).await,
         (Method::POST, "/state") => state(inner),
-        (Method::GET, "/control/ledger") => reply(StatusCode::OK, &*lock(&inner.ledger)),
+        (Method::GET, "/control/ledger") => reply(StatusCode::OK, &*lock(&inner.counters)),
         (Method::GET, "/control/config") => reply(StatusCode::OK, &*inner.config.borrow()),
         (Method::PUT, "/control/config") => match serde_json::from_slice(&body) {
             Ok(config) => {
-                inner.change(|now| *now = config);
+                inner.configure(|now| *now = config);
                 reply(StatusCode::OK, &json!({}))
             }
             Err(error) => reply(
@@ -36,8 +36,8 @@
             ),
         },
         (Method::POST, "/control/silence") => {
-            for silence in lock(&inner.silences).drain(..) {
-                silence.fall();
+            for stall in lock(&inner.stalls).drain(..) {
+                stall.activate();
             }
             reply(StatusCode::OK, &json!({}))
         }
@@ -77,7 +77,7 @@
     if !holds(inner, &call) {
         return refuse(inner, "no_snapshot");
     }
-    lock(&inner.ledger).queries += 1;
+    lock(&inner.counters).queries += 1;
     let part = |shard: &ShardName| {
         json!({ "shard": shard, "rows": [{
             "shard": shard, "version": call.version, "leaf": inner.id,
@@ -128,7 +128,7 @@
     wait_unfrozen(inner).await;
     let id = serde_json::from_str::<Identified>(call.body.get()).map(|i| i.id);
     let id = id.unwrap_or_else(|_| call.body.get().to_owned());
-    *lock(&inner.ledger).applied.entry(id).or_default() += 1;
+    *lock(&inner.counters).applied.entry(id).or_default() += 1;
     if inner.config.borrow().lose_answers {
         std::future::pending::<()>().await;
     }
@@ -180,7 +180,7 @@
 fn count_late_call(inner: &Inner) {
     let left_at = *lock(&inner.left_at);
     if left_at.is_some_and(|at| at.elapsed() > LEAVE_GRACE) {
-        lock(&inner.ledger).late_calls += 1;
+        lock(&inner.counters).late_calls += 1;
     }
 }
 
@@ -201,7 +201,7 @@
 
 /// Refuses a call that has not been run.
 fn refuse(inner: &Inner, reason: &str) -> Reply {
-    lock(&inner.ledger).refused += 1;
+    lock(&inner.counters).refused += 1;
     let body = json!({ "not_run": true, "refused": reason });
     reply(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
--- a/crates/fake/src/target/mod.rs
+++ b/crates/fake/src/target/mod.rs
@@ -31,7 +31,7 @@
     time::sleep,
 };
 
-use crate::{LeafSpec, Silence, gate::GatedStream};
+use crate::{LeafSpec, Stall, stall::StallableStream};
 
 /// Configures a simulated leaf; can be changed while it runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -87,7 +87,7 @@
 
 /// Counters of a simulated leaf.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetLedger {
+pub struct LeafCounters {
     /// Query calls completed.
     pub queries: u64,
     /// Calls refused without running them.
@@ -109,8 +109,8 @@
     config: watch::Sender<TargetConfig>,
     slots: Semaphore,
     slot_count: usize,
-    ledger: Mutex<TargetLedger>,
-    silences: Mutex<Vec<Silence>>,
+    counters: Mutex<LeafCounters>,
+    stalls: Mutex<Vec<Stall>>,
     left_at: Mutex<Option<tokio::time::Instant>>,
     rng_count: AtomicU64,
     waiting: AtomicUsize,
@@ -158,8 +158,8 @@
             config: watch::Sender::new(config),
             slots: Semaphore::new(slots as usize),
             slot_count: slots as usize,
-            ledger: Mutex::new(TargetLedger::default()),
-            silences: Mutex::new(Vec::new()),
+            counters: Mutex::new(LeafCounters::default()),
+            stalls: Mutex::new(Vec::new()),
             left_at: Mutex::new(None),
             rng_count: AtomicU64::new(1),
             waiting: AtomicUsize::new(0),
@@ -197,20 +197,20 @@
     }
 
     /// Changes the configuration.
-    pub fn change(&self, change: impl FnOnce(&mut TargetConfig)) {
-        self.inner.change(change);
+    pub fn configure(&self, change: impl FnOnce(&mut TargetConfig)) {
+        self.inner.configure(change);
     }
 
     /// Returns the counters.
     #[must_use]
-    pub fn ledger(&self) -> TargetLedger {
-        lock(&self.inner.ledger).clone()
+    pub fn counters(&self) -> LeafCounters {
+        lock(&self.inner.counters).clone()
     }
 
     /// Makes every open connection unresponsive; new ones work.
-    pub fn silence(&self) {
-        for silence in lock(&self.inner.silences).drain(..) {
-            silence.fall();
+    pub fn stall_connections(&self) {
+        for stall in lock(&self.inner.stalls).drain(..) {
+            stall.activate();
         }
     }
 
@@ -221,7 +221,7 @@
 }
 
 impl Inner {
-    fn change(&self, change: impl FnOnce(&mut TargetConfig)) {
+    fn configure(&self, change: impl FnOnce(&mut TargetConfig)) {
         self.config.send_modify(change);
         let config = self.config.borrow();
         let mut left_at = lock(&self.left_at);
@@ -277,13 +277,13 @@
         };
         let limit = inner.config.borrow().connections;
         {
-            let mut ledger = lock(&inner.ledger);
-            if ledger.connections >= limit {
+            let mut counters = lock(&inner.counters);
+            if counters.connections >= limit {
                 // Closing it at once shows the peer that no call has run.
                 continue;
             }
-            ledger.connections += 1;
-            ledger.connections_peak = ledger.connections_peak.max(ledger.connections);
+            counters.connections += 1;
+            counters.connections_peak = counters.connections_peak.max(counters.connections);
         }
         let (inner, mut close) = (inner.clone(), close.subscribe());
         tokio::spawn(async move {
@@ -291,7 +291,7 @@
                 () = serve(stream, inner.clone()) => {}
                 _ = close.changed() => {}
             }
-            lock(&inner.ledger).connections -= 1;
+            lock(&inner.counters).connections -= 1;
         });
     }
 }
@@ -300,12 +300,12 @@
     let open = inner.config.borrow().open_ms;
     sleep(Duration::from_millis(open)).await;
     let _ = stream.set_nodelay(true);
-    let silence = Silence::default();
+    let stall = Stall::default();
     {
-        let mut silences = lock(&inner.silences);
-        silences.push(silence.clone());
+        let mut stalls = lock(&inner.stalls);
+        stalls.push(stall.clone());
     }
-    let stream = GatedStream { stream, silence };
+    let stream = StallableStream { stream, stall };
     let service = service_fn(move |request| {
         let inner = inner.clone();
         async move { Ok::<_, std::convert::Infallible>(calls::handle(&inner, request).await) }
--- a/crates/fake/tests/bound.rs
+++ b/crates/fake/tests/bound.rs
@@ -1,17 +1,17 @@
 //! Upper bound on what any routing policy could serve.
 
-use chestnut_fake::bound::{ClassShape, Deployment, Shards, Span};
+use chestnut_fake::bound::{FlowModel, RequestClass, ShardGroup, Span};
 use rstest::rstest;
 
-fn deployment(least: f64, span: Span) -> Deployment {
-    let class = ClassShape {
+fn model(least: f64, span: Span) -> FlowModel {
+    let class = RequestClass {
         rate: 100.0,
         work: 10.0,
         goal: 100.0,
         least,
         worth: 1.0,
     };
-    Deployment {
+    FlowModel {
         part: 0.2,
         slack: 0.0,
         classes: vec![class],
@@ -19,7 +19,7 @@
     }
 }
 
-const HEALTHY: Shards = Shards {
+const HEALTHY: ShardGroup = ShardGroup {
     count: 10,
     slots: 2.0,
     sound: 3.0,
@@ -29,7 +29,7 @@
     times: 1.0,
 };
 
-fn span(shards: Vec<Shards>) -> Span {
+fn span(shards: Vec<ShardGroup>) -> Span {
     Span {
         name: "s".to_owned(),
         length: 2.0,
@@ -39,8 +39,8 @@
     }
 }
 
-fn group(count: u32, sound: f64, faulty: f64, fails: f64) -> Shards {
-    Shards {
+fn group(count: u32, sound: f64, faulty: f64, fails: f64) -> ShardGroup {
+    ShardGroup {
         count,
         sound,
         faulty,
@@ -60,10 +60,10 @@
 #[case::half_the_capacity(1.0, vec![group(10, 0.25, 0.0, 0.0)], 0.5)]
 fn the_bound_follows_from_the_capacity_of_the_leafs(
     #[case] least: f64,
-    #[case] shards: Vec<Shards>,
+    #[case] shards: Vec<ShardGroup>,
     #[case] expected: f64,
 ) {
-    let rows = deployment(least, span(shards)).bounds();
+    let rows = model(least, span(shards)).bounds();
     assert!((rows[0].bound - expected).abs() < 0.01, "{rows:?}");
 }
 
@@ -74,20 +74,20 @@
         dark: 1.5,
         ..span(vec![HEALTHY])
     };
-    let rows = deployment(0.9, outage).bounds();
+    let rows = model(0.9, outage).bounds();
     assert!((rows[0].bound - 0.25).abs() < 1e-9, "{rows:?}");
 }
 
 /// Guards against counting answers that come after the latency objective.
 #[test]
 fn leafs_slower_than_the_objective_add_nothing() {
-    let slow = |times| Shards {
+    let slow = |times| ShardGroup {
         sound: 0.0,
         slow: 3.0,
         times,
         ..HEALTHY
     };
-    let bound = |times| deployment(1.0, span(vec![slow(times)])).bounds()[0].bound;
+    let bound = |times| model(1.0, span(vec![slow(times)])).bounds()[0].bound;
     assert!((bound(5.0) - 1.0).abs() < 1e-9);
     assert!(bound(11.0).abs() < 1e-9);
 }
--- a/crates/fake/tests/examples.rs
+++ b/crates/fake/tests/examples.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use chestnut_conf::{Book, Kind, Object, Organisation, Template};
-use chestnut_fake::{World, demo::objects_in};
+use chestnut_fake::{DeploymentSpec, demo::read_objects};
 use chestnut_unit::OrgName;
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
 #[case("pollen")]
 fn templates_and_organisations_pass_their_checks(#[case] name: &str) {
     let mut book = Book::default();
-    for (key, value) in objects_in(&folder(name)).unwrap() {
+    for (key, value) in read_objects(&folder(name)).unwrap() {
         book.apply(Object {
             key,
             version: 1,
@@ -47,9 +47,9 @@
 #[case("flipperhouse", 94)]
 #[case("pollen", 105)]
 fn examples_have_the_expected_sizes(#[case] name: &str, #[case] leafs: usize) {
-    let world = World::open(&folder(name).join("world.toml")).unwrap();
-    assert_eq!(world.domains.len(), 3);
-    assert_eq!(world.entry.len(), 7);
-    assert_eq!(world.leafs().len(), leafs);
-    assert!(world.leafs().iter().all(|leaf| !leaf.shards.is_empty()));
+    let spec = DeploymentSpec::open(&folder(name).join("world.toml")).unwrap();
+    assert_eq!(spec.domains.len(), 3);
+    assert_eq!(spec.entry.len(), 7);
+    assert_eq!(spec.leafs().len(), leafs);
+    assert!(spec.leafs().iter().all(|leaf| !leaf.shards.is_empty()));
 }
--- a/crates/fake/tests/silence.rs
+++ b/crates/fake/tests/silence.rs
@@ -48,7 +48,7 @@
         .query(call(&server))
         .await
         .expect("the leaf answers");
-    server.silence();
+    server.stall_connections();
     let cut_off = targets.query(call(&server)).await;
     assert_eq!(cut_off, Err(Failure::ConnectionSilent));
     let next = targets.query(call(&server)).await;
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_slow_leaf_keeps_its_connection() {
     let (server, targets) = start().await;
-    server.change(|config| config.median_ms = 400.0);
+    server.configure(|config| config.median_ms = 400.0);
     let answer = targets.query(call(&server)).await;
     assert!(answer.is_ok(), "{answer:?}");
 }
@@ -72,7 +72,7 @@
     for _ in 0..4 {
         let calls: Vec<_> = (0..40).map(|_| targets.query(call(&server))).collect();
         futures::future::join_all(calls).await;
-        server.silence();
+        server.stall_connections();
     }
-    assert!(server.ledger().connections_peak <= 4);
+    assert!(server.counters().connections_peak <= 4);
 }
--- a/crates/scene/src/stage/mod.rs
+++ b/crates/scene/src/stage/mod.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use chestnut_conf::{Kind, ObjectKey, Settings};
-use chestnut_fake::{Store, World, layout_of};
+use chestnut_fake::{DeploymentSpec, Store, layout};
 use chestnut_port::{Clock, PeerService, Peers};
 use chestnut_tier::{PeerBinder, Ports, QueryRequest, SpawnError, SubmitRequest, Tier};
 use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, Wall};
@@ -61,7 +61,7 @@
 /// Simulated deployment of one scenario: entries, leafs, links and platform.
 pub struct Stage {
     setup: Setup,
-    world: World,
+    world: DeploymentSpec,
     links: Arc<Links>,
     leafs: Leafs,
     platform: Arc<platform::Shared>,
@@ -326,7 +326,7 @@
     /// Marks a leaf as leaving in the platform's list of VMs.
     fn list_leaving(&self, leaf: &LeafId) {
         let mut store = lock(&self.platform.store);
-        let mut vms = store.true_vms();
+        let mut vms = store.last_vms();
         for vm in &mut vms {
             vm.leaving |= vm.name == leaf.as_str();
         }
@@ -341,7 +341,7 @@
     pub fn repartition(&self, version: u64, shift: u32) {
         let spec = &self.world.service[0];
         let version = IndexVersion(version);
-        let mut layout = layout_of(spec, version, spec.shards);
+        let mut layout = layout(spec, version, spec.shards);
         let ids: Vec<LeafId> = self.world.leafs().into_iter().map(|leaf| leaf.id).collect();
         let moved = |id: &LeafId| {
             let at = ids.iter().position(|other| other == id).unwrap_or(0);
@@ -382,7 +382,7 @@
             kind: Kind::Service,
             name: spec.name.to_string(),
         };
-        let revision = lock(&self.platform.store).peek(&key);
+        let revision = lock(&self.platform.store).get_unfaulted(&key);
         let Some(object) = revision else {
             return;
         };
@@ -400,7 +400,7 @@
             kind,
             name: name.to_owned(),
         };
-        lock(&self.platform.store).write(key, value);
+        lock(&self.platform.store).put_unfaulted(key, value);
         self.platform.changed.notify_waiters();
     }
 
@@ -470,7 +470,7 @@
 
     /// Returns the number of refusals without a record in the platform.
     pub(crate) fn unrecorded(&self) -> usize {
-        let objects = lock(&self.platform.store).peek_all(Kind::Refusal);
+        let objects = lock(&self.platform.store).list_unfaulted(Kind::Refusal);
         let recorded: BTreeSet<String> = objects
             .iter()
             .flat_map(|object| object.value["records"].as_array().into_iter().flatten())
--- a/crates/scene/src/stage/world.rs
+++ b/crates/scene/src/stage/world.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use chestnut_conf::{Kind, ObjectKey, Stored};
-use chestnut_fake::World;
+use chestnut_fake::DeploymentSpec;
 use serde_json::json;
 
 use crate::command::Setup;
@@ -14,7 +14,7 @@
 pub(super) const SERVICE: &str = "ladder";
 
 /// Builds the deployment that a setup describes.
-pub(super) fn world_of(setup: &Setup) -> World {
+pub(super) fn world_of(setup: &Setup) -> DeploymentSpec {
     let host = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let domains = ["dub-a", "dub-b", "kdr-c"];
     let entries: String = (0..setup.entries)
@@ -38,7 +38,7 @@
         setup.connections,
         setup.group,
     );
-    World::parse(&text).expect("the text describes a valid world")
+    DeploymentSpec::parse(&text).expect("the text describes a valid world")
 }
 
 /// Returns the template and the organisation that every scenario starts with.
--- a/crates/scene/tests/random.rs
+++ b/crates/scene/tests/random.rs
@@ -1,7 +1,7 @@
 //! Random scenarios with a fixed seed: invariants hold under all faults, and
 //! the service recovers once the faults end.
 
-use chestnut_fake::demo::no_log;
+use chestnut_fake::demo::discard_logger;
 use chestnut_scene::run_text;
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -81,7 +81,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime on one thread");
-    runtime.block_on(run_text(text, no_log())).map(drop)
+    runtime.block_on(run_text(text, discard_logger())).map(drop)
 }
 
 proptest! {
--- a/crates/scene/tests/scenarios.rs
+++ b/crates/scene/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use chestnut_fake::demo::no_log;
+use chestnut_fake::demo::discard_logger;
 use chestnut_scene::run_text;
 use rstest::rstest;
 use slog::{Drain, Logger, o};
@@ -10,7 +10,7 @@
 /// Logs to standard error when `CHESTNUT_LOG` is set, to debug a failure.
 fn log() -> Logger {
     if std::env::var_os("CHESTNUT_LOG").is_none() {
-        return no_log();
+        return discard_logger();
     }
     let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = std::sync::Mutex::new(slog_term::CompactFormat::new(decorator).build());
