--- a/crates/fake/src/experiment/rooms.rs
+++ b/crates/fake/src/experiment/capacity.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
-use super::{Shape, room_conditions, room_policies, simulate};
+use super::{Topology, capacity_conditions, capacity_policies, simulate};
 use crate::{Series, plot_lines};
 
 /// Results of one policy under one condition, over several seeds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RoomRow {
+pub struct CapacityRow {
     /// Name of the condition.
     pub condition: &'static str,
     /// Name of the policy.
@@ -25,17 +25,17 @@
 
 /// Simulates every policy under every condition, with seeds 1 to `seeds`.
 #[must_use]
-pub fn run_rooms(shape: &Shape, seeds: u64) -> Vec<RoomRow> {
+pub fn run_capacity(topology: &Topology, seeds: u64) -> Vec<CapacityRow> {
     let mut rows = Vec::new();
-    for condition in room_conditions() {
-        for policy in room_policies() {
-            let runs = (1..=seeds).map(|seed| simulate(shape, &policy, &condition, seed));
+    for condition in capacity_conditions() {
+        for policy in capacity_policies() {
+            let runs = (1..=seeds).map(|seed| simulate(topology, &policy, &condition, seed));
             let runs: Vec<_> = runs.collect();
             let sum = |of: fn(&super::Outcome) -> u64| runs.iter().map(of).sum::<u64>() as f64;
             let arrived = sum(|o| o.arrived).max(1.0);
             let credits = runs.iter().map(|o| o.credit / o.arrived.max(1) as f64);
-            let calls = sum(|o| o.useful + o.wasted).max(1.0);
-            rows.push(RoomRow {
+            let calls = sum(|o| o.useful_calls + o.wasted_calls).max(1.0);
+            rows.push(CapacityRow {
                 condition: condition.name,
                 policy: policy.name,
                 credit: (
@@ -45,7 +45,7 @@
                 ),
                 in_time: sum(|o| o.in_time) / arrived,
                 served: sum(|o| o.served) / arrived,
-                wasted: sum(|o| o.wasted) / calls,
+                wasted: sum(|o| o.wasted_calls) / calls,
             });
         }
     }
@@ -57,10 +57,10 @@
 /// # Errors
 ///
 /// The file can't be written, or there are no rows.
-pub fn plot_rooms(path: &Path, rows: &[RoomRow]) -> Result<(), String> {
-    let conditions: Vec<&str> = room_conditions().iter().map(|c| c.name).collect();
+pub fn plot_capacity(path: &Path, rows: &[CapacityRow]) -> Result<(), String> {
+    let conditions: Vec<&str> = capacity_conditions().iter().map(|c| c.name).collect();
     let number = |name: &str| conditions.iter().position(|c| *c == name).unwrap_or(0);
-    let series: Vec<Series> = room_policies()
+    let series: Vec<Series> = capacity_policies()
         .iter()
         .map(|policy| Series {
             name: policy.name.to_owned(),
--- a/crates/fake/src/experiment/condition.rs
+++ b/crates/fake/src/experiment/condition.rs
@@ -27,14 +27,14 @@
         extra: Duration,
     },
     /// One leaf crashes a third into the run and stays down.
-    LostLeaf,
+    LeafCrash,
     /// All leafs of one failure domain crash a third into the run.
-    LostDomain,
+    DomainCrash,
     /// One replica of each shard turns cold (slow until warmed up) a third into
     /// the run.
     ColdLeafs,
     /// Health and load endpoints report idle leafs as loaded and the reverse.
-    LyingHealth,
+    InvertedHealth,
     /// Leafs refuse calls when all slots are busy instead of queueing them.
     Shedding,
     /// A new index version with another shard layout is published a third into
@@ -44,13 +44,13 @@
     /// without being closed.
     SilentConnections,
     /// One entry crashes a third into the run.
-    DeadEntry,
+    EntryCrash,
     /// One entry process is suspended for a while and then resumes.
-    FrozenEntry,
+    EntryFreeze,
     /// Every leaf pauses periodically, out of phase with the others.
-    Pauses,
+    LeafPauses,
     /// Some shards have a single replica from the start of the run.
-    Scarce {
+    ReducedReplicas {
         /// Number of such shards.
         shards: usize,
     },
@@ -61,7 +61,7 @@
 pub struct Condition {
     /// Name in the tables.
     pub name: &'static str,
-    /// Arrival rate as a share of [`Shape::capacity`](super::Shape::capacity).
+    /// Arrival rate as a share of [`Topology::capacity`](super::Topology::capacity).
     pub load: f64,
     /// Share of the queries in each urgency class.
     pub mix: [(Urgency, f64); 3],
@@ -114,22 +114,22 @@
         with_faults("stragglers-5x30", 0.5, &[straggle(0.05, 30.0)]),
         with_faults("slow-leaf", 0.5, &[Fault::SlowLeaf { factor: 10.0 }]),
         with_faults("slow-domain", 0.5, &[slow_domain]),
-        with_faults("lost-leaf", 0.5, &[Fault::LostLeaf]),
-        with_faults("lost-domain", 0.5, &[Fault::LostDomain]),
+        with_faults("lost-leaf", 0.5, &[Fault::LeafCrash]),
+        with_faults("lost-domain", 0.5, &[Fault::DomainCrash]),
         with_faults("cold-leafs", 0.5, &[Fault::ColdLeafs]),
-        with_faults("lying-health", 0.5, &[Fault::LyingHealth]),
+        with_faults("lying-health", 0.5, &[Fault::InvertedHealth]),
         with_faults("shedding", 0.8, &[Fault::Shedding]),
         mixed("mixed-50", 0.5),
         mixed("overload-130", 1.3),
         mixed("overload-200", 2.0),
         with_faults("new-version", 0.5, &[Fault::NewVersion]),
         with_faults("silent-third", 0.5, &[Fault::SilentConnections]),
-        with_faults("dead-entry", 0.5, &[Fault::DeadEntry]),
-        with_faults("frozen-entry", 0.5, &[Fault::FrozenEntry]),
+        with_faults("dead-entry", 0.5, &[Fault::EntryCrash]),
+        with_faults("frozen-entry", 0.5, &[Fault::EntryFreeze]),
         with_faults(
             "silent+lost-leaf",
             0.5,
-            &[Fault::SilentConnections, Fault::LostLeaf],
+            &[Fault::SilentConnections, Fault::LeafCrash],
         ),
         with_faults(
             "version+slow-leaf",
@@ -143,14 +143,14 @@
 ///
 /// Loads are relative to the capacity of a shard with one replica of three.
 #[must_use]
-pub fn room_conditions() -> Vec<Condition> {
+pub fn capacity_conditions() -> Vec<Condition> {
     const ONE_OF_THREE: f64 = 1.0 / 3.0;
     let reduced = |name, load: f64, shards| {
-        let faults = [Fault::Pauses, Fault::Scarce { shards }];
+        let faults = [Fault::LeafPauses, Fault::ReducedReplicas { shards }];
         with_faults(name, load * ONE_OF_THREE, &faults)
     };
     vec![
-        with_faults("pauses", 0.85 * ONE_OF_THREE, &[Fault::Pauses]),
+        with_faults("pauses", 0.85 * ONE_OF_THREE, &[Fault::LeafPauses]),
         reduced("1 scarce, 85%", 0.85, 1),
         reduced("1 scarce, 130%", 1.3, 1),
         reduced("2 scarce, 85%", 0.85, 2),
--- a/crates/fake/src/experiment/wires.rs
+++ b/crates/fake/src/experiment/connections.rs
@@ -41,7 +41,7 @@
     /// Starts to open a connection.
     pub(super) fn open_connection(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let round = self.latency(at, leaf) * 2;
-        let span = self.shape.open + round;
+        let span = self.topology.connect_time + round;
         self.schedule(
             span,
             Event::ConnOpened {
@@ -56,7 +56,7 @@
     pub(super) fn on_opened(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let now = self.now;
         let refused =
-            self.leafs[leaf].crashed || self.leafs[leaf].connections >= self.shape.connections;
+            self.leafs[leaf].crashed || self.leafs[leaf].connections >= self.topology.connections;
         let link = &mut self.entries[at].links[leaf];
         let pending = std::mem::take(&mut link.pending);
         if refused {
@@ -70,7 +70,7 @@
         let quiet = link.pool.quiet(now);
         self.leafs[leaf].connect();
         if now > Time::ZERO + MEASURE_START {
-            self.entries[at].opened += 1;
+            self.entries[at].connections_opened += 1;
         }
         for conn in quiet {
             self.probe(at, leaf, conn);
@@ -144,9 +144,9 @@
     pub(super) fn latency(&self, at: usize, leaf: usize) -> Duration {
         let (a, b) = (self.entries[at].domain, self.leafs[leaf].domain);
         let base = if a == b {
-            self.shape.near
+            self.topology.local_latency
         } else {
-            self.shape.far
+            self.topology.remote_latency
         };
         base + self.extra_latency[b]
     }
@@ -170,7 +170,7 @@
 
     /// Draws the service time of a started call and schedules its end.
     pub(super) fn run_call(&mut self, leaf: usize, number: u64) {
-        let mut span = service_time(self.shape.median, &mut self.service_rng);
+        let mut span = service_time(self.topology.service_median, &mut self.service_rng);
         span = span.mul_f64(self.leafs[leaf].service_factor(self.now));
         for fault in &self.condition.faults {
             if let Fault::Stragglers { share, factor } = fault
@@ -179,7 +179,7 @@
                 span = span.mul_f64(*factor);
             }
         }
-        if self.condition.faults.contains(&Fault::Pauses) {
+        if self.condition.faults.contains(&Fault::LeafPauses) {
             span += pause_delay(leaf, self.now, span);
         }
         self.schedule(span, Event::CallDone { leaf, number });
--- a/crates/fake/src/experiment/entry.rs
+++ b/crates/fake/src/experiment/entry.rs
@@ -10,7 +10,7 @@
 use chestnut_unit::{IndexVersion, LeafId, ShardName, Snapshot, Time, Urgency};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Policy, Shape};
+use super::{Policy, Topology};
 
 /// A request at an entry, from its arrival to its end.
 #[derive(Debug)]
@@ -66,28 +66,33 @@
     /// Time until which the process is suspended.
     pub(super) frozen_until: Option<Time>,
     /// Connections opened after the warm-up.
-    pub(super) opened: u64,
+    pub(super) connections_opened: u64,
 }
 
 impl Entry {
     /// Creates an entry that knows the first index version.
-    pub(super) fn new(domain: usize, shape: &Shape, policy: &Policy, rng: ChaCha8Rng) -> Self {
+    pub(super) fn new(
+        domain: usize,
+        topology: &Topology,
+        policy: &Policy,
+        rng: ChaCha8Rng,
+    ) -> Self {
         let mut table = Table::new(policy.table.clone());
         let add = |leaf: usize| {
             let id = LeafId::new(format!("l{leaf}")).expect("a legal name");
-            table.add(Backend::Leaf(id), shape.slots as u32, Time::ZERO)
+            table.add(Backend::Leaf(id), topology.slots as u32, Time::ZERO)
         };
-        let backends: Vec<Ix> = (0..shape.leafs).map(add).collect();
-        if let Some(bounds) = policy.rooms.bounds(shape) {
+        let backends: Vec<Ix> = (0..topology.leafs).map(add).collect();
+        if let Some(bounds) = policy.call_limit.bounds(topology) {
             for ix in &backends {
                 table.set_bounds(*ix, bounds);
             }
         }
-        if let Some(goal) = shape.goal {
-            table.set_objective(Class::default(), goal);
+        if let Some(objective) = topology.objective {
+            table.set_objective(Class::default(), objective);
         }
         let link = || Link {
-            pool: Pool::new(shape.pool, shape.spare),
+            pool: Pool::new(topology.pool_size, topology.spare_connections),
             silent: Vec::new(),
             pending: Vec::new(),
             in_flight: BTreeMap::new(),
@@ -98,32 +103,32 @@
             versions: Versions::default(),
             admission: Admission::new(policy.admit),
             requests: BTreeMap::new(),
-            links: (0..shape.leafs).map(|_| link()).collect(),
+            links: (0..topology.leafs).map(|_| link()).collect(),
             backends,
             rng,
             crashed: false,
             frozen_until: None,
-            opened: 0,
+            connections_opened: 0,
         };
-        entry.add_version(shape, IndexVersion(1), 0);
+        entry.add_version(topology, IndexVersion(1), 0);
         entry
     }
 
     /// Adds an index version whose first replica is at leaf `shift`.
-    pub(super) fn add_version(&mut self, shape: &Shape, version: IndexVersion, shift: usize) {
+    pub(super) fn add_version(&mut self, topology: &Topology, version: IndexVersion, shift: usize) {
         let shard = |s: usize| Route {
             name: ShardName::new(format!("s{s}")).expect("a legal name"),
-            replicas: (0..shape.replicas)
-                .map(|r| self.backends[(s * shape.replicas + r + shift) % shape.leafs])
+            replicas: (0..topology.replicas)
+                .map(|r| self.backends[(s * topology.replicas + r + shift) % topology.leafs])
                 .collect(),
             budget: BudgetId::default(),
         };
         let routes = Routes {
             snapshot: Snapshot {
-                service: shape.service.clone(),
+                service: topology.service.clone(),
                 version,
             },
-            shards: (0..shape.shards).map(shard).collect(),
+            shards: (0..topology.shards).map(shard).collect(),
         };
         self.versions.insert(routes);
     }
--- a/crates/fake/src/experiment/faults.rs
+++ b/crates/fake/src/experiment/faults.rs
@@ -23,8 +23,8 @@
         match self.condition.faults[number] {
             Fault::SlowLeaf { factor } => self.leafs[0].fault_factor = factor,
             Fault::SlowDomain { extra } => self.extra_latency[0] = extra,
-            Fault::LostLeaf => self.crash_leaf(0),
-            Fault::LostDomain => {
+            Fault::LeafCrash => self.crash_leaf(0),
+            Fault::DomainCrash => {
                 for leaf in 0..self.leafs.len() {
                     if self.leafs[leaf].domain == 0 {
                         self.crash_leaf(leaf);
@@ -32,23 +32,23 @@
                 }
             }
             Fault::ColdLeafs => {
-                for leaf in (0..self.leafs.len()).step_by(self.shape.replicas) {
+                for leaf in (0..self.leafs.len()).step_by(self.topology.replicas) {
                     self.leafs[leaf].cold_since = Some(self.now);
                 }
             }
             Fault::NewVersion => self.new_version(),
             Fault::SilentConnections => self.silence_connections(),
-            Fault::DeadEntry => {
+            Fault::EntryCrash => {
                 self.entries[0].crashed = true;
                 self.entries[0].requests.clear();
             }
-            Fault::FrozenEntry => self.entries[0].frozen_until = Some(self.now + FREEZE_DURATION),
-            Fault::Scarce { shards } => self.remove_replicas(shards),
+            Fault::EntryFreeze => self.entries[0].frozen_until = Some(self.now + FREEZE_DURATION),
+            Fault::ReducedReplicas { shards } => self.remove_replicas(shards),
             Fault::None
             | Fault::Stragglers { .. }
-            | Fault::LyingHealth
+            | Fault::InvertedHealth
             | Fault::Shedding
-            | Fault::Pauses => {}
+            | Fault::LeafPauses => {}
         }
     }
 
@@ -56,7 +56,7 @@
     pub(super) fn end_fault(&mut self, number: usize) {
         match self.condition.faults[number] {
             Fault::SlowLeaf { .. } => self.leafs[0].fault_factor = 1.0,
-            Fault::FrozenEntry => self.entries[0].frozen_until = None,
+            Fault::EntryFreeze => self.entries[0].frozen_until = None,
             _ => {}
         }
     }
@@ -69,7 +69,8 @@
         }
         self.leafs[leaf].connections = 0;
         for entry in &mut self.entries {
-            entry.links[leaf].pool = Pool::new(self.shape.pool, self.shape.spare);
+            entry.links[leaf].pool =
+                Pool::new(self.topology.pool_size, self.topology.spare_connections);
         }
     }
 
@@ -77,8 +78,8 @@
     /// the entries.
     fn remove_replicas(&mut self, shards: usize) {
         for shard in 0..shards {
-            for replica in 1..self.shape.replicas {
-                let leaf = shard * self.shape.replicas + replica;
+            for replica in 1..self.topology.replicas {
+                let leaf = shard * self.topology.replicas + replica;
                 self.crash_leaf(leaf);
                 for entry in &mut self.entries {
                     entry
@@ -96,7 +97,7 @@
             leaf.versions.push(version);
         }
         for entry in &mut self.entries {
-            entry.add_version(self.shape, version, 1);
+            entry.add_version(self.topology, version, 1);
         }
         self.schedule(OLD_VERSION_RETENTION, Event::DropOldVersion);
     }
@@ -127,8 +128,8 @@
     let third = span / 3;
     match fault {
         Fault::SlowLeaf { .. } => (third, Some(third * 2)),
-        Fault::FrozenEntry => (third, Some(third + FREEZE_DURATION)),
-        Fault::SlowDomain { .. } | Fault::Scarce { .. } => (Duration::ZERO, None),
+        Fault::EntryFreeze => (third, Some(third + FREEZE_DURATION)),
+        Fault::SlowDomain { .. } | Fault::ReducedReplicas { .. } => (Duration::ZERO, None),
         _ => (third, None),
     }
 }
--- a/crates/fake/src/experiment/mod.rs
+++ b/crates/fake/src/experiment/mod.rs
@@ -6,21 +6,21 @@
 //! leafs (servers that each hold replicas of some shards) and the connections
 //! are modelled. The same seed gives the same figures.
 
+mod capacity;
 mod condition;
+mod connections;
 mod entry;
 mod faults;
 mod leaf;
 mod policy;
 mod report;
 mod requests;
-mod rooms;
-mod shape;
 mod sim;
-mod wires;
+mod topology;
 
-pub use condition::{Condition, Fault, conditions, room_conditions};
-pub use policy::{Policy, Rooms, policies, room_policies};
+pub use capacity::{CapacityRow, plot_capacity, run_capacity};
+pub use condition::{Condition, Fault, capacity_conditions, conditions};
+pub use policy::{CallLimit, Policy, capacity_policies, policies};
 pub use report::{Outcome, UrgencyOutcome, run_table};
-pub use rooms::{RoomRow, plot_rooms, run_rooms};
-pub use shape::Shape;
 pub use sim::simulate;
+pub use topology::Topology;
--- a/crates/fake/src/experiment/policy.rs
+++ b/crates/fake/src/experiment/policy.rs
@@ -5,7 +5,7 @@
 use chestnut_route::{AdmitConfig, Bounds, Choice, Guard, Hedge, LimitMode, TableConfig};
 use chestnut_unit::Share;
 
-use super::Shape;
+use super::Topology;
 
 /// A configuration of routing and admission.
 #[derive(Clone, Debug)]
@@ -17,29 +17,29 @@
     /// Admission control.
     pub admit: AdmitConfig,
     /// Limit on concurrent calls to a leaf.
-    pub rooms: Rooms,
+    pub call_limit: CallLimit,
 }
 
 /// Limit on the calls that an entry has in flight at a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rooms {
+pub enum CallLimit {
     /// No limit.
-    Any,
+    Unlimited,
     /// The entry's share of the leaf's connections.
     Connections,
     /// The entry's share of the leaf's slots.
     Slots,
     /// An adaptive concurrency window between the two shares.
-    Windows,
+    Adaptive,
 }
 
-impl Rooms {
+impl CallLimit {
     /// Returns the concurrency bounds of an entry; none if unlimited.
-    pub(super) fn bounds(self, shape: &Shape) -> Option<Bounds> {
-        let connections = shape.connections / shape.entries;
-        let share = Bounds::share(shape.slots as u32, shape.entries, connections);
+    pub(super) fn bounds(self, topology: &Topology) -> Option<Bounds> {
+        let connections = topology.connections / topology.entries;
+        let share = Bounds::share(topology.slots as u32, topology.entries, connections);
         match self {
-            Self::Any => None,
+            Self::Unlimited => None,
             Self::Connections => Some(Bounds {
                 min: share.max,
                 ..share
@@ -48,7 +48,7 @@
                 max: share.min,
                 ..share
             }),
-            Self::Windows => Some(share),
+            Self::Adaptive => Some(share),
         }
     }
 }
@@ -77,7 +77,7 @@
             ..TableConfig::default()
         },
         admit: AdmitConfig::default(),
-        rooms: Rooms::Any,
+        call_limit: CallLimit::Unlimited,
     }
 }
 
@@ -90,7 +90,7 @@
             ..TableConfig::default()
         },
         admit: AdmitConfig::default(),
-        rooms: Rooms::Any,
+        call_limit: CallLimit::Unlimited,
     }
 }
 
@@ -108,14 +108,14 @@
             ..TableConfig::default()
         },
         admit: unlimited(),
-        rooms: Rooms::Any,
+        call_limit: CallLimit::Unlimited,
     };
     vec![
         Policy {
             name: "chestnut",
             table: TableConfig::default(),
             admit: AdmitConfig::default(),
-            rooms: Rooms::Any,
+            call_limit: CallLimit::Unlimited,
         },
         naive,
         unhedged("least-outstanding", Choice::LeastOutstanding),
@@ -135,23 +135,27 @@
 /// Returns the policies that limit load on shards with little capacity: none, a
 /// limit from the service's mean run time, and limits for each leaf.
 #[must_use]
-pub fn room_policies() -> Vec<Policy> {
+pub fn capacity_policies() -> Vec<Policy> {
     let table = TableConfig {
         choice: Choice::Predicted,
         stall_backoff: PAUSE_DURATION,
         ..TableConfig::default()
     };
-    let policy = |name, admit, rooms| Policy {
+    let policy = |name, admit, call_limit| Policy {
         name,
         table: table.clone(),
         admit,
-        rooms,
+        call_limit,
     };
     vec![
-        policy("none", unlimited(), Rooms::Any),
-        policy("mean run time", AdmitConfig::default(), Rooms::Any),
-        policy("connections", unlimited(), Rooms::Connections),
-        policy("slots", unlimited(), Rooms::Slots),
-        policy("windows", unlimited(), Rooms::Windows),
+        policy("none", unlimited(), CallLimit::Unlimited),
+        policy(
+            "mean run time",
+            AdmitConfig::default(),
+            CallLimit::Unlimited,
+        ),
+        policy("connections", unlimited(), CallLimit::Connections),
+        policy("slots", unlimited(), CallLimit::Slots),
+        policy("windows", unlimited(), CallLimit::Adaptive),
     ]
 }
--- a/crates/fake/src/experiment/report.rs
+++ b/crates/fake/src/experiment/report.rs
@@ -5,7 +5,7 @@
 use chestnut_unit::{Reason, Urgency};
 use hdrhistogram::Histogram;
 
-use super::{Condition, Policy, Shape, simulate};
+use super::{Condition, Policy, Topology, simulate};
 use crate::{Series, plot_lines};
 
 /// Results of the queries of one urgency.
@@ -14,7 +14,7 @@
     /// Queries that arrived.
     pub arrived: u64,
     /// Queries answered by all shards.
-    pub whole: u64,
+    pub completed: u64,
     /// Latency of complete answers, in microseconds.
     pub latency: Histogram<u32>,
 }
@@ -29,17 +29,17 @@
     /// Queries that arrived.
     pub arrived: u64,
     /// Queries answered by all shards.
-    pub whole: u64,
+    pub completed: u64,
     /// Queries that ran and ended without some shards.
-    pub short: u64,
+    pub partial: u64,
     /// Sum of coverage (share of shards that answered) over queries that ran.
-    pub covered: f64,
+    pub coverage_sum: f64,
     /// Queries that ran.
-    pub ran: u64,
+    pub executed: u64,
     /// Refusals by reason.
     pub refused: BTreeMap<Reason, u64>,
     /// Time from arrival to refusal, in microseconds.
-    pub refusal: Histogram<u32>,
+    pub refusal_latency: Histogram<u32>,
     /// First calls of shards to leafs.
     pub first: u64,
     /// Hedged calls.
@@ -49,14 +49,14 @@
     /// Shards queried, summed over queries.
     pub shards: u64,
     /// Connections opened after the warm-up.
-    pub opened: u64,
+    pub connections_opened: u64,
     /// Peak number of connections from all entries to one leaf.
-    pub peak: usize,
+    pub peak_connections: usize,
     /// Limit of connections to a leaf.
-    pub limit: usize,
+    pub connection_limit: usize,
     /// Outlier ejections of leafs.
     pub evictions: u64,
-    /// Answers with at least the minimum coverage; counted only if the shape has
+    /// Answers with at least the minimum coverage; counted only if the topology has
     /// a latency objective.
     pub served: u64,
     /// Served answers within the latency objective.
@@ -65,21 +65,21 @@
     /// discounted if it is late.
     pub credit: f64,
     /// Calls made by attempts that were served.
-    pub useful: u64,
+    pub useful_calls: u64,
     /// Calls made by attempts that were not served.
-    pub wasted: u64,
+    pub wasted_calls: u64,
     /// Complete answers per second as a share of the capacity.
     pub goodput: f64,
 }
 
 impl Outcome {
-    /// Returns empty results for leafs that accept `limit` connections.
-    pub(super) fn new(limit: usize) -> Self {
+    /// Returns empty results for leafs that accept `connection_limit` connections.
+    pub(super) fn new(connection_limit: usize) -> Self {
         let empty = || Histogram::new_with_max(MAX_LATENCY_US, 3).expect("constant bounds");
         let of = |urgency| {
             let outcome = UrgencyOutcome {
                 arrived: 0,
-                whole: 0,
+                completed: 0,
                 latency: empty(),
             };
             (urgency, outcome)
@@ -88,25 +88,25 @@
             urgencies: Urgency::ALL.into_iter().map(of).collect(),
             latency: empty(),
             arrived: 0,
-            whole: 0,
-            short: 0,
-            covered: 0.0,
-            ran: 0,
+            completed: 0,
+            partial: 0,
+            coverage_sum: 0.0,
+            executed: 0,
             refused: BTreeMap::new(),
-            refusal: empty(),
+            refusal_latency: empty(),
             first: 0,
             hedges: 0,
             retries: 0,
             shards: 0,
-            opened: 0,
-            peak: 0,
-            limit,
+            connections_opened: 0,
+            peak_connections: 0,
+            connection_limit,
             evictions: 0,
             served: 0,
             in_time: 0,
             credit: 0.0,
-            useful: 0,
-            wasted: 0,
+            useful_calls: 0,
+            wasted_calls: 0,
             goodput: 0.0,
         }
     }
@@ -125,9 +125,9 @@
 
     /// Returns the share of the queries of one urgency answered by all shards.
     #[must_use]
-    pub fn urgency_whole(&self, urgency: Urgency) -> f64 {
+    pub fn urgency_complete(&self, urgency: Urgency) -> f64 {
         let outcome = &self.urgencies[&urgency];
-        outcome.whole as f64 / outcome.arrived.max(1) as f64
+        outcome.completed as f64 / outcome.arrived.max(1) as f64
     }
 
     /// Returns the extra calls (hedges and retries) per shard queried.
@@ -139,7 +139,7 @@
     /// Returns the share of queries answered by all shards.
     #[must_use]
     pub fn complete(&self) -> f64 {
-        self.whole as f64 / self.arrived.max(1) as f64
+        self.completed as f64 / self.arrived.max(1) as f64
     }
 }
 
@@ -156,13 +156,13 @@
         o.ms(0.99),
         o.ms(0.999),
         o.urgency_ms(Urgency::Now, 0.99),
-        o.urgency_whole(Urgency::Now) * 100.0,
+        o.urgency_complete(Urgency::Now) * 100.0,
         o.complete() * 100.0,
-        o.covered / o.ran.max(1) as f64 * 100.0,
+        o.coverage_sum / o.executed.max(1) as f64 * 100.0,
         o.extra() * 100.0,
-        o.opened,
-        o.peak,
-        o.limit,
+        o.connections_opened,
+        o.peak_connections,
+        o.connection_limit,
         o.evictions,
         o.goodput,
     )
@@ -179,7 +179,7 @@
 ///
 /// The plot can't be written.
 pub fn run_table(
-    shape: &Shape,
+    topology: &Topology,
     policies: &[Policy],
     conditions: &[Condition],
     seed: u64,
@@ -190,7 +190,7 @@
     for policy in policies {
         let mut points = Vec::new();
         for (number, condition) in conditions.iter().enumerate() {
-            let outcome = simulate(shape, policy, condition, seed);
+            let outcome = simulate(topology, policy, condition, seed);
             println!("{}", table_row(policy.name, condition.name, &outcome));
             points.push((number as f64, outcome.ms(0.99)));
         }
--- a/crates/fake/src/experiment/requests.rs
+++ b/crates/fake/src/experiment/requests.rs
@@ -35,9 +35,9 @@
 impl Sim<'_> {
     /// Schedules the next arrival, and offers a new request to an entry.
     pub(super) fn arrive(&mut self) {
-        let rate = self.shape.capacity() * self.condition.load;
+        let rate = self.topology.capacity() * self.condition.load;
         let gap = -(1.0 - uniform(&mut self.arrival_rng)).ln() / rate;
-        if self.now < Time::ZERO + self.shape.span {
+        if self.now < Time::ZERO + self.topology.span {
             self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
         } else {
             return;
@@ -58,7 +58,7 @@
             query: None,
             restarts: 0,
             timer_at: Time::MAX,
-            retries_left: u32::from(self.shape.goal.is_some()),
+            retries_left: u32::from(self.topology.objective.is_some()),
         };
         if self.is_measured(&request) {
             self.outcome.arrived += 1;
@@ -164,8 +164,8 @@
             return;
         };
         let config = QueryConfig {
-            objective: self.shape.goal.map_or(deadline, |goal| now + goal),
-            ..QueryConfig::new(deadline, self.shape.least)
+            objective: self.topology.objective.map_or(deadline, |span| now + span),
+            ..QueryConfig::new(deadline, self.topology.min_coverage)
         };
         let mut actions = Vec::new();
         let entry = &mut self.entries[at];
@@ -291,14 +291,14 @@
             shed_calls: query.shed_calls(),
         };
         let coverage = query.coverage();
-        if let Some(goal) = self.shape.goal {
+        if let Some(objective) = self.topology.objective {
             let how = match query.not_run() {
                 Some(_) => Unserved::Refused,
                 None => Unserved::Failed,
             };
             let share = coverage.answered as f64 / coverage.asked.max(1) as f64;
-            if coverage.reaches(self.shape.least) {
-                self.count_served(&request, share, goal, stats.calls);
+            if coverage.reaches(self.topology.min_coverage) {
+                self.count_served(&request, share, objective, stats.calls);
             } else {
                 self.count_unserved(&request, stats.calls);
                 if self.schedule_retry(&request, how) {
@@ -308,11 +308,11 @@
             }
         }
         if self.is_measured(&request) {
-            self.outcome.ran += 1;
-            self.outcome.covered += coverage.answered as f64 / coverage.asked.max(1) as f64;
+            self.outcome.executed += 1;
+            self.outcome.coverage_sum += coverage.answered as f64 / coverage.asked.max(1) as f64;
             match end {
                 End::Complete => self.count_complete(&request),
-                End::Partial(_) => self.outcome.short += 1,
+                End::Partial(_) => self.outcome.partial += 1,
             }
         }
         self.admission_done(at, stats);
@@ -322,7 +322,7 @@
     /// after a failure, after a delay with jitter if it was refused. Returns
     /// whether there is a retry.
     fn schedule_retry(&mut self, request: &Request, how: Unserved) -> bool {
-        if request.retries_left == 0 || self.shape.goal.is_none() {
+        if request.retries_left == 0 || self.topology.objective.is_none() {
             return false;
         }
         let span = request.deadline.since(request.arrived) / RETRY_DIVISOR;
@@ -350,21 +350,21 @@
     }
 
     /// Counts an answer with the minimum coverage, its utility and its calls.
-    fn count_served(&mut self, request: &Request, share: f64, goal: Duration, calls: u32) {
+    fn count_served(&mut self, request: &Request, share: f64, objective: Duration, calls: u32) {
         if !self.is_measured(request) {
             return;
         }
-        let in_time = self.now.since(request.arrived) <= goal;
+        let in_time = self.now.since(request.arrived) <= objective;
         self.outcome.served += 1;
         self.outcome.in_time += u64::from(in_time);
         self.outcome.credit += share * share * if in_time { 1.0 } else { LATE_CREDIT };
-        self.outcome.useful += u64::from(calls);
+        self.outcome.useful_calls += u64::from(calls);
     }
 
     /// Counts the calls of an attempt that was not served as wasted.
     fn count_unserved(&mut self, request: &Request, calls: u32) {
         if self.is_measured(request) {
-            self.outcome.wasted += u64::from(calls);
+            self.outcome.wasted_calls += u64::from(calls);
         }
     }
 
@@ -388,10 +388,10 @@
     pub(super) fn count_complete(&mut self, request: &Request) {
         let us = self.now.since(request.arrived).as_micros() as u64;
         let us = us.clamp(1, MAX_LATENCY_US);
-        self.outcome.whole += 1;
+        self.outcome.completed += 1;
         self.outcome.latency.saturating_record(us);
         if let Some(outcome) = self.outcome.urgencies.get_mut(&request.urgency) {
-            outcome.whole += 1;
+            outcome.completed += 1;
             outcome.latency.saturating_record(us);
         }
     }
@@ -404,7 +404,7 @@
         *self.outcome.refused.entry(reason).or_default() += 1;
         let us = self.now.since(request.arrived).as_micros() as u64;
         self.outcome
-            .refusal
+            .refusal_latency
             .saturating_record(us.clamp(1, MAX_LATENCY_US));
     }
 }
--- a/crates/fake/src/experiment/sim.rs
+++ b/crates/fake/src/experiment/sim.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{
-    Condition, Fault, Outcome, Policy, Shape,
+    Condition, Fault, Outcome, Policy, Topology,
     entry::{Entry, Request},
     faults::fault_times,
     leaf::{Job, Leaf},
@@ -84,7 +84,7 @@
 
 /// The state of a run.
 pub(super) struct Sim<'a> {
-    pub(super) shape: &'a Shape,
+    pub(super) topology: &'a Topology,
     pub(super) condition: &'a Condition,
     pub(super) now: Time,
     pub(super) events: EventQueue<Event>,
@@ -104,26 +104,26 @@
 
 /// Simulates one policy under one condition and returns its results.
 #[must_use]
-pub fn simulate(shape: &Shape, policy: &Policy, condition: &Condition, seed: u64) -> Outcome {
+pub fn simulate(topology: &Topology, policy: &Policy, condition: &Condition, seed: u64) -> Outcome {
     let rng = |stream: u64| ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1000) + stream);
     let shedding = condition.faults.contains(&Fault::Shedding);
-    let queue = if shedding { 0 } else { shape.queue };
-    let entry = |n: usize| Entry::new(n % shape.domains, shape, policy, rng(10 + n as u64));
+    let queue_capacity = if shedding { 0 } else { topology.queue_capacity };
+    let entry = |n: usize| Entry::new(n % topology.domains, topology, policy, rng(10 + n as u64));
     let mut sim = Sim {
-        shape,
+        topology,
         condition,
         now: Time::ZERO,
         events: EventQueue::default(),
-        entries: (0..shape.entries).map(entry).collect(),
-        leafs: (0..shape.leafs)
-            .map(|n| Leaf::new(n % shape.domains, shape.slots, queue))
+        entries: (0..topology.entries).map(entry).collect(),
+        leafs: (0..topology.leafs)
+            .map(|n| Leaf::new(n % topology.domains, topology.slots, queue_capacity))
             .collect(),
         arrival_rng: rng(1),
         service_rng: rng(2),
         next_query: 0,
-        outcome: Outcome::new(shape.connections),
-        extra_latency: vec![Duration::ZERO; shape.domains],
-        inverted_hints: condition.faults.contains(&Fault::LyingHealth),
+        outcome: Outcome::new(topology.connections),
+        extra_latency: vec![Duration::ZERO; topology.domains],
+        inverted_hints: condition.faults.contains(&Fault::InvertedHealth),
     };
     sim.run();
     sim.finish()
@@ -131,11 +131,11 @@
 
 impl Sim<'_> {
     fn run(&mut self) {
-        let end = Time::ZERO + self.shape.span;
+        let end = Time::ZERO + self.topology.span;
         self.schedule(Duration::ZERO, Event::Arrive);
         self.schedule(HINT_INTERVAL, Event::UpdateHints);
         for (number, fault) in self.condition.faults.iter().enumerate() {
-            let (from, until) = fault_times(fault, self.shape.span);
+            let (from, until) = fault_times(fault, self.topology.span);
             self.schedule(from, Event::FaultStart(number));
             if let Some(until) = until {
                 self.schedule(until, Event::FaultEnd(number));
@@ -224,12 +224,12 @@
             self.outcome.retries += counts.retries;
             self.outcome.shards += counts.shards;
             self.outcome.evictions += counts.evictions;
-            self.outcome.opened += entry.opened;
+            self.outcome.connections_opened += entry.connections_opened;
         }
         let peaks = self.leafs.iter().map(|leaf| leaf.peak_connections);
-        self.outcome.peak = peaks.max().unwrap_or(0);
-        let span = (self.shape.span - MEASURE_START).as_secs_f64();
-        self.outcome.goodput = self.outcome.whole as f64 / span / self.shape.capacity();
+        self.outcome.peak_connections = peaks.max().unwrap_or(0);
+        let span = (self.topology.span - MEASURE_START).as_secs_f64();
+        self.outcome.goodput = self.outcome.completed as f64 / span / self.topology.capacity();
         self.outcome
     }
 }
--- a/crates/fake/src/experiment/shape.rs
+++ b/crates/fake/src/experiment/topology.rs
@@ -8,7 +8,7 @@
 
 /// A modelled deployment: one service, its leafs and its entries.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Topology {
     /// Name of the service.
     pub service: ServiceName,
     /// Number of entries.
@@ -26,29 +26,29 @@
     /// Connections that a leaf accepts.
     pub connections: usize,
     /// Maximum pool size of an entry for a leaf.
-    pub pool: usize,
+    pub pool_size: usize,
     /// Additional connections allowed while some are quiet.
-    pub spare: usize,
+    pub spare_connections: usize,
     /// Time to open a connection.
-    pub open: Duration,
+    pub connect_time: Duration,
     /// Median service time of a call.
-    pub median: Duration,
+    pub service_median: Duration,
     /// One-way latency within a failure domain.
-    pub near: Duration,
+    pub local_latency: Duration,
     /// One-way latency between failure domains.
-    pub far: Duration,
+    pub remote_latency: Duration,
     /// Duration of a run.
     pub span: Duration,
     /// Capacity of a leaf's queue, in calls.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Latency objective of callers. If set, they accept partial answers and
     /// retry once when not served.
-    pub goal: Option<Duration>,
+    pub objective: Option<Duration>,
     /// Minimum coverage of an answer.
-    pub least: Share,
+    pub min_coverage: Share,
 }
 
-impl Shape {
+impl Topology {
     /// Returns the ladder service of Flipperhouse League Search.
     #[must_use]
     pub fn ladder() -> Self {
@@ -61,16 +61,16 @@
             leafs: 30,
             slots: 5,
             connections: 40,
-            pool: 2,
-            spare: 2,
-            open: Duration::from_millis(6),
-            median: Duration::from_millis(4),
-            near: Duration::from_micros(300),
-            far: Duration::from_micros(1500),
+            pool_size: 2,
+            spare_connections: 2,
+            connect_time: Duration::from_millis(6),
+            service_median: Duration::from_millis(4),
+            local_latency: Duration::from_micros(300),
+            remote_latency: Duration::from_micros(1500),
             span: Duration::from_secs(20),
-            queue: 64,
-            goal: None,
-            least: Share::WHOLE,
+            queue_capacity: 64,
+            objective: None,
+            min_coverage: Share::WHOLE,
         }
     }
 
@@ -81,13 +81,13 @@
         Self {
             service: ServiceName::new("search").expect("a legal name"),
             entries: 6,
-            pool: 6,
-            spare: 0,
-            median: Duration::from_millis(26),
-            far: Duration::from_micros(1400),
-            queue: 30,
-            goal: Some(Duration::from_millis(174)),
-            least: Share::from_permille(890),
+            pool_size: 6,
+            spare_connections: 0,
+            service_median: Duration::from_millis(26),
+            remote_latency: Duration::from_micros(1400),
+            queue_capacity: 30,
+            objective: Some(Duration::from_millis(174)),
+            min_coverage: Share::from_permille(890),
             ..Self::ladder()
         }
     }
@@ -100,9 +100,9 @@
             shards: 20,
             leafs: 20,
             slots: 4,
-            open: Duration::from_millis(1),
-            median: Duration::from_millis(12),
-            far: Duration::from_millis(1),
+            connect_time: Duration::from_millis(1),
+            service_median: Duration::from_millis(12),
+            remote_latency: Duration::from_millis(1),
             ..Self::ladder()
         }
     }
@@ -122,6 +122,6 @@
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let slots = (self.leafs * self.slots) as f64;
-        slots / (self.shards as f64 * self.median.as_secs_f64() * mean_to_median())
+        slots / (self.shards as f64 * self.service_median.as_secs_f64() * mean_to_median())
     }
 }
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -8,7 +8,7 @@
     DeploymentSpec, PlatformServer, TargetServer,
     bound::FlowModel,
     demo::{Demo, read_objects},
-    experiment::{Shape, conditions, plot_rooms, policies, run_rooms, run_table},
+    experiment::{Topology, conditions, plot_capacity, policies, run_capacity, run_table},
     load::{self, LoadConfig},
     membership,
 };
@@ -295,7 +295,7 @@
 }
 
 fn compare_limits(seeds: u64, plot: Option<&std::path::Path>) -> Result<(), BoxError> {
-    let rows = run_rooms(&Shape::search(), seeds);
+    let rows = run_capacity(&Topology::search(), seeds);
     println!(
         "| condition | policy | credit (least to most) | in time % | served % | wasted calls % |"
     );
@@ -312,25 +312,25 @@
         );
     }
     if let Some(path) = plot {
-        plot_rooms(path, &rows)?;
+        plot_capacity(path, &rows)?;
     }
     Ok(())
 }
 
 fn experiment(args: &ExperimentArgs) -> Result<(), BoxError> {
-    let mut shape = match args.shape.as_str() {
-        "ladder" => Shape::ladder(),
-        "archive" => Shape::archive(),
-        "wide" => Shape::wide(),
+    let mut topology = match args.shape.as_str() {
+        "ladder" => Topology::ladder(),
+        "archive" => Topology::archive(),
+        "wide" => Topology::wide(),
         other => return Err(format!("--shape: {other:?} is not ladder, archive or wide").into()),
     };
-    shape.span = args.span;
+    topology.span = args.span;
     let mut policies = policies();
     policies.retain(|policy| policy.name.starts_with(&args.policy));
     let mut conditions = conditions();
     conditions.retain(|condition| condition.name.starts_with(&args.condition));
     run_table(
-        &shape,
+        &topology,
         &policies,
         &conditions,
         args.seed,
--- a/crates/fake/src/membership.rs
+++ b/crates/fake/src/membership.rs
@@ -23,7 +23,7 @@
     /// Probability that a datagram is lost.
     pub loss: f64,
     /// Whether a member crashes a third into the run.
-    pub death: bool,
+    pub crash: bool,
     /// Whether a member is suspended for five seconds a third into the run.
     pub freeze: bool,
     /// Seed of losses, delays and probe targets.
@@ -38,13 +38,13 @@
     /// Bytes sent per member and second, including IP and UDP headers.
     pub bytes: f64,
     /// Size of the largest datagram in bytes, including headers.
-    pub largest: usize,
+    pub largest_datagram: usize,
     /// Seconds from the crash until every other member had detected it.
-    pub known: Option<f64>,
+    pub detection_time: Option<f64>,
     /// Removals of members that had not crashed, summed over all observers.
-    pub false_deaths: usize,
+    pub false_removals: usize,
     /// Pairs of observer and wrongly removed member left at the end.
-    pub lasting: usize,
+    pub unresolved: usize,
     /// Wall-clock microseconds of computation per member and simulated second.
     pub cpu_us: f64,
 }
@@ -102,7 +102,7 @@
 
 /// Simulates members over a lossy network.
 #[must_use]
-pub fn measure(config: MembershipConfig) -> MembershipReport {
+pub fn simulate(config: MembershipConfig) -> MembershipReport {
     let members: Vec<Member> = (0..config.members).map(member).collect();
     let detector_config = SwimConfig {
         interval: Duration::from_millis(500),
@@ -137,7 +137,7 @@
     network.report.cpu_us = start.elapsed().as_secs_f64() * 1e6 / seconds;
     network.report.messages = network.messages as f64 / seconds;
     network.report.bytes = network.bytes as f64 / seconds;
-    network.report.lasting = network.removed.len();
+    network.report.unresolved = network.removed.len();
     network.report
 }
 
@@ -148,7 +148,7 @@
         if number != FAULTY_MEMBER || now < fault {
             return None;
         }
-        if self.config.death {
+        if self.config.crash {
             return Some(Time::MAX);
         }
         let until = fault + FREEZE_DURATION;
@@ -198,17 +198,17 @@
 
     /// Counts a membership change that a member has observed.
     fn record_change(&mut self, number: usize, id: MemberId, change: Change, now: Time) {
-        let is_faulty = self.config.death && id == self.detectors[FAULTY_MEMBER].view.own().id;
+        let is_faulty = self.config.crash && id == self.detectors[FAULTY_MEMBER].view.own().id;
         match change {
             Change::Gone if is_faulty => {
                 self.informed += 1;
                 if self.informed == self.config.members - 1 {
                     let since = now.since(Time::ZERO + FAULT_START);
-                    self.report.known = Some(since.as_secs_f64());
+                    self.report.detection_time = Some(since.as_secs_f64());
                 }
             }
             Change::Gone => {
-                self.report.false_deaths += 1;
+                self.report.false_removals += 1;
                 self.removed.insert((number, id), ());
             }
             Change::Joined => {
@@ -223,7 +223,7 @@
         let size = probe_size(&message) + HEADER_BYTES;
         self.messages += 1;
         self.bytes += size as u64;
-        self.report.largest = self.report.largest.max(size);
+        self.report.largest_datagram = self.report.largest_datagram.max(size);
         let draw = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         if draw < self.config.loss {
             return;
@@ -244,7 +244,7 @@
          lasting | cpu us/s |\n|---|---|---|---|---|---|---|---|---|"
     );
     for members in members {
-        for (name, loss, death, freeze) in [
+        for (name, loss, crash, freeze) in [
             ("calm", 0.0, false, false),
             ("death", 0.0, true, false),
             ("10% loss", 0.1, false, false),
@@ -254,15 +254,17 @@
             let config = MembershipConfig {
                 members: *members,
                 loss,
-                death,
+                crash,
                 freeze,
                 seed,
             };
-            let r = measure(config);
-            let known = r.known.map_or("-".to_owned(), |s| format!("{s:.1}"));
+            let r = simulate(config);
+            let detection_time = r
+                .detection_time
+                .map_or("-".to_owned(), |s| format!("{s:.1}"));
             println!(
-                "| {members} | {name} | {:.1} | {:.0} | {} | {known} | {} | {} | {:.0} |",
-                r.messages, r.bytes, r.largest, r.false_deaths, r.lasting, r.cpu_us
+                "| {members} | {name} | {:.1} | {:.0} | {} | {detection_time} | {} | {} | {:.0} |",
+                r.messages, r.bytes, r.largest_datagram, r.false_removals, r.unresolved, r.cpu_us
             );
         }
     }
