--- a/crates/scene/src/command.rs
+++ b/crates/scene/src/command.rs
@@ -22,7 +22,7 @@
     /// Number of leafs in a group.
     pub group: u32,
     /// How long an entry may serve settings that it can't confirm as current.
-    pub unconfirmed: Duration,
+    pub max_unconfirmed: Duration,
 }
 
 impl Default for Setup {
@@ -34,7 +34,7 @@
             connections: 40,
             share: 4,
             group: 3,
-            unconfirmed: Duration::from_secs(7200),
+            max_unconfirmed: Duration::from_secs(7200),
         }
     }
 }
@@ -61,14 +61,14 @@
 pub enum LeafFault {
     /// The leaf crashes.
     Kill,
-    /// The leaf runs again; ends its faults, except `List`, `Freeze`, `Silence`
+    /// The leaf runs again; ends its faults, except `ListLeaving`, `Freeze`, `Silence`
     /// and `Repeat`.
     Revive,
     /// The leaf itself reports that it is draining.
     Drain,
     /// The platform's list of VMs marks the leaf as leaving; the leaf itself
     /// doesn't report it.
-    List,
+    ListLeaving,
     /// The leaf answers no call for this long.
     Freeze(Duration),
     /// Its calls take this multiple of their usual time.
@@ -80,12 +80,12 @@
     /// Each answer to a query call contains its rows twice.
     Repeat,
     /// Query calls are answered from another index version than requested.
-    Stray,
+    WrongVersion,
 }
 
 /// Expected outcome of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Expected {
     /// An answer from all shards.
     Complete,
     /// An answer whose coverage says that shards are missing.
@@ -136,7 +136,7 @@
         /// Version that the edit replaces, for optimistic concurrency control.
         expected: Option<u64>,
         /// `accepted`, `conflict`, `outage`, `unsettled`, `wrong` or `any`.
-        want: String,
+        expected_outcome: String,
     },
     /// Two concurrent edits through two entries; exactly one must succeed.
     Race(usize, usize),
@@ -149,7 +149,7 @@
         /// Number of queries.
         times: u32,
         /// What each answer must be.
-        want: Want,
+        expected: Expected,
     },
     /// Send queries in the background.
     Load {
@@ -160,7 +160,7 @@
         /// Duration of the load.
         span: Duration,
         /// What each answer must be.
-        want: Want,
+        expected: Expected,
     },
     /// Wait for all loads and submissions in the background.
     Join,
@@ -175,15 +175,15 @@
         /// Identifier of the submission, counted by the leafs.
         body: String,
         /// `done`, `unknown`, `not_run` or `any`.
-        want: String,
+        expected: String,
         /// Whether to run the submission in the background.
-        later: bool,
+        background: bool,
     },
     /// A submission must have taken effect this many times, or at most this
     /// many if the flag is set.
     Applied(String, u64, bool),
     /// The entries must serve this version of the organisation's settings.
-    InForce(u64, Vec<usize>),
+    Version(u64, Vec<usize>),
     /// All running entries must serve the newest version of the settings.
     Converged,
     /// The platform must have a record of every refusal returned so far.
@@ -250,7 +250,7 @@
         connections: words.pair_or("connections", default.connections)?,
         share: words.pair_or("share", default.share)?,
         group: words.pair_or("group", default.group)?,
-        unconfirmed: words.span_or("unconfirmed", default.unconfirmed)?,
+        max_unconfirmed: words.span_or("unconfirmed", default.max_unconfirmed)?,
     })
 }
 
@@ -319,13 +319,13 @@
         "kill" => LeafFault::Kill,
         "revive" => LeafFault::Revive,
         "drain" => LeafFault::Drain,
-        "list" => LeafFault::List,
+        "list" => LeafFault::ListLeaving,
         "freeze" => LeafFault::Freeze(words.span("a span")?),
         "slow" => LeafFault::Slow(words.parse("a factor")?),
         "silence" => LeafFault::Silence,
         "lose-answers" => LeafFault::LoseAnswers,
         "repeat" => LeafFault::Repeat,
-        "stray" => LeafFault::Stray,
+        "stray" => LeafFault::WrongVersion,
         other => return Err(format!("unknown change of a leaf {other:?}")),
     })
 }
@@ -337,7 +337,7 @@
     let expected = expected
         .map(|v| v.parse().map_err(|_| format!("{v:?} is not a version")))
         .transpose()?;
-    let want = if words.take("expect") {
+    let expected_outcome = if words.take("expect") {
         words.next("an outcome")?
     } else {
         "accepted".to_owned()
@@ -346,20 +346,20 @@
         entry,
         rate,
         expected,
-        want,
+        expected_outcome,
     })
 }
 
-fn parse_want(words: &mut Words) -> Result<Want, String> {
+fn parse_outcome(words: &mut Words) -> Result<Expected, String> {
     if !words.take("expect") {
-        return Ok(Want::Complete);
+        return Ok(Expected::Complete);
     }
     let what = words.next("an outcome")?;
     Ok(match what.as_str() {
-        "complete" => Want::Complete,
-        "partial" => Want::Partial,
-        "any" => Want::Any,
-        "refused" => Want::Refused(words.pair("reason")),
+        "complete" => Expected::Complete,
+        "partial" => Expected::Partial,
+        "any" => Expected::Any,
+        "refused" => Expected::Refused(words.pair("reason")),
         other => return Err(format!("unknown outcome of a query {other:?}")),
     })
 }
@@ -369,7 +369,7 @@
         entry: words.parse("an entry")?,
         call: words.pair("call").unwrap_or_else(|| "finals".to_owned()),
         times: words.pair_or("times", 1)?,
-        want: parse_want(words)?,
+        expected: parse_outcome(words)?,
     })
 }
 
@@ -380,7 +380,7 @@
         entries: entries.map_err(|_| format!("{list:?} is not a list of entries"))?,
         every: words.span_or("every", Duration::from_millis(10))?,
         span: words.span_or("for", Duration::from_secs(1))?,
-        want: parse_want(words)?,
+        expected: parse_outcome(words)?,
     })
 }
 
@@ -388,8 +388,8 @@
     let ticket = words.next("a ticket")?;
     let entry = words.parse("an entry")?;
     let body = words.pair("body").unwrap_or_else(|| ticket.clone());
-    let later = words.take("later");
-    let want = if words.take("expect") {
+    let background = words.take("later");
+    let expected = if words.take("expect") {
         words.next("an outcome")?
     } else {
         "any".to_owned()
@@ -398,8 +398,8 @@
         ticket,
         entry,
         body,
-        want,
-        later,
+        expected,
+        background,
     })
 }
 
@@ -415,7 +415,7 @@
             let version = words.parse("a version")?;
             let list = words.pair("entries").ok_or("entries= is missing")?;
             let entries: Result<Vec<usize>, _> = list.split(',').map(str::parse).collect();
-            Command::InForce(version, entries.map_err(|e| e.to_string())?)
+            Command::Version(version, entries.map_err(|e| e.to_string())?)
         }
         "converged" => Command::Converged,
         "recorded" => Command::Recorded,
--- a/crates/scene/src/invariants.rs
+++ b/crates/scene/src/invariants.rs
@@ -17,9 +17,9 @@
 
 /// Violations of invariants, and what they are checked against.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
+pub struct CheckReport {
     /// Descriptions of the violations found so far.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of answers checked.
     pub answers: u64,
     /// Number of refusals checked.
@@ -32,7 +32,7 @@
     versions: BTreeMap<usize, u64>,
 }
 
-impl Verdict {
+impl CheckReport {
     /// Checks the outcome of query `number`.
     pub(crate) fn check(&mut self, number: u64, reply: &Reply) {
         match reply {
@@ -46,7 +46,7 @@
                     self.not_run.insert(number);
                 }
                 if refusal.receipt.is_empty() {
-                    self.wrong.push(format!("query {number}: no receipt"));
+                    self.violations.push(format!("query {number}: no receipt"));
                 }
                 self.receipts.insert(refusal.receipt.clone());
             }
@@ -62,16 +62,16 @@
         for row in &rows {
             if row["version"] != version {
                 let text = format!("query {number}: a row of another snapshot: {row}");
-                self.wrong.push(text);
+                self.violations.push(text);
             }
             if row["number"] != number {
                 let text = format!("query {number}: a row of another query: {row}");
-                self.wrong.push(text);
+                self.violations.push(text);
             }
             let shard = row["shard"].as_str().unwrap_or_default().to_owned();
             if !shards.insert(shard) {
                 let text = format!("query {number}: two rows of the same shard: {row}");
-                self.wrong.push(text);
+                self.violations.push(text);
             }
         }
         let coverage = &answer.coverage;
@@ -83,7 +83,7 @@
                 .any(|name| shards.contains(name.as_str()));
         if !exact {
             let text = format!("query {number}: coverage {coverage:?} for rows of {shards:?}");
-            self.wrong.push(text);
+            self.violations.push(text);
         }
     }
 
@@ -92,7 +92,7 @@
         let seen = self.versions.entry(entry).or_default();
         if version < *seen {
             let text = format!("entry {entry} reverted from version {seen} to {version}");
-            self.wrong.push(text);
+            self.violations.push(text);
         }
         *seen = version.max(*seen);
     }
@@ -108,7 +108,7 @@
         for number in self.not_run.intersection(ran) {
             let text =
                 format!("query {number} ran at a leaf, but its refusal says that it did not run");
-            self.wrong.push(text);
+            self.violations.push(text);
         }
     }
 }
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -46,7 +46,7 @@
     /// Whether answers to queries contain their rows twice.
     pub(crate) repeat: bool,
     /// Whether queries are answered from the next index version.
-    pub(crate) stray: bool,
+    pub(crate) wrong_version: bool,
     /// When its open connections became unresponsive.
     pub(crate) silent_since: Option<Instant>,
     /// Shards that it holds, by index version.
@@ -232,7 +232,7 @@
 /// Builds the answer to a query call. Each row names shard, version and query
 /// number, so that rows of another snapshot or query show in a merged answer.
 fn answer_of(leaf: &Leaf, call: &LeafQuery, number: u64) -> LeafAnswer {
-    let version = IndexVersion(call.version.0 + u64::from(leaf.stray));
+    let version = IndexVersion(call.version.0 + u64::from(leaf.wrong_version));
     let part = |shard: &ShardName| {
         let rows = json!([{
             "shard": shard, "version": version, "number": number,
--- a/crates/scene/src/lib.rs
+++ b/crates/scene/src/lib.rs
@@ -5,21 +5,21 @@
 //! line. It runs real [`Tier`](chestnut_tier::Tier)s in one process on tokio's
 //! paused clock, with a simulated platform, simulated leafs and simulated links
 //! between entries, so that its result is reproducible. The invariants are
-//! checked on every answer; see [`Verdict`]. `docs/PROOFS.md` lists the
+//! checked on every answer; see [`CheckReport`]. `docs/PROOFS.md` lists the
 //! scenarios.
 
 #![warn(clippy::unwrap_used)]
 
 mod command;
-mod judge;
+mod invariants;
 mod leafs;
 mod links;
 mod parse;
 mod platform;
 mod run;
-mod stage;
+mod testbed;
 
-pub use command::{Command, LeafFault, PlatformChange, Scenario, ScenarioError, Setup, Want};
-pub use judge::Verdict;
-pub use run::run_text;
-pub use stage::{Stage, StageError};
+pub use command::{Command, Expected, LeafFault, PlatformChange, Scenario, ScenarioError, Setup};
+pub use invariants::CheckReport;
+pub use run::run_scenario;
+pub use testbed::{StartError, Testbed};
--- a/crates/scene/src/run.rs
+++ b/crates/scene/src/run.rs
@@ -12,9 +12,9 @@
 };
 
 use crate::{
-    command::{Command, Scenario, Want},
-    judge::{Reply, Verdict},
-    stage::{ORG, Stage, organisation},
+    command::{Command, Expected, Scenario},
+    invariants::{CheckReport, Reply},
+    testbed::{ORG, Testbed, organisation},
 };
 
 /// Time for the entries to discover each other at the start.
@@ -26,7 +26,7 @@
 
 /// State of a running scenario.
 struct Runner {
-    stage: Stage,
+    testbed: Testbed,
     start: Instant,
     /// Texts of the tickets, by their names in the scenario.
     tickets: BTreeMap<String, String>,
@@ -42,15 +42,15 @@
 ///
 /// The text is not a valid scenario, an expectation was not met, or an
 /// invariant was violated.
-pub async fn run_text(text: &str, log: Logger) -> Result<Verdict, String> {
+pub async fn run_scenario(text: &str, log: Logger) -> Result<CheckReport, String> {
     let scenario = Scenario::parse(text).map_err(|e| e.to_string())?;
-    let mut stage = Stage::set(scenario.setup.clone(), log);
+    let mut testbed = Testbed::new(scenario.setup.clone(), log);
     for number in 0..scenario.setup.entries {
-        stage.start(number).await.map_err(|e| e.to_string())?;
+        testbed.start(number).await.map_err(|e| e.to_string())?;
     }
     sleep(JOIN_TIME).await;
     let mut runner = Runner {
-        stage,
+        testbed,
         start: Instant::now(),
         tickets: BTreeMap::new(),
         loads: JoinSet::new(),
@@ -63,12 +63,12 @@
         runner.check_versions();
     }
     runner.join().await?;
-    let verdict = runner.stage.finish();
-    match verdict.wrong.first() {
-        None => Ok(verdict),
+    let report = runner.testbed.finish();
+    match report.violations.first() {
+        None => Ok(report),
         Some(first) => Err(format!(
             "{} violations, the first: {first}",
-            verdict.wrong.len()
+            report.violations.len()
         )),
     }
 }
@@ -79,52 +79,55 @@
             Command::At(at) => sleep_until(self.start + at).await,
             Command::Wait(span) => sleep(span).await,
             Command::Start(number) => {
-                self.stage.start(number).await.map_err(|e| e.to_string())?;
+                self.testbed
+                    .start(number)
+                    .await
+                    .map_err(|e| e.to_string())?;
             }
             Command::Kill(number) => {
                 self.kills += 1;
-                self.stage.kill(number);
+                self.testbed.kill(number);
             }
-            Command::Stop(number) => self.stage.stop(number).await,
-            Command::Freeze(number, span) => self.stage.freeze(number, span),
-            Command::Cut(a, b) => self.stage.cut(a, b, true),
-            Command::Heal(a, b) => self.stage.cut(a, b, false),
-            Command::CutPlatform(entry) => self.stage.cut_platform(entry, true),
-            Command::HealPlatform(entry) => self.stage.cut_platform(entry, false),
-            Command::Platform(change) => self.stage.change_platform(&change),
-            Command::Leaf(number, fault) => self.stage.change_leaf(number, &fault)?,
-            Command::Repartition(version, shift) => self.stage.repartition(version, shift),
-            Command::DropVersion(version) => self.stage.drop_version(version),
+            Command::Stop(number) => self.testbed.stop(number).await,
+            Command::Freeze(number, span) => self.testbed.freeze(number, span),
+            Command::Cut(a, b) => self.testbed.cut(a, b, true),
+            Command::Heal(a, b) => self.testbed.cut(a, b, false),
+            Command::CutPlatform(entry) => self.testbed.cut_platform(entry, true),
+            Command::HealPlatform(entry) => self.testbed.cut_platform(entry, false),
+            Command::Platform(change) => self.testbed.change_platform(&change),
+            Command::Leaf(number, fault) => self.testbed.change_leaf(number, &fault)?,
+            Command::Repartition(version, shift) => self.testbed.repartition(version, shift),
+            Command::DropVersion(version) => self.testbed.drop_version(version),
             Command::Edit {
                 entry,
                 rate,
                 expected,
-                want,
-            } => self.edit(entry, rate, expected, &want).await?,
+                expected_outcome,
+            } => self.edit(entry, rate, expected, &expected_outcome).await?,
             Command::Race(a, b) => self.race(a, b).await?,
             Command::Query {
                 entry,
                 call,
                 times,
-                want,
-            } => self.query(entry, &call, times, &want).await?,
+                expected,
+            } => self.query(entry, &call, times, &expected).await?,
             Command::Load {
                 entries,
                 every,
                 span,
-                want,
-            } => self.load(entries, every, span, want),
+                expected,
+            } => self.load(entries, every, span, expected),
             Command::Join => self.join().await?,
             Command::Ticket(name, entry) => self.ticket(name, entry)?,
             Command::Submit {
-                ticket,
+                ticket: name,
                 entry,
-                body,
-                want,
-                later,
-            } => self.submit(&ticket, entry, &body, want, later).await?,
+                body: id,
+                expected,
+                background,
+            } => self.submit(&name, entry, &id, expected, background).await?,
             Command::Applied(body, times, at_most) => self.applied(&body, times, at_most)?,
-            Command::InForce(version, entries) => self.in_force(version, &entries).await?,
+            Command::Version(version, entries) => self.version(version, &entries).await?,
             Command::Recorded => self.recorded().await?,
             Command::Converged => self.converged().await?,
             Command::Members(entry, count) => self.members(entry, count).await?,
@@ -134,14 +137,14 @@
 
     /// Checks that no entry's version of the settings has decreased.
     fn check_versions(&self) {
-        for number in self.stage.entries.keys() {
-            self.stage.version_at(*number);
+        for number in self.testbed.entries.keys() {
+            self.testbed.version_at(*number);
         }
     }
 
     /// Returns a running entry.
-    fn entry(&self, number: usize) -> Result<&crate::stage::RunningEntry, String> {
-        let running = self.stage.entries.get(&number);
+    fn entry(&self, number: usize) -> Result<&crate::testbed::RunningEntry, String> {
+        let running = self.testbed.entries.get(&number);
         running.ok_or_else(|| format!("entry {number} is not running"))
     }
 
@@ -150,7 +153,7 @@
         entry: usize,
         rate: u64,
         expected: Option<u64>,
-        want: &str,
+        expected_outcome: &str,
     ) -> Result<(), String> {
         self.edits += 1;
         let id = format!("edit-{}", self.edits);
@@ -163,14 +166,16 @@
             Err(EditError::Unconfirmed { .. }) => "unsettled",
             Err(EditError::Invalid(_)) => "wrong",
         };
-        if want != "any" && want != outcome {
-            return Err(format!("the edit: expected {want}, got {done:?}"));
+        if expected_outcome != "any" && expected_outcome != outcome {
+            return Err(format!(
+                "the edit: expected {expected_outcome}, got {done:?}"
+            ));
         }
         Ok(())
     }
 
     async fn race(&mut self, a: usize, b: usize) -> Result<(), String> {
-        let version = self.stage.version_at(a);
+        let version = self.testbed.version_at(a);
         let (first, second) = (self.entry(a)?.tier.clone(), self.entry(b)?.tier.clone());
         self.edits += 2;
         let (x, y) = (self.edits - 1, self.edits);
@@ -201,34 +206,34 @@
         entry: usize,
         call: &str,
         times: u32,
-        want: &Want,
+        expected: &Expected,
     ) -> Result<(), String> {
         for _ in 0..times {
-            let (number, ask) = self.stage.query(call);
+            let (number, ask) = self.testbed.query(call);
             let running = self.entry(entry)?;
             let (tier, gate) = (running.tier.clone(), running.gate.clone());
-            let verdict = self.stage.verdict.clone();
-            let reply = Stage::ask(tier, gate, verdict, number, ask).await;
-            check_outcome(&reply, want)?;
+            let report = self.testbed.report.clone();
+            let reply = Testbed::ask(tier, gate, report, number, ask).await;
+            check_outcome(&reply, expected)?;
         }
         Ok(())
     }
 
-    fn load(&mut self, entries: Vec<usize>, every: Duration, span: Duration, want: Want) {
+    fn load(&mut self, entries: Vec<usize>, every: Duration, span: Duration, expected: Expected) {
         let start = Instant::now();
         let mut due = start;
         let mut turn = 0;
         while due < start + span {
             let entry = entries[turn % entries.len()];
             turn += 1;
-            let (number, ask) = self.stage.query("finals");
-            if let Some(running) = self.stage.entries.get(&entry) {
+            let (number, ask) = self.testbed.query("finals");
+            if let Some(running) = self.testbed.entries.get(&entry) {
                 let (tier, gate) = (running.tier.clone(), running.gate.clone());
-                let (verdict, want) = (self.stage.verdict.clone(), want.clone());
+                let (report, expected) = (self.testbed.report.clone(), expected.clone());
                 self.loads.spawn(async move {
                     sleep_until(due).await;
-                    let reply = Stage::ask(tier, gate, verdict, number, ask).await;
-                    check_outcome(&reply, &want)
+                    let reply = Testbed::ask(tier, gate, report, number, ask).await;
+                    check_outcome(&reply, &expected)
                 });
             }
             due += every;
@@ -270,11 +275,11 @@
         ticket: &str,
         entry: usize,
         body: &str,
-        want: String,
-        later: bool,
+        expected: String,
+        background: bool,
     ) -> Result<(), String> {
         let text = self.tickets.get(ticket).ok_or("there is no such ticket")?;
-        let ask = self.stage.submission(Some(text), body);
+        let ask = self.testbed.submission(Some(text), body);
         let running = self.entry(entry)?;
         let (tier, gate) = (running.tier.clone(), running.gate.clone());
         let run = async move {
@@ -285,12 +290,14 @@
                 Err(_) => "unknown",
             };
             gate.wait_running().await;
-            if want != "any" && want != outcome {
-                return Err(format!("the submission: expected {want}, got {outcome}"));
+            if expected != "any" && expected != outcome {
+                return Err(format!(
+                    "the submission: expected {expected}, got {outcome}"
+                ));
             }
             Ok(())
         };
-        if later {
+        if background {
             self.loads.spawn(run);
             return Ok(());
         }
@@ -298,26 +305,29 @@
     }
 
     fn applied(&self, body: &str, times: u64, at_most: bool) -> Result<(), String> {
-        let found = self.stage.applied(body);
+        let found = self.testbed.applied(body);
         if found == times || (at_most && found < times) {
             return Ok(());
         }
         Err(format!("{body} took effect {found} times"))
     }
 
-    async fn in_force(&self, version: u64, entries: &[usize]) -> Result<(), String> {
+    async fn version(&self, version: u64, entries: &[usize]) -> Result<(), String> {
         let until = Instant::now() + VERSION_TIMEOUT;
         loop {
             let late: Vec<usize> = entries
                 .iter()
                 .copied()
-                .filter(|entry| self.stage.version_at(*entry) != version)
+                .filter(|entry| self.testbed.version_at(*entry) != version)
                 .collect();
             if late.is_empty() {
                 return Ok(());
             }
             if Instant::now() >= until {
-                let at: Vec<u64> = entries.iter().map(|e| self.stage.version_at(*e)).collect();
+                let at: Vec<u64> = entries
+                    .iter()
+                    .map(|e| self.testbed.version_at(*e))
+                    .collect();
                 return Err(format!(
                     "version {version} is expected, the entries serve {at:?}"
                 ));
@@ -331,7 +341,7 @@
         const RECORD_TIMEOUT: Duration = Duration::from_secs(10);
         let until = Instant::now() + RECORD_TIMEOUT;
         loop {
-            let missing = self.stage.unrecorded();
+            let missing = self.testbed.unrecorded();
             if missing == 0 {
                 return Ok(());
             }
@@ -343,9 +353,9 @@
     }
 
     async fn converged(&self) -> Result<(), String> {
-        let entries: Vec<usize> = self.stage.entries.keys().copied().collect();
-        let newest = entries.iter().map(|e| self.stage.version_at(*e)).max();
-        self.in_force(newest.unwrap_or(0), &entries).await
+        let entries: Vec<usize> = self.testbed.entries.keys().copied().collect();
+        let newest = entries.iter().map(|e| self.testbed.version_at(*e)).max();
+        self.version(newest.unwrap_or(0), &entries).await
     }
 
     async fn members(&self, entry: usize, count: usize) -> Result<(), String> {
@@ -358,7 +368,7 @@
                 return Ok(());
             }
             if Instant::now() >= until {
-                let own = self.stage.member(entry);
+                let own = self.testbed.member(entry);
                 return Err(format!("{own} lists {} entries, not {count}", list.len()));
             }
             sleep(POLL_INTERVAL).await;
@@ -381,23 +391,23 @@
 }
 
 /// Checks the outcome of a query against the expected one.
-fn check_outcome(reply: &Reply, want: &Want) -> Result<(), String> {
-    match (reply, want) {
-        (_, Want::Any) => Ok(()),
-        (Reply::Answer(answer), Want::Complete) if answer.coverage.is_complete() => Ok(()),
-        (Reply::Answer(answer), Want::Partial) if !answer.coverage.is_complete() => Ok(()),
-        (Reply::Refused(refusal), Want::Refused(reason)) => {
+fn check_outcome(reply: &Reply, expected: &Expected) -> Result<(), String> {
+    match (reply, expected) {
+        (_, Expected::Any) => Ok(()),
+        (Reply::Answer(answer), Expected::Complete) if answer.coverage.is_complete() => Ok(()),
+        (Reply::Answer(answer), Expected::Partial) if !answer.coverage.is_complete() => Ok(()),
+        (Reply::Refused(refusal), Expected::Refused(reason)) => {
             let code = refusal.reason.as_str();
             match reason {
                 Some(reason) if reason != code => Err(format!("refused for {code}: {refusal:?}")),
                 _ => Ok(()),
             }
         }
-        (Reply::Answer(answer), _) => Err(format!("{want:?} was expected: {:?}", answer.coverage)),
+        (Reply::Answer(a), _) => Err(format!("{expected:?} was expected: {:?}", a.coverage)),
         (Reply::Refused(refusal), _) => {
             let (reason, detail) = (refusal.reason, &refusal.detail);
             Err(format!(
-                "{want:?} was expected: refused for {reason}, {detail}"
+                "{expected:?} was expected: refused for {reason}, {detail}"
             ))
         }
     }
--- a/crates/scene/src/testbed/deployment.rs
+++ b/crates/scene/src/testbed/deployment.rs
@@ -14,7 +14,7 @@
 pub(super) const SERVICE: &str = "ladder";
 
 /// Builds the deployment that a setup describes.
-pub(super) fn world_of(setup: &Setup) -> DeploymentSpec {
+pub(super) fn deployment_spec(setup: &Setup) -> DeploymentSpec {
     let host = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let domains = ["dub-a", "dub-b", "kdr-c"];
     let entries: String = (0..setup.entries)
@@ -38,12 +38,12 @@
         setup.connections,
         setup.group,
     );
-    DeploymentSpec::parse(&text).expect("the text describes a valid world")
+    DeploymentSpec::parse(&text).expect("the text describes a valid deployment")
 }
 
 /// Returns the template and the organisation that every scenario starts with.
 pub(super) fn edited_objects(setup: &Setup) -> Vec<(ObjectKey, serde_json::Value)> {
-    let unconfirmed = format!("{}ms", setup.unconfirmed.as_millis());
+    let max_unconfirmed = format!("{}ms", setup.max_unconfirmed.as_millis());
     let call = |kind: &str, answer: serde_json::Value| {
         json!({ "kind": kind, "services": [SERVICE], "urgency": "now", "answer": answer,
             "refuse": [], "deadline": "1000ms" })
@@ -56,7 +56,7 @@
             "score": call("submit", json!("whole")),
         },
         "limits": { "rate": "100000/s", "flight": 100_000 },
-        "unconfirmed": unconfirmed,
+        "unconfirmed": max_unconfirmed,
     });
     vec![
         stored(Kind::Template, "league", template),
--- a/crates/scene/src/testbed/mod.rs
+++ b/crates/scene/src/testbed/mod.rs
@@ -1,6 +1,6 @@
 //! Test bed of a scenario: its entries, leafs, links and platform.
 
-mod world;
+mod deployment;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,17 +16,17 @@
 use chestnut_port::{Clock, PeerService, Peers};
 use chestnut_tier::{PeerBinder, Ports, QueryRequest, SpawnError, SubmitRequest, Tier};
 use chestnut_unit::{CallType, IndexVersion, LeafId, MemberId, OrgName, ServiceName, Wall};
+pub(crate) use deployment::{ORG, organisation};
+use deployment::{SERVICE, deployment_spec, edited_objects};
 use displaydoc::Display;
 use futures::FutureExt;
 use serde_json::json;
 use slog::Logger;
 use tokio::sync::{Notify, mpsc};
-pub(crate) use world::{ORG, organisation};
-use world::{SERVICE, edited_objects, world_of};
 
 use crate::{
     command::{LeafFault, PlatformChange, Setup},
-    judge::{Reply, Verdict},
+    invariants::{CheckReport, Reply},
     leafs::{FakeTargets, Leaf, Leafs},
     links::{FakePeers, FakeProbes, Links, Process, ProcessGate, RunState, lock},
     platform::{self, FakePlatform},
@@ -41,14 +41,14 @@
 
 /// Why an entry can't be started.
 #[derive(Debug, Display)]
-pub enum StageError {
+pub enum StartError {
     /// {0}
     Settings(String),
     /// {0}
     Spawn(SpawnError),
 }
 
-impl std::error::Error for StageError {}
+impl std::error::Error for StartError {}
 
 /// A running entry.
 pub(crate) struct RunningEntry {
@@ -59,9 +59,9 @@
 }
 
 /// Simulated deployment of one scenario: entries, leafs, links and platform.
-pub struct Stage {
+pub struct Testbed {
     setup: Setup,
-    world: DeploymentSpec,
+    deployment: DeploymentSpec,
     links: Arc<Links>,
     leafs: Leafs,
     platform: Arc<platform::Shared>,
@@ -70,29 +70,33 @@
     /// Running entries by number.
     pub(crate) entries: BTreeMap<usize, RunningEntry>,
     /// Invariants, checked on every answer.
-    pub(crate) verdict: Arc<Mutex<Verdict>>,
+    pub(crate) report: Arc<Mutex<CheckReport>>,
     /// Number of the last query.
     last_query: Mutex<u64>,
     /// Number of starts of all entries; seeds each new incarnation.
     starts: u64,
 }
 
-impl Stage {
+impl Testbed {
     /// Creates a deployment whose platform and leafs run; no entry runs yet.
     ///
     /// # Panics
     ///
     /// Never: the names in a scenario's deployment are valid.
     #[must_use]
-    pub fn set(setup: Setup, log: Logger) -> Self {
-        let world = world_of(&setup);
+    pub fn new(setup: Setup, log: Logger) -> Self {
+        let deployment = deployment_spec(&setup);
         let clock = Clock::start_at(START);
         let mut store = Store::default();
-        for (key, value) in world.objects().into_iter().chain(edited_objects(&setup)) {
+        for (key, value) in deployment
+            .objects()
+            .into_iter()
+            .chain(edited_objects(&setup))
+        {
             store.put(key, 0, value).expect("a new platform is up");
         }
-        store.set_vms(world.vms(), clock.now());
-        let leafs = world.leafs().into_iter().map(|spec| {
+        store.set_vms(deployment.vms(), clock.now());
+        let leafs = deployment.leafs().into_iter().map(|spec| {
             let shards = spec.shards.into_iter().collect();
             let leaf = Leaf {
                 shards: BTreeMap::from([(IndexVersion(1), shards)]),
@@ -103,7 +107,7 @@
         Self {
             leafs: Arc::new(Mutex::new(leafs.collect())),
             setup,
-            world,
+            deployment,
             links: Arc::default(),
             platform: Arc::new(platform::Shared {
                 store: Mutex::new(store),
@@ -114,7 +118,7 @@
             clock,
             log,
             entries: BTreeMap::new(),
-            verdict: Arc::default(),
+            report: Arc::default(),
             last_query: Mutex::new(0),
             starts: 0,
         }
@@ -125,7 +129,7 @@
     /// # Errors
     ///
     /// The entry's settings are not valid, or it fails to start.
-    pub async fn start(&mut self, number: usize) -> Result<(), StageError> {
+    pub async fn start(&mut self, number: usize) -> Result<(), StartError> {
         self.starts += 1;
         let settings = self.settings(number)?;
         let address = settings.listen.peers;
@@ -159,8 +163,8 @@
         let log = self.log.new(slog::o!("entry" => number));
         let tier = Tier::spawn(settings, log, ports, self.starts)
             .await
-            .map_err(StageError::Spawn)?;
-        lock(&self.verdict).forget_version(number);
+            .map_err(StartError::Spawn)?;
+        lock(&self.report).forget_version(number);
         self.entries.insert(number, RunningEntry { tier, gate });
         Ok(())
     }
@@ -192,18 +196,18 @@
     }
 
     /// Builds the settings file of an entry.
-    fn settings(&self, number: usize) -> Result<Settings, StageError> {
-        let spec = &self.world.entry[number];
+    fn settings(&self, number: usize) -> Result<Settings, StartError> {
+        let spec = &self.deployment.entry[number];
         let share = self.setup.share;
         let text = format!(
             "{}\n[control]\nttl = \"1s\"\nprobe = \"200ms\"\nshare = {share}\nrecords = \"1s\"\n\
              seeds = [\"{}\"]\n[route]\npool = {}\n",
-            self.world.settings_of(spec),
-            self.world.entry[0].peers,
+            self.deployment.settings_of(spec),
+            self.deployment.entry[0].peers,
             2.min(share),
         );
         Settings::parse(&text, Path::new("scenario"))
-            .map_err(|e| StageError::Settings(e.to_string()))
+            .map_err(|e| StartError::Settings(e.to_string()))
     }
 
     /// Kills an entry: none of its pending work continues.
@@ -212,7 +216,7 @@
             return;
         };
         running.gate.set(RunState::Killed);
-        let address = self.world.entry[number].peers;
+        let address = self.deployment.entry[number].peers;
         lock(&self.links.processes).remove(&address);
         for leaf in lock(&self.leafs).values_mut() {
             leaf.connections.remove(&number);
@@ -288,11 +292,11 @@
     ///
     /// There is no such leaf.
     pub fn change_leaf(&self, number: u32, fault: &LeafFault) -> Result<(), String> {
-        let specs = self.world.leafs();
+        let specs = self.deployment.leafs();
         let spec = specs
             .get(number as usize)
             .ok_or_else(|| format!("there is no leaf {number}"))?;
-        if *fault == LeafFault::List {
+        if *fault == LeafFault::ListLeaving {
             self.list_leaving(&spec.id);
         }
         let mut leafs = lock(&self.leafs);
@@ -306,19 +310,19 @@
                 leaf.leaving_since = None;
                 leaf.slow = 1;
                 leaf.lose_answers = false;
-                leaf.stray = false;
+                leaf.wrong_version = false;
             }
             LeafFault::Drain => {
                 leaf.draining = true;
                 leaf.leaving_since = Some(now);
             }
-            LeafFault::List => leaf.leaving_since = Some(now),
+            LeafFault::ListLeaving => leaf.leaving_since = Some(now),
             LeafFault::Freeze(span) => leaf.frozen_until = Some(now + *span),
             LeafFault::Slow(factor) => leaf.slow = *factor,
             LeafFault::Silence => leaf.silent_since = Some(now),
             LeafFault::LoseAnswers => leaf.lose_answers = true,
             LeafFault::Repeat => leaf.repeat = true,
-            LeafFault::Stray => leaf.stray = true,
+            LeafFault::WrongVersion => leaf.wrong_version = true,
         }
         Ok(())
     }
@@ -339,10 +343,15 @@
     ///
     /// Never: the objects serialise, and all leafs exist.
     pub fn repartition(&self, version: u64, shift: u32) {
-        let spec = &self.world.service[0];
+        let spec = &self.deployment.service[0];
         let version = IndexVersion(version);
         let mut layout = layout(spec, version, spec.shards);
-        let ids: Vec<LeafId> = self.world.leafs().into_iter().map(|leaf| leaf.id).collect();
+        let ids: Vec<LeafId> = self
+            .deployment
+            .leafs()
+            .into_iter()
+            .map(|leaf| leaf.id)
+            .collect();
         let moved = |id: &LeafId| {
             let at = ids.iter().position(|other| other == id).unwrap_or(0);
             ids[(at + shift as usize) % ids.len()].clone()
@@ -353,7 +362,7 @@
         let mut leafs = lock(&self.leafs);
         for shard in &layout.shards {
             for id in &shard.leafs {
-                let leaf = leafs.get_mut(id).expect("leafs of the world");
+                let leaf = leafs.get_mut(id).expect("leafs of the deployment");
                 leaf.shards
                     .entry(version)
                     .or_default()
@@ -377,7 +386,7 @@
 
     /// Changes the index versions of the service.
     fn set_versions(&self, change: impl FnOnce(&mut Vec<IndexVersion>)) {
-        let spec = &self.world.service[0];
+        let spec = &self.deployment.service[0];
         let key = ObjectKey {
             kind: Kind::Service,
             name: spec.name.to_string(),
@@ -435,7 +444,7 @@
     pub(crate) async fn ask(
         tier: Tier,
         gate: Arc<ProcessGate>,
-        verdict: Arc<Mutex<Verdict>>,
+        report: Arc<Mutex<CheckReport>>,
         number: u64,
         ask: QueryRequest,
     ) -> Reply {
@@ -445,7 +454,7 @@
             Err(refusal) => Reply::Refused(Box::new(refusal)),
         };
         gate.wait_running().await;
-        lock(&verdict).check(number, &reply);
+        lock(&report).check(number, &reply);
         reply
     }
 
@@ -457,7 +466,7 @@
         };
         let status = running.tier.status();
         let version = status.organisations.get(ORG).copied().unwrap_or(0);
-        lock(&self.verdict).check_version(number, version);
+        lock(&self.report).check_version(number, version);
         version
     }
 
@@ -476,33 +485,33 @@
             .flat_map(|object| object.value["records"].as_array().into_iter().flatten())
             .filter_map(|record| record["receipt"].as_str().map(str::to_owned))
             .collect();
-        let verdict = lock(&self.verdict);
-        verdict.receipts.difference(&recorded).count()
+        let report = lock(&self.report);
+        report.receipts.difference(&recorded).count()
     }
 
     /// Returns the member name of an entry.
     pub(crate) fn member(&self, number: usize) -> &MemberId {
-        &self.world.entry[number].member
+        &self.deployment.entry[number].member
     }
 
     /// Checks what can be known only at the end: queries refused as "not run"
     /// that ran, calls to leafs that had left, and connections over a leaf's
     /// limit.
-    pub(crate) fn finish(&self) -> Verdict {
-        let mut verdict = lock(&self.verdict).clone();
+    pub(crate) fn finish(&self) -> CheckReport {
+        let mut report = lock(&self.report).clone();
         let mut ran = BTreeSet::new();
         for (id, leaf) in lock(&self.leafs).iter() {
             ran.extend(&leaf.ran);
             if leaf.late_calls > 0 {
                 let text = format!("leaf {id} received {} calls after it left", leaf.late_calls);
-                verdict.wrong.push(text);
+                report.violations.push(text);
             }
             if leaf.peak > self.setup.connections as usize {
                 let text = format!("leaf {id} had {} connections, over its limit", leaf.peak);
-                verdict.wrong.push(text);
+                report.violations.push(text);
             }
         }
-        verdict.check_not_run(&ran);
-        verdict
+        report.check_not_run(&ran);
+        report
     }
 }
--- a/crates/scene/tests/random.rs
+++ b/crates/scene/tests/random.rs
@@ -2,7 +2,7 @@
 //! the service recovers once the faults end.
 
 use chestnut_fake::demo::discard_logger;
-use chestnut_scene::run_text;
+use chestnut_scene::run_scenario;
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const ENTRIES: usize = 4;
@@ -81,7 +81,9 @@
         .start_paused(true)
         .build()
         .expect("a runtime on one thread");
-    runtime.block_on(run_text(text, discard_logger())).map(drop)
+    runtime
+        .block_on(run_scenario(text, discard_logger()))
+        .map(drop)
 }
 
 proptest! {
--- a/crates/scene/tests/scenarios.rs
+++ b/crates/scene/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use chestnut_fake::demo::discard_logger;
-use chestnut_scene::run_text;
+use chestnut_scene::run_scenario;
 use rstest::rstest;
 use slog::{Drain, Logger, o};
 
@@ -22,7 +22,7 @@
 #[tokio::test(start_paused = true)]
 async fn scenario(#[files("../../tests/scenarios/*.scn")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).unwrap();
-    let verdict = run_text(&text, log()).await;
-    let verdict = verdict.unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    assert!(verdict.answers + verdict.refusals > 0 || text.contains("submit"));
+    let report = run_scenario(&text, log()).await;
+    let report = report.unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    assert!(report.answers + report.refusals > 0 || text.contains("submit"));
 }
