--- a/crates/port/src/clock.rs
+++ b/crates/port/src/clock.rs
@@ -44,19 +44,20 @@
         suspended().saturating_sub(self.suspended)
     }
 
-    /// Returns the current monotonic time.
+    /// Returns the time since the clock started, without suspended time.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 
-    /// Returns the current wall time.
+    /// Returns the wall time: that at the start plus the monotonic time since.
     #[must_use]
     pub fn wall(&self) -> WallTime {
         self.wall + self.start.elapsed()
     }
 
-    /// Converts a time to an instant of the runtime.
+    /// Converts a time of this clock to an instant of the runtime, such as for a timer.
+    /// Times beyond about a century are reduced to that.
     #[must_use]
     pub fn instant(&self, time: Time) -> Instant {
         let span = Duration::from_nanos(time.as_nanos().min(MAX_NANOS));
--- a/crates/port/src/feed.rs
+++ b/crates/port/src/feed.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// All objects of a list, or only those that changed.
+/// All objects of a list, or only those that changed, with the store's revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch<T> {
     /// The objects, in the order of their changes.
--- a/crates/port/src/feed_rpc.rs
+++ b/crates/port/src/feed_rpc.rs
@@ -62,17 +62,18 @@
     /// increase, so it is served even if this entry has lost the store.
     fn version(&self) -> BookVersion;
 
-    /// Returns the delta from version `have` (0: none) to the route book in force.
+    /// Returns the delta from version `have` (0: none) to the route book in force. The
+    /// peer sees any error as [`FeedError::Unavailable`].
     fn book_delta(&self, have: BookVersion) -> Result<EncodedDelta, FeedError>;
 
     /// Returns the last known revision of the store, or an error if the store is lost.
     fn poll_revision(&self) -> Result<u64, FeedError>;
 
-    /// Returns all objects of a feed.
+    /// Returns all objects of the feed named `feed`.
     fn list(&self, feed: &str) -> Result<EncodedBatch, FeedError>;
 
-    /// Returns the objects of a feed that changed after `revision`, waiting up to `wait`
-    /// for one.
+    /// Returns the objects of a feed that changed after the store's `revision`, waiting up
+    /// to `wait` for one. Dropped if the peer cancels its call.
     fn watch(
         &self,
         feed: String,
@@ -140,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the entry does not answer.
+    /// Fails with [`FeedError::Unavailable`] if the entry gives no valid answer in time.
     pub async fn heartbeat(&self, to: SocketAddr) -> Result<Heartbeat, FeedError> {
         let call = |client: feeds::Client| async move {
             let answer = client.pulse_request().send().promise.await?;
@@ -157,18 +158,19 @@
         heartbeat.map_err(unavailable)
     }
 
-    /// Counts the payload bytes of a response by purpose.
+    /// Counts the payload bytes of a response of the entry at `from` by purpose.
     fn count(&self, purpose: Purpose, from: SocketAddr, bytes: usize) {
         let distance = self.traffic.distance(from);
         self.traffic.add(purpose, distance, Direction::In, bytes);
     }
 
     /// Requests the delta from version `have` (0: none) to the route book of the entry at
-    /// `to`.
+    /// `to`, and counts its bytes.
     ///
     /// # Errors
     ///
-    /// Fails if the entry does not answer.
+    /// Fails with [`FeedError::Unavailable`] if the entry gives no valid answer in time or
+    /// can't serve its route book.
     pub async fn book_delta(
         &self,
         to: SocketAddr,
@@ -195,7 +197,7 @@
     }
 }
 
-/// A feed served by another entry.
+/// Client of the feed `name` of the entry at `to`; `T` is the type of its objects.
 pub struct PeerFeed<T> {
     rpc: FeedRpc,
     to: SocketAddr,
@@ -203,18 +205,22 @@
     value: PhantomData<fn() -> T>,
 }
 
+/// Converts a failed call to [`FeedError::Unavailable`].
 fn unavailable(error: PeerError) -> FeedError {
     FeedError::Unavailable(error.to_string())
 }
 
 impl<T: DeserializeOwned> PeerFeed<T> {
-    /// Counts and decodes a response of `bytes` payload bytes.
+    /// Counts the payload bytes of a response and parses its objects. Returns the peer's
+    /// error, or [`FeedError::Refused`] if an object is not a valid `T`.
     fn decode(&self, (reply, bytes): (Reply, usize)) -> Result<Batch<T>, FeedError> {
         self.rpc.count(Purpose::Lists, self.to, bytes);
         parse(reply?)
     }
 
-    /// Requests changes; the peer waits up to `wait` for one.
+    /// Requests the objects that changed after `revision`; the peer waits up to `wait` for
+    /// one. Fails on an error of the peer, or if no valid answer arrives within `timeout`,
+    /// which is extended while bytes arrive.
     async fn changes(
         &self,
         revision: u64,
@@ -241,6 +247,8 @@
 }
 
 impl<T: DeserializeOwned + Send + Sync> Feed<T> for PeerFeed<T> {
+    /// Requests all objects that the peer has. The freshness is ignored: they are as
+    /// current as the peer's own copy.
     fn list(&self, _: Freshness) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         async move {
             let name = self.name;
@@ -264,18 +272,23 @@
         async move { self.rpc.heartbeat(self.to).await?.store }.boxed()
     }
 
+    /// Requests changes; the call's timeout is one second longer than `wait`.
     fn watch(&self, revision: u64, wait: Duration) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         self.changes(revision, wait, wait + WATCH_MARGIN).boxed()
     }
 
+    /// Makes the same call as `watch`, but the peer waits only 1 ms for a change, and the
+    /// timeout is that of a call that does not wait.
     fn poll(&self, revision: u64) -> BoxFuture<'_, Result<Batch<T>, FeedError>> {
         self.changes(revision, POLL_WAIT, CALL_TIMEOUT).boxed()
     }
 }
 
+/// A decoded reply: a batch, or the error that the peer returned.
 type Reply = Result<EncodedBatch, FeedError>;
 
-/// Decodes a reply and returns it with the size of its packed items in bytes.
+/// Decodes a reply and returns it with the size of its packed items in bytes; 0 for an
+/// error of the peer.
 fn read_sized(from: reply::Reader<'_>) -> Result<(Reply, usize), Error> {
     let bytes = match from.which()? {
         reply::Which::Batch(batch) => batch?.get_packed()?.len(),
@@ -284,6 +297,8 @@
     Ok((read_reply(from)?, bytes))
 }
 
+/// Decodes a reply; the inner error is the one that the peer returned. Fails if the
+/// message, its compression or the address of a redirect is invalid.
 fn read_reply(from: reply::Reader<'_>) -> Result<Reply, Error> {
     let batch = match from.which()? {
         reply::Which::Batch(batch) => batch?,
@@ -324,10 +339,13 @@
     }))
 }
 
+/// Converts an error to a failed capnp call.
 fn rpc_error(error: impl std::fmt::Display) -> Error {
     Error::failed(error.to_string())
 }
 
+/// Parses the JSON values of a batch. Fails with [`FeedError::Refused`] if any of them is
+/// not a valid `T`; deleted and malformed objects are kept as they are.
 fn parse<T: DeserializeOwned>(raw: EncodedBatch) -> Result<Batch<T>, FeedError> {
     let items = raw.items.into_iter().map(|item| {
         Ok(Item {
@@ -358,7 +376,8 @@
 }
 
 impl PackedCache {
-    /// Returns the packed items of `batch`; empty if there are none.
+    /// Returns the packed items of `batch`, from the cache if it equals the last batch;
+    /// empty if there are none.
     fn pack(&mut self, batch: &EncodedBatch) -> Result<Bytes, Error> {
         if batch.items.is_empty() {
             return Ok(Bytes::new());
@@ -374,6 +393,8 @@
     }
 }
 
+/// Writes a reply, with the items compressed. Of the errors only
+/// [`FeedError::HistoryGone`] and [`FeedError::Redirect`] are kept; others are sent as lost.
 fn put_reply(
     reply: &Reply,
     cache: &Mutex<PackedCache>,
@@ -401,7 +422,7 @@
     Ok(())
 }
 
-/// Encodes items as an uncompressed message.
+/// Encodes items as an uncompressed message; malformed ones with an empty value.
 fn encode(list: &[Item<Bytes>]) -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
     let root = message.init_root::<items::Builder<'_>>();
@@ -418,6 +439,7 @@
 }
 
 impl feeds::Server for Session {
+    /// Replies with the store's last known revision and the version of the route book.
     async fn pulse(
         self: Rc<Self>,
         _: feeds::PulseParams,
@@ -431,6 +453,7 @@
         put_reply(&reply, &self.cache, results.init_reply())
     }
 
+    /// Replies with a delta of the route book; any error fails the call.
     async fn book(
         self: Rc<Self>,
         params: feeds::BookParams,
@@ -445,6 +468,7 @@
         Ok(())
     }
 
+    /// Replies with all objects of a feed, or the error.
     async fn all(
         self: Rc<Self>,
         params: feeds::AllParams,
@@ -454,6 +478,8 @@
         put_reply(&reply, &self.cache, results.get().init_reply())
     }
 
+    /// Replies with the changes of a feed, or the error, once the service's watch ends. The
+    /// watch runs on the entry's runtime; a cancelled call aborts it.
     async fn follow(
         self: Rc<Self>,
         params: feeds::FollowParams,
--- a/crates/port/src/forward.rs
+++ b/crates/port/src/forward.rs
@@ -80,7 +80,7 @@
     Unknown,
 }
 
-/// The port that forwards requests to leafs.
+/// The port that forwards requests to leafs and checks whether they accept connections.
 pub trait Forward: Send + Sync {
     /// Calls a leaf. Dropping the future cancels the call.
     fn call(&self, call: LeafCall) -> BoxFuture<'static, Result<LeafReply, LeafFailure>>;
@@ -88,6 +88,6 @@
     /// Checks whether a leaf accepts connections by opening one and closing it.
     fn check_listening(&self, leaf: &LeafId, address: SocketAddr) -> BoxFuture<'static, Listening>;
 
-    /// Drops the state of a leaf that has left permanently.
+    /// Drops what is kept for a leaf that has left permanently, such as its connections.
     fn remove(&self, leaf: &LeafId);
 }
--- a/crates/port/src/http.rs
+++ b/crates/port/src/http.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// An HTTP client that reuses connections.
+/// An HTTP client that reuses connections, counts the bytes of bodies, and records when
+/// each server last sent some.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -72,6 +73,8 @@
 }
 
 impl Default for HttpClient {
+    /// Creates a client with a connect timeout of 1 s and TCP keep-alive. Its byte counts
+    /// go to counters of its own.
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -155,6 +158,9 @@
         }
     }
 
+    /// Sends a request and reads the whole response, without a timeout. Counts the bytes of
+    /// both bodies and records each receipt. Fails with [`HttpError::Connect`] if no
+    /// connection opens, and else with [`HttpError::Lost`].
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -188,11 +194,14 @@
         })
     }
 
+    /// Counts body bytes as traffic with the store.
     fn count(&self, direction: Direction, bytes: usize) {
         self.traffic
             .add(Purpose::Store, Distance::Remote, direction, bytes);
     }
 
+    /// Records that bytes from `server` arrived now. At [`SERVERS_MAX`] a new server replaces
+    /// the one with the lowest address.
     fn record_receipt(&self, server: SocketAddr) {
         let mut received = lock(&self.received);
         if received.len() >= SERVERS_MAX && !received.contains_key(&server) {
@@ -202,6 +211,7 @@
     }
 }
 
+/// Builds a request with a JSON body; [`HttpError::Connect`] if the path is invalid.
 fn request(
     method: Method,
     address: SocketAddr,
--- a/crates/port/src/http_pool.rs
+++ b/crates/port/src/http_pool.rs
@@ -28,7 +28,7 @@
     Clock, LeafCall, Listening, Purpose, TcpLiveness, Traffic, TrafficMeter, traffic::Metered,
 };
 
-/// Configures [`HttpPool`].
+/// Timeouts, body limit and TCP keep-alive of [`HttpPool`].
 #[derive(Clone, Copy, Debug)]
 pub struct HttpPoolConfig {
     /// Timeout for opening a connection. Should be far above the time of a handshake
@@ -43,6 +43,7 @@
 }
 
 impl Default for HttpPoolConfig {
+    /// A connect timeout of 300 ms, responses of at most 8 MiB, an idle timeout of 10 s.
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_millis(300),
@@ -73,6 +74,7 @@
 impl std::error::Error for ExchangeError {}
 
 /// Checks whether anything listens at `address` by opening a connection and closing it.
+/// Has no timeout of its own.
 pub async fn check_listening(address: SocketAddr) -> Listening {
     match TcpStream::connect(address).await {
         Ok(_) => Listening::Yes,
@@ -81,7 +83,8 @@
     }
 }
 
-/// An idle connection in a pool.
+/// An idle connection in a pool: its sender, the task that drives it, since when it is
+/// idle and when it expires.
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -89,7 +92,8 @@
     expires: Time,
 }
 
-/// The connection pool of one leaf.
+/// The connection pool of one leaf: its idle connections, the number open (idle, in use
+/// or being opened), and the number of attempts to open one so far.
 struct Conns {
     idle: Vec<Idle>,
     open: usize,
@@ -100,6 +104,7 @@
 }
 
 impl Conns {
+    /// Creates an empty pool.
     fn new(generation: u64) -> Self {
         Self {
             idle: Vec::new(),
@@ -110,6 +115,7 @@
     }
 }
 
+/// What the clones of an [`HttpPool`] share, with the pools by leaf.
 struct Inner {
     config: HttpPoolConfig,
     clock: Clock,
@@ -143,12 +149,13 @@
 
     /// Sends `request`, the HTTP form of `call`, on a connection that carries no other
     /// request, within the call's limits on connections and idle time. Dropping the
-    /// future closes the connection, which cancels the request.
+    /// future closes the connection, which cancels the request. There is no timeout for
+    /// the response. If a reused connection turns out closed, another one is tried.
     ///
     /// # Errors
     ///
-    /// Fails if no complete response arrives; the error says whether the request was
-    /// sent.
+    /// Fails if no complete response within the size limit arrives; the error says whether
+    /// the request was sent.
     pub async fn exchange(
         &self,
         call: &LeafCall,
@@ -173,7 +180,8 @@
         }
     }
 
-    /// Reads the body of a response.
+    /// Reads the body of a response; [`ExchangeError::Lost`] if it is incomplete or larger
+    /// than the limit.
     async fn read(
         &self,
         checkout: Checkout,
@@ -190,7 +198,9 @@
         })
     }
 
-    /// Takes an idle connection from the pool or opens a new one.
+    /// Takes the connection released last from the pool, or opens one. Closes those it finds
+    /// broken, expired or idle for more than `max_idle` of the call. Fails with
+    /// `AtCapacity` at its `max_connections`, and `Unsent` if none can be opened.
     async fn checkout(&self, call: &LeafCall) -> Result<Checkout, ExchangeError> {
         let leaf = &call.leaf;
         let now = self.inner.clock.now();
@@ -235,7 +245,8 @@
         }
     }
 
-    /// Opens a connection and performs the HTTP/1.1 handshake.
+    /// Opens a connection with TCP keep-alive, performs the HTTP/1.1 handshake, and spawns
+    /// the task that drives it. Its bytes are counted as traffic with leafs.
     async fn open(
         &self,
         call: &LeafCall,
@@ -258,7 +269,8 @@
         Ok((sender, task.abort_handle()))
     }
 
-    /// Closes the idle connections to a leaf that has left and drops its pool.
+    /// Closes the idle connections to a leaf that has left and drops its pool. Connections
+    /// in use are closed after their exchange.
     pub fn remove(&self, leaf: &LeafId) {
         let mut leafs = lock(&self.inner.leafs);
         if let Some(conns) = leafs.remove(leaf) {
@@ -268,7 +280,8 @@
         }
     }
 
-    /// Returns, over all pools, the connections opened so far and those open now.
+    /// Returns, over the pools of current leafs, the attempts to open a connection so far
+    /// and the connections that are open or being opened.
     #[must_use]
     pub fn counts(&self) -> (u64, usize) {
         let leafs = lock(&self.inner.leafs);
@@ -285,10 +298,12 @@
     /// Generation of the [`Conns`] that it belongs to.
     generation: u64,
     task: Option<AbortHandle>,
+    /// Whether the connection went back to the pool, so that dropping the slot has no effect.
     pooled: bool,
 }
 
 impl Slot {
+    /// Takes over a slot that is counted already; `task` drives its connection, if open.
     fn new(pool: &HttpPool, leaf: &LeafId, generation: u64, task: Option<AbortHandle>) -> Self {
         Self {
             pool: pool.clone(),
@@ -316,7 +331,7 @@
     }
 }
 
-/// A connection in use by one exchange.
+/// A connection in use by one exchange. `reused` tells whether it came from the pool.
 struct Checkout {
     sender: SendRequest<Full<Bytes>>,
     reused: bool,
@@ -334,7 +349,9 @@
 }
 
 impl Exchange {
-    /// Returns the connection to the pool and yields the response.
+    /// Yields the response and returns the connection to the pool, or closes it if the
+    /// leaf's pool was dropped since. It expires after the response's `Keep-Alive` timeout,
+    /// or else the configured idle timeout, less half a second.
     #[must_use]
     pub fn release(self) -> Response<Bytes> {
         let Self { answer, checkout } = self;
@@ -366,9 +383,11 @@
     }
 }
 
+/// Header by which a back end states its idle timeout.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Returns the `timeout` parameter of a response's `Keep-Alive` header.
+/// Returns the `timeout` parameter (in seconds) of a response's `Keep-Alive` header;
+/// `None` if it is missing or invalid.
 fn keep_alive_timeout(answer: &Response<Bytes>) -> Option<Duration> {
     let text = answer.headers().get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| {
--- a/crates/port/src/json.rs
+++ b/crates/port/src/json.rs
@@ -24,6 +24,7 @@
     pub draining: bool,
 }
 
+/// One element of `parts`: a shard and its rows, a JSON array.
 struct Part(ShardName, Bytes);
 
 impl<'de> Deserialize<'de> for LeafAnswer {
@@ -32,6 +33,7 @@
     }
 }
 
+/// Reads a [`LeafAnswer`]: `version` and `parts` are required, unknown fields are ignored.
 struct AnswerVisitor;
 
 impl<'de> Visitor<'de> for AnswerVisitor {
@@ -63,6 +65,7 @@
     }
 }
 
+/// The list of parts of an answer, in its order.
 struct Parts(Vec<(ShardName, Bytes)>);
 
 impl<'de> Deserialize<'de> for Parts {
@@ -71,6 +74,7 @@
     }
 }
 
+/// Reads [`Parts`] from a JSON array.
 struct PartsVisitor;
 
 impl<'de> Visitor<'de> for PartsVisitor {
@@ -95,6 +99,7 @@
     }
 }
 
+/// Reads a [`Part`]: `shard` and `rows` are required, unknown fields are ignored.
 struct PartVisitor;
 
 impl<'de> Visitor<'de> for PartVisitor {
@@ -123,8 +128,8 @@
     }
 }
 
-/// Checks that rows are a JSON array, as they are concatenated with those of other
-/// shards later.
+/// Copies the rows of a shard. Fails unless they are a JSON array, as they are
+/// concatenated with those of other shards later.
 fn check_rows<E: Error>(raw: &RawValue) -> Result<Bytes, E> {
     let text = raw.get();
     if text.starts_with('[') {
--- a/crates/port/src/pack.rs
+++ b/crates/port/src/pack.rs
@@ -32,14 +32,15 @@
     deflate(&json).map_err(PackError::Deflate)
 }
 
-/// Compresses bytes with DEFLATE.
+/// Compresses bytes with DEFLATE at the fastest level.
 pub(crate) fn deflate(bytes: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
     Ok(encoder.finish()?.into())
 }
 
-/// Decompresses the output of [`deflate`], up to [`UNPACKED_MAX`] bytes.
+/// Decompresses the output of [`deflate`]. Cuts the result off at [`UNPACKED_MAX`] bytes
+/// without an error; fails if the input is malformed.
 pub(crate) fn inflate(packed: &[u8]) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     DeflateDecoder::new(packed)
--- a/crates/port/src/peer.rs
+++ b/crates/port/src/peer.rs
@@ -123,14 +123,15 @@
     /// Requests a peer's full member list.
     fn members(&self, to: SocketAddr) -> BoxFuture<'_, Result<Vec<Member>, PeerError>>;
 
-    /// Requests the objects that are newer at a peer than the versions in `have`.
+    /// Requests the configuration objects that are newer at a peer than the versions in
+    /// `have`.
     fn objects(
         &self,
         to: SocketAddr,
         have: BTreeMap<ObjectKey, u64>,
     ) -> BoxFuture<'_, Result<Vec<Object>, PeerError>>;
 
-    /// Sends a peer objects that were just accepted.
+    /// Sends a peer configuration objects that were just accepted.
     fn push(&self, to: SocketAddr, objects: Vec<Object>) -> BoxFuture<'_, Result<(), PeerError>>;
 
     /// Asks a holder to pass a submission to a leaf. Only after [`Failure::Lost`] is
@@ -172,10 +173,10 @@
     /// Returns the full member list.
     fn members(&self) -> Vec<Member>;
 
-    /// Returns the objects that are newer here than the versions in `have`.
+    /// Returns the configuration objects that are newer here than the versions in `have`.
     fn objects(&self, have: &BTreeMap<ObjectKey, u64>) -> Vec<Object>;
 
-    /// Applies objects that were just accepted by another entry.
+    /// Applies configuration objects that were just accepted by another entry.
     fn push(&self, objects: Vec<Object>);
 
     /// Stores a copy of a peer's batch of refusal records, as JSON.
--- a/crates/port/src/peer_rpc.rs
+++ b/crates/port/src/peer_rpc.rs
@@ -23,7 +23,8 @@
 /// reads all objects of a peer.
 const TIMEOUT: CallTimeout = CallTimeout::Idle(Duration::from_secs(2));
 
-/// Server and client of the peer protocol. Dropping the last clone ends its thread.
+/// Server and client of the peer protocol. Dropping the last clone ends its thread. Its
+/// bytes are not counted as traffic.
 #[derive(Clone, Debug)]
 pub struct PeerRpc {
     endpoint: RpcEndpoint<peer::Client>,
@@ -59,6 +60,7 @@
 }
 
 impl Peers for PeerRpc {
+    /// Calls with the query's deadline as a fixed timeout.
     fn query(&self, to: SocketAddr, ask: SubQuery) -> BoxFuture<'_, Result<SubAnswer, PeerError>> {
         let wait = ask.deadline;
         self.endpoint
@@ -75,6 +77,7 @@
             .boxed()
     }
 
+    /// Calls with the submission's deadline as a fixed timeout.
     fn submit(
         &self,
         to: SocketAddr,
@@ -132,6 +135,8 @@
             .boxed()
     }
 
+    /// Calls with the submission's deadline as a fixed timeout. A failed call becomes
+    /// [`Failure::NotSent`] or [`Failure::Lost`].
     fn dispatch(&self, to: SocketAddr, ask: Dispatch) -> BoxFuture<'_, Result<Bytes, Failure>> {
         let wait = ask.deadline;
         let call = self.endpoint.call(
--- a/crates/port/src/peer_serve.rs
+++ b/crates/port/src/peer_serve.rs
@@ -10,13 +10,14 @@
 
 /// Serves the calls of one connection by passing them to the entry's runtime.
 pub(crate) struct Session {
-    /// Runs the calls.
+    /// The entry's implementation of the calls.
     pub(crate) service: Arc<dyn PeerService>,
     /// The runtime on which calls run.
     pub(crate) runtime: Handle,
 }
 
 impl peer::Server for Session {
+    /// Serves a query on the entry's runtime; a cancelled call aborts it.
     async fn query(
         self: Rc<Self>,
         params: peer::QueryParams,
@@ -30,6 +31,7 @@
         Ok(())
     }
 
+    /// Runs a submission on the entry's runtime to its end, even if the call is cancelled.
     async fn submit(
         self: Rc<Self>,
         params: peer::SubmitParams,
@@ -44,6 +46,7 @@
         Ok(())
     }
 
+    /// Passes a submission to a leaf on the entry's runtime; a cancelled call aborts it.
     async fn dispatch(
         self: Rc<Self>,
         params: peer::DispatchParams,
@@ -56,6 +59,7 @@
         Ok(())
     }
 
+    /// Records the leafs that a peer reports as leaving.
     async fn leaving(
         self: Rc<Self>,
         params: peer::LeavingParams,
@@ -66,6 +70,7 @@
         Ok(())
     }
 
+    /// Stores a copy of a peer's batch of refusal records.
     async fn records(
         self: Rc<Self>,
         params: peer::RecordsParams,
@@ -75,6 +80,7 @@
         Ok(())
     }
 
+    /// Replies with the full member list.
     async fn members(
         self: Rc<Self>,
         _: peer::MembersParams,
@@ -86,6 +92,7 @@
         Ok(())
     }
 
+    /// Replies with the objects that are newer here than the versions sent.
     async fn objects(
         self: Rc<Self>,
         params: peer::ObjectsParams,
@@ -98,6 +105,7 @@
         Ok(())
     }
 
+    /// Applies objects that the peer accepted.
     async fn push(
         self: Rc<Self>,
         params: peer::PushParams,
@@ -108,6 +116,7 @@
         Ok(())
     }
 
+    /// Takes over tickets and replies with this entry's incarnation.
     async fn adopt(
         self: Rc<Self>,
         params: peer::AdoptParams,
@@ -120,6 +129,7 @@
     }
 }
 
+/// Converts the failure of a task, such as a panic, to a failed capnp call.
 fn rpc_error(error: tokio::task::JoinError) -> Error {
     Error::failed(error.to_string())
 }
--- a/crates/port/src/platform_http.rs
+++ b/crates/port/src/platform_http.rs
@@ -13,7 +13,7 @@
 /// Added to a watch's wait time to get the timeout of its HTTP call.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// HTTP client of the platform.
+/// HTTP client of the platform, with its address and the timeout of calls but watches.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: HttpClient,
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Sends one request, and maps a version conflict and server errors to
-    /// [`PlatformError`].
+    /// Sends one request and waits up to `wait` for the reply. Fails on a version conflict,
+    /// and with [`PlatformError::Unavailable`] on a server error or no reply; any other
+    /// status is returned.
     async fn request(
         &self,
         method: Method,
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Sends a GET request and decodes the JSON reply; any status but success is an error.
     async fn read<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -64,6 +66,7 @@
 }
 
 impl Platform for HttpPlatform {
+    /// Sends `GET /objects/KIND/NAME`.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Option<Object>, PlatformError>> {
         async move {
             let path = object_path(&key);
@@ -78,10 +81,12 @@
         .boxed()
     }
 
+    /// Sends `GET /objects/KIND`.
     fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move { self.read(&format!("/objects/{kind}"), self.timeout).await }.boxed()
     }
 
+    /// Sends `PUT /objects/KIND/NAME` with the expected version as `if_version`.
     fn put(
         &self,
         key: ObjectKey,
@@ -98,6 +103,7 @@
         .boxed()
     }
 
+    /// Sends `GET /watch/KIND`; its timeout is two seconds longer than `wait`.
     fn watch(
         &self,
         kind: ObjectKind,
@@ -112,6 +118,7 @@
         .boxed()
     }
 
+    /// Sends `GET /vms`.
     fn vms(&self) -> BoxFuture<'_, Result<Vec<Vm>, PlatformError>> {
         async move { self.read("/vms", self.timeout).await }.boxed()
     }
@@ -123,12 +130,13 @@
     version: u64,
 }
 
+/// Returns the URL path of an object.
 fn object_path(key: &ObjectKey) -> String {
     format!("/objects/{}/{}", key.kind, key.name)
 }
 
-/// Decodes a successful reply; any other status is a refusal with the body as
-/// its reason.
+/// Decodes a successful reply. Any other status is [`PlatformError::Refused`] with the
+/// body as its reason, and so is a body that can't be decoded.
 fn parse<T: DeserializeOwned>(reply: &HttpReply) -> Result<T, PlatformError> {
     if !reply.status.is_success() {
         let text = String::from_utf8_lossy(&reply.body).into_owned();
@@ -137,6 +145,7 @@
     serde_json::from_slice(&reply.body).map_err(|e| PlatformError::Refused(e.to_string()))
 }
 
+/// Returns the error for a conflict reply, with the version in its body; 0 if there is none.
 fn conflict(reply: &HttpReply) -> PlatformError {
     let current = reply.json()["version"].as_u64().unwrap_or(0);
     PlatformError::Conflict { current }
--- a/crates/port/src/probe.rs
+++ b/crates/port/src/probe.rs
@@ -33,11 +33,12 @@
     /// Waits for the next probe; returns it with the address of its sender.
     fn receive(&self) -> BoxFuture<'_, (Message, SocketAddr)>;
 
-    /// Total bytes sent and received.
+    /// Total payload bytes of the probes sent and received.
     fn bytes(&self) -> u64;
 }
 
-/// A UDP socket for probes that counts its datagrams and bytes.
+/// A UDP socket for probes that counts its payload bytes, its datagrams, and those
+/// received that could not be decoded.
 #[derive(Debug)]
 pub struct ProbeSocket {
     socket: UdpSocket,
@@ -72,7 +73,7 @@
         self.socket.local_addr()
     }
 
-    /// Total datagrams sent and received.
+    /// Total datagrams sent and received, also those that failed to send or decode.
     #[must_use]
     pub fn datagrams(&self) -> u64 {
         self.datagrams.load(Ordering::Relaxed)
@@ -84,6 +85,7 @@
         self.malformed.load(Ordering::Relaxed)
     }
 
+    /// Counts one datagram of `bytes` payload bytes, sent or received.
     fn count(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.datagrams.fetch_add(1, Ordering::Relaxed);
--- a/crates/port/src/rpc.rs
+++ b/crates/port/src/rpc.rs
@@ -31,7 +31,7 @@
 
 /// Calls that may be queued for the thread; further calls fail as not sent.
 const QUEUE_CAPACITY: usize = 1024;
-/// Timeout of a TCP connect.
+/// Longest time to open a TCP connection to a peer, even if the call's timeout is longer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without received bytes after which a connection is dropped when a call on
 /// it times out, so that the next call opens a new one.
@@ -41,7 +41,8 @@
 /// answers on the slowest links between entries.
 const MAX_EXTENSION: Duration = Duration::from_secs(5);
 
-/// Timeout of a call.
+/// Timeout of a call, fixed or extended while bytes arrive. It starts once the
+/// connection is open.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallTimeout {
     /// A fixed timeout, for calls whose caller has a deadline.
@@ -86,7 +87,7 @@
 
 impl<C: FromClientHook + Clone + 'static> Client for C {}
 
-/// A call to be made on the network thread.
+/// A call for the network thread, which runs it with its connections and counters.
 type Job<C> = Box<dyn FnOnce(Rc<ThreadState<C>>) + Send>;
 
 /// Creates the capability that serves one accepted connection.
@@ -139,8 +140,11 @@
         self.address
     }
 
-    /// Runs `call` with a client of the entry at `to`. Dropping the future cancels the
-    /// call.
+    /// Runs `call` with a client of the entry at `to`, on the network thread. Dropping the
+    /// future cancels the call.
+    ///
+    /// Fails with [`PeerError::NotSent`] if the queue is full or no connection opens, and
+    /// with [`PeerError::Lost`] on a timeout, a broken connection or an error reply.
     pub(crate) async fn call<T, K, F>(
         &self,
         to: SocketAddr,
@@ -170,11 +174,13 @@
     }
 }
 
-/// An outgoing connection to one peer.
+/// An outgoing connection to one peer: its client, when bytes were last received, and
+/// whether it is still open.
 struct Conn<C> {
     client: C,
     /// When bytes were last received.
     last_read: Rc<Cell<Instant>>,
+    /// Whether new calls may use it; cleared when it is dropped from the pool.
     open: Cell<bool>,
 }
 
@@ -182,10 +188,12 @@
 struct Tracked<S> {
     inner: S,
     last_read: Rc<Cell<Instant>>,
+    /// The counters and the distance to the peer; `None` counts nothing.
     meter: Option<(Arc<Traffic>, Distance)>,
 }
 
 impl<S> Tracked<S> {
+    /// Adds the bytes of a completed read or write to the counters, if there are any.
     fn count(&self, direction: Direction, bytes: &Poll<std::io::Result<usize>>) {
         if let (Some((traffic, distance)), Poll::Ready(Ok(bytes))) = (&self.meter, bytes) {
             traffic.add(Purpose::Peers, *distance, direction, *bytes);
@@ -234,7 +242,8 @@
     }
 }
 
-/// State of the network thread.
+/// What the calls on the network thread share: the outgoing connections by peer, and
+/// the counters of their bytes.
 struct ThreadState<C> {
     conns: RefCell<BTreeMap<SocketAddr, Rc<Conn<C>>>>,
     traffic: Arc<Traffic>,
@@ -266,6 +275,8 @@
     });
 }
 
+/// Accepts connections until cancelled, and serves each with a capability of `factory`.
+/// Their bytes are not counted.
 async fn accept(listener: TcpListener, factory: ServiceFactory) {
     /// Delay after a failed accept, which is mostly caused by a lack of descriptors.
     const BACKOFF: Duration = Duration::from_millis(50);
@@ -282,7 +293,8 @@
     }
 }
 
-/// Wraps a TCP stream for the capnp library.
+/// Wraps a TCP stream for the capnp library, with Nagle's algorithm disabled. Sets
+/// `last_read` at each receipt of bytes and counts bytes if there is a `meter`.
 fn network(
     stream: TcpStream,
     side: Side,
@@ -310,8 +322,9 @@
     ))
 }
 
-/// Makes one call and waits for its answer until the deadline. Drops the connection if
-/// it is broken or unresponsive.
+/// Makes one call and waits for its answer until the deadline, which does not include
+/// the time to connect. Drops the connection if it is broken or unresponsive. Fails with
+/// [`PeerError::NotSent`] if no connection opens, and else with [`PeerError::Lost`].
 async fn one_call<T, C, K, F>(
     state: &Rc<ThreadState<C>>,
     to: SocketAddr,
@@ -347,7 +360,9 @@
     }
 }
 
-/// Returns the open connection to a peer, or opens one.
+/// Returns the open connection to a peer, or opens and stores one. Fails with
+/// [`PeerError::NotSent`] if none opens within `wait` or [`CONNECT_TIMEOUT`],
+/// whichever is shorter.
 async fn connect<C: Client>(
     state: &Rc<ThreadState<C>>,
     to: SocketAddr,
@@ -380,7 +395,8 @@
     Ok(conn)
 }
 
-/// Removes a closed connection, unless a newer one has replaced it.
+/// Marks a connection as closed and removes it from the pool, unless a newer one to
+/// `to` has replaced it there. Calls in flight on it may still complete.
 fn drop_conn<C>(state: &Rc<ThreadState<C>>, to: SocketAddr, conn: &Rc<Conn<C>>) {
     conn.open.set(false);
     let mut conns = state.conns.borrow_mut();
--- a/crates/port/src/serve.rs
+++ b/crates/port/src/serve.rs
@@ -33,7 +33,7 @@
 
 use crate::{Distance, Purpose, TcpLiveness, TrafficMeter, traffic::Metered};
 
-/// Limits of a server on its clients.
+/// Limits of a server on its clients: head size, timeouts and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServeLimits {
     /// Largest request head (request line and headers), in bytes.
@@ -42,7 +42,7 @@
     pub head_timeout: Duration,
     /// Timeout of an idle keep-alive connection.
     pub idle_timeout: Duration,
-    /// Maximum number of open connections.
+    /// Maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
 }
 
@@ -50,7 +50,7 @@
 /// descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Lifecycle of a server.
+/// Whether a server is open or closing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     /// New connections are accepted and kept alive between requests.
@@ -148,7 +148,7 @@
     }
 
     /// Shuts down gracefully: stops accepting, closes idle connections, and
-    /// waits for requests in flight for at most `wait`.
+    /// waits for requests in flight for at most `wait`. Does not abort them after that.
     pub async fn close(&self, wait: Duration) {
         /// Interval between checks for open connections.
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -211,7 +211,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Waits until the server closes.
+/// Waits until the server begins to close or is dropped.
 async fn wait_closing(stage_rx: &mut watch::Receiver<Stage>) {
     // Fails only if the server is dropped, which aborts the caller too.
     let _ = stage_rx.wait_for(|stage| *stage >= Stage::Closing).await;
@@ -221,6 +221,7 @@
 struct OpenGuard(Arc<AtomicUsize>);
 
 impl OpenGuard {
+    /// Adds one to the count `open`.
     fn new(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open.clone())
@@ -233,7 +234,8 @@
     }
 }
 
-/// Serves one connection.
+/// Serves the requests of one connection with `handle` until it ends. Once the server
+/// closes, it ends after the request in flight.
 async fn connection<H, F>(
     stream: Metered<TcpStream>,
     limits: watch::Receiver<ServeLimits>,
@@ -275,17 +277,18 @@
 /// Smallest read buffer that hyper accepts, in bytes.
 const MIN_BUFFER: usize = 8192;
 
-/// What a connection is doing.
+/// What a connection is doing, which selects its timeout: idle, receiving a head or busy.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     /// Between requests, since this time.
     Idle(Instant),
     /// Receiving a request head, since this time.
     Head(Instant),
-    /// Serving a request.
+    /// Serving a request, including reading its body; reads have no timeout.
     Busy,
 }
 
+/// Sets what a connection is doing.
 fn set_phase(phase: &Mutex<Phase>, to: Phase) {
     *phase.lock().unwrap_or_else(PoisonError::into_inner) = to;
 }
@@ -302,6 +305,7 @@
 }
 
 impl TimeoutStream {
+    /// Wraps `stream`; the timer first fires after the timeout for a head.
     fn new(
         stream: Metered<TcpStream>,
         phase: Arc<Mutex<Phase>>,
@@ -320,7 +324,7 @@
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ready once the timeout of the current phase has passed.
+    /// Ready once the timeout of the current phase has passed; never in [`Phase::Busy`].
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_ready() {
             let limits = *self.limits.borrow();
--- a/crates/port/src/target.rs
+++ b/crates/port/src/target.rs
@@ -53,7 +53,8 @@
     pub deadline: Duration,
 }
 
-/// Answer of a leaf's health and load endpoint. It may be out of date or wrong.
+/// Answer of a leaf's health and load endpoint. It may be out of date or wrong. Missing
+/// fields read as not healthy, not draining, no load and no versions.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LeafState {
@@ -69,7 +70,8 @@
 
 /// Client of the leafs. Dropping a future cancels its call.
 pub trait Targets: Send + Sync {
-    /// Runs a query on some shards of a leaf.
+    /// Runs a query on some shards of a leaf. Fails if the leaf can't be reached, refuses
+    /// the call or gives no valid answer.
     fn query(&self, call: LeafQuery) -> BoxFuture<'_, Result<LeafAnswer, Failure>>;
 
     /// Sends a submission to a leaf. [`Failure::NotSent`] and
--- a/crates/port/src/target_http.rs
+++ b/crates/port/src/target_http.rs
@@ -23,7 +23,7 @@
 
 use crate::{Clock, LeafAnswer, LeafQuery, LeafState, LeafSubmit, Targets};
 
-/// Timeouts and limits of [`HttpTargets`].
+/// Connect timeout, keep-alive pings and answer size limit of [`HttpTargets`].
 #[derive(Clone, Copy, Debug)]
 pub struct TargetsConfig {
     /// Timeout for opening a connection.
@@ -38,6 +38,8 @@
 }
 
 impl Default for TargetsConfig {
+    /// A connect timeout of 1 s, a ping each 500 ms with a timeout of 1 s, and answers of
+    /// at most 4 MiB.
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_secs(1),
@@ -53,6 +55,7 @@
 /// Timeout of a call to a leaf's health and load endpoint.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Sends requests on one HTTP/2 connection.
 type Sender = http2::SendRequest<Full<Bytes>>;
 
 /// An open connection. Aborting its task ends every call on it at once.
@@ -61,7 +64,8 @@
     task: AbortHandle,
 }
 
-/// The connection pool of one leaf.
+/// The connections to one leaf at one address: the pool that selects them and the open
+/// ones. `opened` wakes calls that wait when an attempt to open one has ended.
 struct LeafConns {
     address: SocketAddr,
     pool: Mutex<(Pool, BTreeMap<ConnId, OpenConn>)>,
@@ -71,6 +75,8 @@
     unresponsive: Mutex<BTreeSet<ConnId>>,
 }
 
+/// What the clones of an [`HttpTargets`] share: configuration, clock, connection limits
+/// and the pools by leaf.
 struct Inner {
     config: TargetsConfig,
     clock: Clock,
@@ -123,8 +129,8 @@
         leaf
     }
 
-    /// Returns a connection for a call, opening one if needed. No request has
-    /// been sent yet, so every failure here is [`Failure::NotSent`].
+    /// Returns a connection for a call, opening one or waiting for one if needed. Its only
+    /// failure is [`Failure::NotSent`], during the cooldown after failed attempts.
     async fn connection(&self, leaf: &Arc<LeafConns>) -> Result<(ConnId, Sender), Failure> {
         loop {
             let opened = leaf.opened.notified();
@@ -163,7 +169,8 @@
         }
     }
 
-    /// Records whether a connection could be opened; returns the quiet ones.
+    /// Records in the pool whether the connection `id` could be opened (`None`: it could
+    /// not); returns the quiet ones.
     fn record_opened(&self, leaf: &LeafConns, id: ConnId, opened: Option<OpenConn>) -> Vec<ConnId> {
         let now = self.inner.clock.now();
         let mut pool = lock(&leaf.pool);
@@ -177,8 +184,9 @@
         pool.0.quiet(now)
     }
 
-    /// Probes a quiet connection with a small call, and closes it if no answer
-    /// comes. This distinguishes a slow leaf from an unresponsive connection.
+    /// Probes a quiet connection with a small call, and closes it if that has not ended
+    /// within [`PROBE_TIMEOUT`]; a call that fails counts as answered. This distinguishes
+    /// a slow leaf from an unresponsive connection.
     async fn probe(&self, leaf: &Arc<LeafConns>, id: ConnId) {
         let Some(mut sender) = usable_sender(leaf, id) else {
             return;
@@ -247,7 +255,8 @@
         })
     }
 
-    /// Sends a request to a leaf and reads the whole answer.
+    /// Sends a request to a leaf and reads the whole answer, whatever its status. Has no
+    /// timeout. Fails with [`Failure::NotSent`], or after sending as [`loss_kind`] says.
     async fn call(
         &self,
         leaf: &Arc<LeafConns>,
@@ -274,6 +283,7 @@
         Ok((status, body))
     }
 
+    /// Reads a whole answer body; fails if it is incomplete or larger than `max_answer`.
     async fn body(&self, body: Incoming) -> Result<Bytes, AnswerError> {
         let limited = Limited::new(body, self.inner.config.max_answer);
         let collected = limited.collect().await.map_err(|_| AnswerError)?;
@@ -307,6 +317,7 @@
 }
 
 impl InFlight {
+    /// Records in the pool that a call was sent on the connection `id`.
     fn start(leaf: &Arc<LeafConns>, id: ConnId, clock: Clock) -> Self {
         lock(&leaf.pool).0.sent(id, clock.now());
         Self {
@@ -317,6 +328,7 @@
         }
     }
 
+    /// Records in the pool that the call was answered.
     fn answered(&mut self) {
         self.done = true;
         lock(&self.leaf.pool).0.answered(self.id, self.clock.now());
@@ -333,6 +345,7 @@
 }
 
 impl Targets for HttpTargets {
+    /// Posts to `/query`. An answer that can't be decoded is [`Failure::Lost`].
     fn query(&self, call: LeafQuery) -> BoxFuture<'_, Result<LeafAnswer, Failure>> {
         async move {
             let leaf = self.leaf(&call.leaf, call.address);
@@ -346,6 +359,7 @@
         .boxed()
     }
 
+    /// Posts to `/submit` and returns the body of the answer as it is.
     fn submit(&self, call: LeafSubmit) -> BoxFuture<'_, Result<Bytes, Failure>> {
         async move {
             let leaf = self.leaf(&call.leaf, call.address);
@@ -360,6 +374,7 @@
         .boxed()
     }
 
+    /// Posts to `/state` with a timeout of one second; the status is ignored.
     fn state(&self, leaf: LeafId, address: SocketAddr) -> BoxFuture<'_, Option<LeafState>> {
         async move {
             let leaf = self.leaf(&leaf, address);
@@ -370,6 +385,8 @@
         .boxed()
     }
 
+    /// Spawns a task for each leaf that tries to open a connection unless there is one.
+    /// Connections of dropped pools close when no call uses them.
     fn set_leafs(&self, wanted: Vec<(LeafId, SocketAddr)>, max_conns: usize) {
         self.inner.max_conns.store(max_conns, Ordering::Relaxed);
         let spare = self.inner.share.saturating_sub(max_conns);
@@ -400,14 +417,14 @@
     }
 }
 
-/// Returns the sender of a connection unless the connection is closed.
+/// Returns the sender of a connection; `None` if it is closed or not in the pool.
 fn usable_sender(leaf: &LeafConns, id: ConnId) -> Option<Sender> {
     let pool = lock(&leaf.pool);
     let open = pool.1.get(&id).filter(|open| !open.sender.is_closed())?;
     Some(open.sender.clone())
 }
 
-/// Builds a POST request; its body is JSON.
+/// Builds a POST request with a JSON body; [`Failure::NotSent`] if the path is invalid.
 fn post(leaf: &LeafConns, path: &str, body: Vec<u8>) -> Result<Request<Full<Bytes>>, Failure> {
     Request::post(format!("http://{}{path}", leaf.address))
         .header("content-type", "application/json")
@@ -461,8 +478,8 @@
     refused: String,
 }
 
-/// Decodes a refusal. Unless it states that the call did not run, the call may
-/// have run and is [`Failure::Lost`].
+/// Decodes a refusal. Unless it states that the call did not run, the call may have run
+/// and is [`Failure::Lost`]. An unknown reason is read as [`Refusal::Shed`].
 fn parse_refusal(body: &[u8]) -> Failure {
     let Ok(refusal) = serde_json::from_slice::<RefusalBody>(body) else {
         return Failure::Lost;
--- a/crates/port/src/traffic.rs
+++ b/crates/port/src/traffic.rs
@@ -14,7 +14,8 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What traffic is used for.
+/// What traffic is used for: leafs, callers, peers (with lists and the route book also
+/// counted on their own), probes or the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     /// Calls to leafs and their answers.
@@ -63,7 +64,8 @@
     }
 }
 
-/// Whether both ends are in one failure domain.
+/// Whether the other end is known to be in this entry's failure domain. An unknown
+/// failure domain counts as [`Distance::Remote`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same failure domain.
@@ -76,7 +78,7 @@
     /// Both distances.
     pub const ALL: [Self; 2] = [Self::Local, Self::Remote];
 
-    /// Returns the name in logs and metrics.
+    /// Returns the name in logs and metrics: `near` or `far`.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -121,25 +123,27 @@
 }
 
 impl Traffic {
-    /// Adds `bytes` to a counter.
+    /// Adds `bytes` to the counter of a purpose, distance and direction.
     pub fn add(&self, purpose: Purpose, distance: Distance, direction: Direction, bytes: usize) {
         self.count(purpose, distance, direction)
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns the bytes counted so far.
+    /// Returns the bytes counted so far for a purpose, distance and direction.
     #[must_use]
     pub fn get(&self, purpose: Purpose, distance: Distance, direction: Direction) -> u64 {
         self.count(purpose, distance, direction)
             .load(Ordering::Relaxed)
     }
 
-    /// Sets the addresses of the entries in this entry's failure domain.
+    /// Replaces the addresses of the entries in this entry's failure domain, by which
+    /// [`Traffic::distance`] decides.
     pub fn set_local(&self, local: BTreeSet<IpAddr>) {
         *self.local.write().unwrap_or_else(|e| e.into_inner()) = local;
     }
 
-    /// Returns the distance to the entry at `peer`, by the addresses last set.
+    /// Returns the distance to the entry at `peer`, by the IP addresses last set;
+    /// [`Distance::Remote`] if its address is not among them.
     #[must_use]
     pub fn distance(&self, peer: SocketAddr) -> Distance {
         let local = self.local.read().unwrap_or_else(|e| e.into_inner());
@@ -149,6 +153,7 @@
         }
     }
 
+    /// Returns the counter of a purpose, distance and direction.
     fn count(&self, purpose: Purpose, distance: Distance, direction: Direction) -> &AtomicU64 {
         &self.counts[purpose as usize][distance as usize][direction as usize]
     }
@@ -166,13 +171,14 @@
 }
 
 impl TrafficMeter {
+    /// Adds `bytes` to the counter of this connection's purpose and distance.
     fn add(&self, direction: Direction, bytes: usize) {
         self.traffic
             .add(self.purpose, self.distance, direction, bytes);
     }
 }
 
-/// A stream that counts its bytes.
+/// A stream that adds the bytes read from it and written to it to a meter.
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     inner: S,
@@ -234,6 +240,7 @@
 }
 
 impl<S> Metered<S> {
+    /// Counts the bytes of a write that completed.
     fn count_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
             self.meter.add(Direction::Out, *bytes);
--- a/crates/port/src/wire.rs
+++ b/crates/port/src/wire.rs
@@ -43,7 +43,7 @@
     capnp::Error::failed(what.to_string())
 }
 
-/// Parses a text field.
+/// Parses a text field; fails if it is not UTF-8 or not a valid `T`.
 fn parse<T: FromStr>(text: text::Reader<'_>) -> DecodeResult<T>
 where
     T::Err: std::fmt::Display,
@@ -143,7 +143,7 @@
     from.iter().map(get_member).collect()
 }
 
-/// Writes the reports on suspect requests.
+/// Writes the reports on suspect requests; times are sent as ages in milliseconds.
 fn put_reports(reports: &[SuspectReport], mut to: struct_list::Builder<'_, schema::case::Owned>) {
     for (at, report) in reports.iter().enumerate() {
         let mut to = to.reborrow().get(at as u32);
@@ -182,7 +182,7 @@
     })
 }
 
-/// Encodes a probe as one datagram.
+/// Encodes a probe as one datagram, in the packed encoding of Cap'n Proto.
 pub(crate) fn encode_probe(message: &Message) -> Vec<u8> {
     let mut builder = capnp::message::Builder::new_default();
     let mut root = builder.init_root::<schema::probe::Builder<'_>>();
@@ -215,7 +215,8 @@
     bytes
 }
 
-/// Decodes a probe from a datagram.
+/// Decodes a probe from a datagram. Fails if it is malformed or of another protocol
+/// version.
 pub(crate) fn decode_probe(bytes: &[u8]) -> DecodeResult<Message> {
     let message = capnp::serialize_packed::read_message(bytes, reader_options())?;
     let root = message.get_root::<schema::probe::Reader<'_>>()?;
@@ -255,7 +256,7 @@
     }
 }
 
-/// Reads a query for a part of the shards.
+/// Reads a query for a part of the shards. Fails on another protocol version.
 pub(crate) fn get_query(from: schema::sub_query::Reader<'_>) -> DecodeResult<SubQuery> {
     check_version(from.get_version())?;
     Ok(SubQuery {
@@ -339,7 +340,8 @@
     to.set_deadline_us(dispatch.deadline.as_micros() as u64);
 }
 
-/// Reads a submission that is to be passed to one leaf.
+/// Reads a submission that is to be passed to one leaf. Fails on another protocol
+/// version.
 pub(crate) fn get_dispatch(from: schema::dispatch::Reader<'_>) -> DecodeResult<Dispatch> {
     check_version(from.get_version())?;
     Ok(Dispatch {
@@ -353,7 +355,8 @@
     })
 }
 
-/// Writes the outcome of a dispatched submission.
+/// Writes the outcome of a dispatched submission. Refusals and [`Failure::NotSent`] are
+/// kept; all other failures are sent as lost.
 pub(crate) fn put_dispatched(
     answer: &Result<Bytes, Failure>,
     mut to: schema::dispatched::Builder<'_>,
@@ -391,7 +394,8 @@
     to.set_deadline_us(submission.deadline.as_micros() as u64);
 }
 
-/// Reads a submission.
+/// Reads a submission for the entry that keeps its ticket. Fails on another protocol
+/// version.
 pub(crate) fn get_submission(from: schema::submission::Reader<'_>) -> DecodeResult<Submission> {
     check_version(from.get_version())?;
     Ok(Submission {
@@ -413,7 +417,7 @@
     }
 }
 
-/// Reads the reply to a submission.
+/// Reads the reply to a submission; fails if the number of its reason is unknown.
 pub(crate) fn get_reply(from: schema::outcome::Reader<'_>) -> DecodeResult<SubmitReply> {
     let reason = |number| Reason::from_number(number).ok_or_else(|| invalid("unknown reason"));
     Ok(match from.which()? {
@@ -516,7 +520,7 @@
     }
 }
 
-/// Reads configuration objects.
+/// Reads configuration objects; fails if a kind is unknown or a value is not JSON.
 pub(crate) fn get_objects(
     from: struct_list::Reader<'_, schema::object::Owned>,
 ) -> DecodeResult<Vec<Object>> {
@@ -530,12 +534,12 @@
     from.iter().map(get_item).collect()
 }
 
-/// Reads a list of leafs.
+/// Reads a list of leaf identifiers; fails if one is invalid.
 pub(crate) fn get_leafs(from: capnp::text_list::Reader<'_>) -> DecodeResult<Vec<LeafId>> {
     from.iter().map(|text| parse(text?)).collect()
 }
 
-/// Reads the key of an object.
+/// Reads the key of an object; fails if its kind is unknown.
 fn get_key(kind: text::Reader<'_>, name: text::Reader<'_>) -> DecodeResult<ObjectKey> {
     Ok(ObjectKey {
         kind: parse::<ObjectKind>(kind)?,
