--- a/crates/fake/src/bound.rs
+++ b/crates/fake/src/bound.rs
@@ -57,6 +57,7 @@
     pub shards: Vec<ShardGroup>,
 }
 
+/// Default of the factors on rates and service times.
 fn one() -> f64 {
     1.0
 }
@@ -86,7 +87,7 @@
     pub times: f64,
 }
 
-/// Errors from reading a deployment file.
+/// Errors from reading a flow model: the file is unreadable or not valid.
 #[derive(Debug, Display)]
 pub enum BoundError {
     /// can't read {0}: {1}
@@ -110,7 +111,7 @@
         toml::from_str(&text).map_err(|error| BoundError::Parse(name, error))
     }
 
-    /// Returns the bound of each span, in order.
+    /// Returns the bound of each span, in order; each is a share of the total weight.
     #[must_use]
     pub fn bounds(&self) -> Vec<SpanBound> {
         let row = |span: &Span| SpanBound {
@@ -120,7 +121,8 @@
         self.spans.iter().map(row).collect()
     }
 
-    /// Returns the largest fraction of the total weight that a span can earn.
+    /// Returns the largest share of the total weight that a span can earn, from 0 to 1;
+    /// nothing is earned in its time without entries.
     fn bound(&self, span: &Span) -> f64 {
         let weight = |class: &RequestClass| class.rate * class.worth;
         let all: f64 = self.classes.iter().map(weight).sum();
@@ -165,7 +167,8 @@
         (1..=STEPS).map(credit).fold(0.0, f64::max)
     }
 
-    /// Returns the requests per second of a class that one shard can answer.
+    /// Returns the requests per second of a class that one shard can answer: at healthy and
+    /// slow leafs first, then at faulty ones within the budget for extra calls.
     fn shard_rate(&self, class: &RequestClass, group: &ShardGroup, load: f64) -> f64 {
         let all: f64 = self.classes.iter().map(|class| class.rate).sum();
         let busy: f64 = self
@@ -190,7 +193,7 @@
     }
 }
 
-/// Holds the bound of one span.
+/// Holds the name and the bound of one span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpanBound {
     /// Name of the span.
--- a/crates/fake/src/demo.rs
+++ b/crates/fake/src/demo.rs
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Waits until every entry is ready to serve.
+    /// Waits until every entry is ready to serve, without a timeout.
     pub async fn ready(&self) {
         while !self.entries.iter().all(|entry| entry.tier.is_ready()) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -102,7 +102,7 @@
     }
 }
 
-/// Starts one entry from its settings in TOML.
+/// Starts one entry and its HTTP servers from its settings in TOML.
 ///
 /// # Errors
 ///
@@ -123,7 +123,8 @@
 /// An object and the key to store it under.
 type KeyedObject = (ObjectKey, serde_json::Value);
 
-/// Reads the templates and organisations in a folder as [`Stored`] objects.
+/// Reads the files in `templates` and `organisations` of a folder as [`StoredSpec`]
+/// objects, each named after its file without the extension.
 ///
 /// # Errors
 ///
@@ -155,6 +156,8 @@
     Ok(objects)
 }
 
+/// Returns the stored form of a template or organisation: a [`StoredSpec`] without edits,
+/// as JSON.
 fn wrap_spec(spec: serde_json::Value) -> serde_json::Value {
     let stored = StoredSpec {
         spec,
--- a/crates/fake/src/deployment.rs
+++ b/crates/fake/src/deployment.rs
@@ -70,7 +70,7 @@
     pub peers: SocketAddr,
 }
 
-/// Describes a deployment.
+/// Describes a deployment: failure domains, platform, services with their leafs, entries.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentSpec {
@@ -87,6 +87,7 @@
     pub entry: Vec<EntrySpec>,
 }
 
+/// Default of [`DeploymentSpec::host`]: the IPv4 loopback address.
 fn loopback() -> IpAddr {
     IpAddr::V4(Ipv4Addr::LOCALHOST)
 }
@@ -135,12 +136,13 @@
         toml::from_str(text).map_err(|e| e.to_string())
     }
 
-    /// Returns the leafs of all services.
+    /// Returns the leafs of all services, in the order of the services and of their numbers.
     #[must_use]
     pub fn leafs(&self) -> Vec<LeafSpec> {
         self.service.iter().flat_map(|s| self.leafs_of(s)).collect()
     }
 
+    /// Returns the leafs of a service by number, with their shards of index version 1.
     fn leafs_of(&self, spec: &ServiceSpec) -> Vec<LeafSpec> {
         let layout = layout(spec, IndexVersion(1), spec.shards);
         (0..spec.leafs)
@@ -167,7 +169,8 @@
             .collect()
     }
 
-    /// Returns the initial service and layout objects of the platform.
+    /// Returns the initial objects of the platform: each service and its layout of index
+    /// version 1.
     #[must_use]
     pub fn objects(&self) -> Vec<(ObjectKey, serde_json::Value)> {
         let mut objects = Vec::new();
@@ -185,7 +188,7 @@
         objects
     }
 
-    /// Returns the service object with the given index versions.
+    /// Returns the service object: its leafs with their groups, and the given index versions.
     #[must_use]
     pub fn service_object(&self, spec: &ServiceSpec, versions: Vec<IndexVersion>) -> Service {
         let mut leafs = BTreeMap::new();
@@ -222,7 +225,8 @@
         entries.chain(leafs).collect()
     }
 
-    /// Returns the settings of an entry, as TOML.
+    /// Returns the settings of an entry in TOML: its name, domain and addresses, and the
+    /// address of the platform.
     #[must_use]
     pub fn settings_of(&self, entry: &EntrySpec) -> String {
         format!(
@@ -252,6 +256,7 @@
     }
 }
 
+/// Returns the name of leaf `n` of a service.
 fn leaf_id(spec: &ServiceSpec, n: u32) -> LeafId {
     LeafId::new(format!("{}-l{n:03}", spec.name)).expect("a legal name")
 }
--- a/crates/fake/src/experiment/condition.rs
+++ b/crates/fake/src/experiment/condition.rs
@@ -4,7 +4,7 @@
 
 use chestnut_unit::Urgency;
 
-/// A fault injected into a run.
+/// A fault injected into a run, at calls, leafs, entries, connections or the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// No fault.
@@ -56,7 +56,7 @@
     },
 }
 
-/// The load and the faults of a run.
+/// The load of a run, its mix of urgencies, and the faults injected.
 #[derive(Clone, Debug)]
 pub struct Condition {
     /// Name in the tables.
@@ -69,17 +69,20 @@
     pub faults: Vec<Fault>,
 }
 
+/// Shares of the urgencies without archive queries.
 const NORMAL_MIX: [(Urgency, f64); 3] = [
     (Urgency::Now, 0.2),
     (Urgency::Normal, 0.8),
     (Urgency::Archive, 0.0),
 ];
+/// Shares of the urgencies where half of the queries are for the archive.
 const ARCHIVE_MIX: [(Urgency, f64); 3] = [
     (Urgency::Now, 0.2),
     (Urgency::Normal, 0.3),
     (Urgency::Archive, 0.5),
 ];
 
+/// Returns a condition without archive queries; `load` is a share of the capacity.
 fn with_faults(name: &'static str, load: f64, faults: &[Fault]) -> Condition {
     Condition {
         name,
@@ -89,6 +92,8 @@
     }
 }
 
+/// Returns a condition with archive queries and no faults; `load` is a share of the
+/// capacity.
 fn mixed(name: &'static str, load: f64) -> Condition {
     Condition {
         name,
@@ -98,7 +103,8 @@
     }
 }
 
-/// Returns the conditions of the policy comparison, those without faults first.
+/// Returns the conditions of the policy comparison: several loads without faults, single
+/// faults, and pairs of faults.
 #[must_use]
 pub fn conditions() -> Vec<Condition> {
     let straggle = |share, factor| Fault::Stragglers { share, factor };
@@ -139,11 +145,13 @@
     ]
 }
 
-/// Returns the conditions in which some shards have little capacity.
+/// Returns the conditions that compare call limits. Leafs pause in all of them; the first
+/// has no scarce shards, the others have one to three with a single replica.
 ///
 /// Loads are relative to the capacity of a shard with one replica of three.
 #[must_use]
 pub fn capacity_conditions() -> Vec<Condition> {
+    /// Capacity of a shard with one of its three replicas, relative to the whole.
     const ONE_OF_THREE: f64 = 1.0 / 3.0;
     let reduced = |name, load: f64, shards| {
         let faults = [Fault::LeafPauses, Fault::ReducedReplicas { shards }];
--- a/crates/fake/src/experiment/connections.rs
+++ b/crates/fake/src/experiment/connections.rs
@@ -17,7 +17,8 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Sim<'_> {
-    /// Sends a call over a connection of the pool, or queues it for one.
+    /// Sends a call over a connection of the pool, or queues it for one. Fails the call
+    /// with `NotSent` while the pool cools down.
     pub(super) fn send(&mut self, at: usize, leaf: usize, call: PendingCall) {
         let now = self.now;
         let link = &mut self.entries[at].links[leaf];
@@ -38,7 +39,7 @@
         self.update_query(at, call.query, |query, cx| query.fail(id, failure, cx));
     }
 
-    /// Starts to open a connection.
+    /// Schedules the end of a connection attempt, after the time to connect and a round trip.
     pub(super) fn open_connection(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let round = self.latency(at, leaf) * 2;
         let span = self.topology.connect_time + round;
@@ -52,7 +53,8 @@
         );
     }
 
-    /// Handles the end of a connection attempt, and sends the pending calls.
+    /// Handles the end of a connection attempt: sends the pending calls, or fails them if the
+    /// leaf has crashed or is at its connection limit.
     pub(super) fn on_opened(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let now = self.now;
         let refused =
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Probes a quiet connection, which times out if it is silent.
+    /// Schedules the result of the probe of a quiet connection: after a round trip, or after
+    /// [`PROBE_TIMEOUT`] if the connection is silent.
     pub(super) fn probe(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let silent = self.entries[at].links[leaf].silent.contains(&conn);
         let span = if silent {
@@ -98,7 +101,8 @@
         );
     }
 
-    /// Handles the answer or the timeout of a probe.
+    /// Handles the result of a probe: closes a silent connection and fails its calls, or
+    /// tells the pool that the probe was answered.
     pub(super) fn on_probe_result(&mut self, at: usize, leaf: usize, conn: ConnId) {
         let now = self.now;
         let link = &mut self.entries[at].links[leaf];
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Sends a call over this connection.
+    /// Sends a call over this connection and schedules a check for quiet ones. On a silent
+    /// connection the call never arrives.
     pub(super) fn transmit(&mut self, at: usize, leaf: usize, conn: ConnId, call: PendingCall) {
         let span = self.latency(at, leaf);
         let link = &mut self.entries[at].links[leaf];
@@ -140,7 +145,8 @@
         self.schedule(span, Event::CallArrives { leaf, job });
     }
 
-    /// Returns the one-way latency between an entry and a leaf.
+    /// Returns the one-way latency between an entry and a leaf, with the delay that a fault
+    /// adds at the failure domain of the leaf.
     pub(super) fn latency(&self, at: usize, leaf: usize) -> Duration {
         let (a, b) = (self.entries[at].domain, self.leafs[leaf].domain);
         let base = if a == b {
@@ -151,7 +157,8 @@
         base + self.extra_latency[b]
     }
 
-    /// Handles a call that reaches a leaf.
+    /// Handles a call that reaches a leaf: starts, queues or sheds it; fails it if the leaf
+    /// has crashed or lacks the index version.
     pub(super) fn on_call(&mut self, leaf: usize, job: Job) {
         if self.leafs[leaf].crashed {
             self.send_reply(leaf, job, Err(Failure::Lost));
@@ -185,7 +192,8 @@
         self.schedule(span, Event::CallDone { leaf, number });
     }
 
-    /// Ends a call at a leaf, and starts the next in the queue.
+    /// Ends a call at a leaf, replies to its entry, and starts the next in the queue. Does
+    /// nothing if the call no longer runs.
     pub(super) fn on_call_done(&mut self, leaf: usize, number: u64) {
         let Some((job, next)) = self.leafs[leaf].complete(number) else {
             return;
@@ -196,7 +204,7 @@
         self.send_reply(leaf, job, Ok(()));
     }
 
-    /// Sends a reply or failure to the entry.
+    /// Schedules the arrival of a reply or failure at the entry that made the call.
     pub(super) fn send_reply(&mut self, leaf: usize, job: Job, result: Result<(), Failure>) {
         let span = self.latency(job.entry, leaf);
         self.schedule(span, Event::ReplyArrives { job, leaf, result });
@@ -253,7 +261,8 @@
         }
     }
 
-    /// Closes a connection that was found silent, and fails its calls.
+    /// Closes a connection that was found silent, and fails its calls; does nothing if it
+    /// is not silent.
     pub(super) fn on_silent(&mut self, at: usize, leaf: usize, conn: ConnId) {
         if self.entries[at].links[leaf].silent.contains(&conn) {
             self.entries[at].links[leaf].pool.closed(conn);
@@ -280,7 +289,8 @@
         }
     }
 
-    /// Passes a timer event to a query.
+    /// Clears the timer of a query and passes the timer event to it; does nothing if it has
+    /// ended.
     pub(super) fn tick_query(&mut self, at: usize, id: u64) {
         if let Some(request) = self.entries[at].requests.get_mut(&id) {
             request.timer_at = Time::MAX;
@@ -295,7 +305,8 @@
 /// the golden ratio spreads any number of leafs evenly.
 const PAUSE_STAGGER: f64 = 0.618;
 
-/// Returns the delay that pauses of `leaf` add to a call of length `span`.
+/// Returns the delay that the periodic pauses of `leaf` add to a call of length `span`
+/// that starts at `now`.
 fn pause_delay(leaf: usize, now: Time, span: Duration) -> Duration {
     let every = PAUSE_INTERVAL.as_secs_f64();
     let phase = (leaf as f64 * PAUSE_STAGGER).fract() * every;
--- a/crates/fake/src/experiment/entry.rs
+++ b/crates/fake/src/experiment/entry.rs
@@ -50,7 +50,8 @@
     pub(super) in_flight: BTreeMap<(u64, CallId), ConnId>,
 }
 
-/// A modelled entry.
+/// A modelled entry: its routing table, index versions, admission control, requests and
+/// connections.
 pub(super) struct Entry {
     pub(super) domain: usize,
     pub(super) table: Table,
@@ -114,7 +115,8 @@
         entry
     }
 
-    /// Adds an index version whose first replica is at leaf `shift`.
+    /// Adds an index version to the entry's routes; its replicas are on consecutive leafs
+    /// from leaf `shift` on.
     pub(super) fn add_version(&mut self, topology: &Topology, version: IndexVersion, shift: usize) {
         let shard = |s: usize| Route {
             name: ShardName::new(format!("s{s}")).expect("a legal name"),
@@ -133,7 +135,8 @@
         self.versions.insert(routes);
     }
 
-    /// Returns the routes of the index version for a new query.
+    /// Returns the routes of the newest complete index version for a new query, else of the
+    /// one with the most available shards; `None` if no shard is available.
     pub(super) fn pin(&self, now: Time) -> Option<Arc<Routes>> {
         self.versions.pin(&self.table, now)
     }
--- a/crates/fake/src/experiment/faults.rs
+++ b/crates/fake/src/experiment/faults.rs
@@ -18,7 +18,8 @@
 const FREEZE_DURATION: Duration = Duration::from_secs(10);
 
 impl Sim<'_> {
-    /// Applies the fault of this number.
+    /// Applies the fault at index `number` of the condition; those that act on
+    /// the whole run, such as stragglers, need no action here.
     pub(super) fn start_fault(&mut self, number: usize) {
         match self.condition.faults[number] {
             Fault::SlowLeaf { factor } => self.leafs[0].fault_factor = factor,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Reverts the fault of this number.
+    /// Reverts the fault at index `number` of the condition, if it is one that ends.
     pub(super) fn end_fault(&mut self, number: usize) {
         match self.condition.faults[number] {
             Fault::SlowLeaf { .. } => self.leafs[0].fault_factor = 1.0,
--- a/crates/fake/src/experiment/leaf.rs
+++ b/crates/fake/src/experiment/leaf.rs
@@ -7,7 +7,8 @@
 use chestnut_unit::{IndexVersion, Time};
 use rand::Rng;
 
-/// A call as a leaf sees it.
+/// A call as a leaf sees it: where it comes from (entry, query, call, connection),
+/// index version and shards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Job {
     pub(super) entry: usize,
@@ -18,7 +19,7 @@
     pub(super) shards: Vec<usize>,
 }
 
-/// A modelled leaf.
+/// A modelled leaf: its slots, queue, running calls, connections and slowdowns.
 #[derive(Debug)]
 pub(super) struct Leaf {
     pub(super) domain: usize,
@@ -39,7 +40,7 @@
     next_number: u64,
 }
 
-/// How a leaf handles a new call.
+/// How a leaf handles a new call: it starts, waits in the queue, or is shed.
 pub(super) enum Placement {
     /// The call runs in a slot under this number.
     Started(u64),
@@ -81,7 +82,7 @@
         self.peak_connections = self.peak_connections.max(self.connections);
     }
 
-    /// Starts a call, queues it, or sheds it.
+    /// Starts a call in a free slot, else queues it, or sheds it if the queue is full.
     pub(super) fn accept(&mut self, job: Job) -> Placement {
         if self.running.len() < self.slots {
             return Placement::Started(self.start(job));
@@ -93,15 +94,16 @@
         Placement::Queued
     }
 
-    /// Ends a running call; returns it and the number of the call started in its
-    /// slot.
+    /// Ends a running call; returns it and the number of the call started in its slot,
+    /// if any. `None` if no such call runs.
     pub(super) fn complete(&mut self, number: u64) -> Option<(Job, Option<u64>)> {
         let at = self.running.iter().position(|(n, _)| *n == number)?;
         let (_, job) = self.running.swap_remove(at);
         Some((job, self.start_next()))
     }
 
-    /// Cancels a call; returns the number of the call started in its slot.
+    /// Cancels a running or queued call; returns the number of the call started in its
+    /// slot, if any.
     pub(super) fn cancel(&mut self, entry: usize, query: u64, call: CallId) -> Option<u64> {
         let same = |job: &Job| job.entry == entry && job.query == query && job.call == call;
         if let Some(at) = self.queue.iter().position(same) {
@@ -124,7 +126,8 @@
         (self.running.len() + self.queue.len()) as f64 / self.slots as f64
     }
 
-    /// Returns the current factor on service times.
+    /// Returns the factor on service times at `now`: the injected slowdown, and one that falls
+    /// to 1 while a cold leaf warms up.
     pub(super) fn service_factor(&self, now: Time) -> f64 {
         let Some(since) = self.cold_since else {
             return self.fault_factor;
@@ -133,11 +136,13 @@
         self.fault_factor * (COLD_SLOWDOWN - (COLD_SLOWDOWN - 1.0) * age)
     }
 
+    /// Starts the first queued call and returns its number; `None` if the queue is empty.
     fn start_next(&mut self) -> Option<u64> {
         let job = self.queue.pop_front()?;
         Some(self.start(job))
     }
 
+    /// Starts a call and returns its number.
     fn start(&mut self, job: Job) -> u64 {
         self.next_number += 1;
         self.running.push((self.next_number, job));
--- a/crates/fake/src/experiment/policy.rs
+++ b/crates/fake/src/experiment/policy.rs
@@ -7,7 +7,7 @@
 
 use super::Topology;
 
-/// A configuration of routing and admission.
+/// A configuration of routing, admission and call limits, and its name.
 #[derive(Clone, Debug)]
 pub struct Policy {
     /// Name in the tables.
@@ -20,7 +20,8 @@
     pub call_limit: CallLimit,
 }
 
-/// Limit on the calls that an entry has in flight at a leaf.
+/// Limit on the calls that an entry has in flight at a leaf: none, fixed to its share of
+/// the connections or of the slots, or adaptive between these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallLimit {
     /// No limit.
@@ -34,7 +35,8 @@
 }
 
 impl CallLimit {
-    /// Returns the concurrency bounds of an entry; none if unlimited.
+    /// Returns the minimum and maximum of the limit, from the entry's share of the leaf's
+    /// slots and connections; equal for a fixed limit, `None` if unlimited.
     pub(super) fn bounds(self, topology: &Topology) -> Option<Bounds> {
         let connections = topology.connections / topology.entries;
         let share = Bounds::share(topology.slots as u32, topology.entries, connections);
@@ -60,6 +62,7 @@
 /// Delay of the fixed hedge, a high quantile of call latency at half load.
 const FIXED_HEDGE_DELAY: Duration = Duration::from_millis(12);
 
+/// Returns an admission control with a fixed limit that no run reaches.
 fn unlimited() -> AdmitConfig {
     AdmitConfig {
         initial_limit: UNLIMITED,
@@ -68,6 +71,7 @@
     }
 }
 
+/// Returns a policy with this replica choice and without hedges; the rest is default.
 fn unhedged(name: &'static str, choice: Choice) -> Policy {
     Policy {
         name,
@@ -81,6 +85,7 @@
     }
 }
 
+/// Returns a policy with this replica choice and hedge; the rest is default.
 fn hedged(name: &'static str, choice: Choice, hedge: Hedge) -> Policy {
     Policy {
         name,
--- a/crates/fake/src/experiment/report.rs
+++ b/crates/fake/src/experiment/report.rs
@@ -19,7 +19,7 @@
     pub latency: Histogram<u32>,
 }
 
-/// Results of one run.
+/// Results of one run: counts of queries, calls and connections, latencies and utility.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Results by urgency.
@@ -143,7 +143,7 @@
     }
 }
 
-/// Largest latency recorded, in microseconds.
+/// Largest latency recorded, in microseconds; longer ones count as this.
 pub(super) const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Formats the results of one run as a row of the table.
@@ -168,6 +168,7 @@
     )
 }
 
+/// Header of the table that [`run_table`] prints.
 const HEADER: &str = "| condition | policy | p50 ms | p99 | p99.9 | p99 now | now % | complete % | \
                     coverage % | extra % | refused | opened | peak conns | evicted | goodput |\n\
                     |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|";
--- a/crates/fake/src/experiment/requests.rs
+++ b/crates/fake/src/experiment/requests.rs
@@ -24,7 +24,7 @@
 /// Utility of a late answer, relative to one in time.
 const LATE_CREDIT: f64 = 0.1;
 
-/// Why a request was not served.
+/// Why a request was not served: refused, or its calls failed.
 enum Unserved {
     /// It was refused before any call was made.
     Refused,
@@ -33,7 +33,8 @@
 }
 
 impl Sim<'_> {
-    /// Schedules the next arrival, and offers a new request to an entry.
+    /// Schedules the next arrival and offers a new request to a random entry; does nothing
+    /// after the end of the run.
     pub(super) fn arrive(&mut self) {
         let rate = self.topology.capacity() * self.condition.load;
         let gap = -(1.0 - uniform(&mut self.arrival_rng)).ln() / rate;
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Offers a request to the admission control of an entry.
+    /// Adds a request to an entry and offers it to the admission control there; applies
+    /// the decision, also for requests that leave the queue.
     pub(super) fn offer(&mut self, at: usize, id: u64, request: Request) {
         let admit_request = AdmitRequest {
             id: RequestId(id),
@@ -113,7 +115,7 @@
         self.arm_expiry(at);
     }
 
-    /// Schedules the next expiry in the admission queue.
+    /// Schedules the next expiry in the admission queue of entry `at`, if there is one.
     pub(super) fn arm_expiry(&mut self, at: usize) {
         if let Some(next_expiry) = self.entries[at].admission.next_expiry() {
             let least = self.now + Duration::from_millis(1);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Expires requests in the admission queue.
+    /// Expires requests in the admission queue of entry `at` and applies the decisions.
     pub(super) fn expire_admission(&mut self, at: usize) {
         let mut out = Vec::new();
         let entry = &mut self.entries[at];
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Starts or refuses a request as admission decided.
+    /// Starts the query of a request, or refuses the request: its caller retries, or the
+    /// refusal is counted. Does nothing for a request that waits.
     pub(super) fn apply_decision(&mut self, at: usize, id: u64, decision: Decision) {
         match decision {
             Decision::Run => self.start_query(at, id),
@@ -151,7 +154,8 @@
         }
     }
 
-    /// Starts the query of an admitted request, or restarts it.
+    /// Starts the query of an admitted request, or restarts it; ends the request if no index
+    /// version is available.
     pub(super) fn start_query(&mut self, at: usize, id: u64) {
         let now = self.now;
         let Some(request) = self.entries[at].requests.get_mut(&id) else {
@@ -182,7 +186,7 @@
         self.apply_actions(at, id, actions);
     }
 
-    /// Ends a request for which no index version is available.
+    /// Ends a request for which no index version is available, and counts it as refused.
     pub(super) fn fail_unrouted(&mut self, at: usize, id: u64) {
         let Some(request) = self.entries[at].requests.remove(&id) else {
             return;
@@ -213,7 +217,7 @@
         self.apply_actions(at, id, actions);
     }
 
-    /// Makes and cancels calls as a query asks.
+    /// Makes and cancels calls as a query asks, then finishes the query or arms its timer.
     pub(super) fn apply_actions(&mut self, at: usize, id: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -276,7 +280,8 @@
         self.finish_request(at, id, end);
     }
 
-    /// Ends a request and records its results.
+    /// Removes an ended request, counts its results or schedules its retry, and reports the
+    /// end to admission control.
     pub(super) fn finish_request(&mut self, at: usize, id: u64, end: End) {
         let Some(request) = self.entries[at].requests.remove(&id) else {
             return;
@@ -349,7 +354,8 @@
         self.offer(entry, id, request);
     }
 
-    /// Counts an answer with the minimum coverage, its utility and its calls.
+    /// Counts an answer with the minimum coverage, its utility and its calls; `share` is
+    /// its coverage. Ignores requests of the warm-up.
     fn count_served(&mut self, request: &Request, share: f64, objective: Duration, calls: u32) {
         if !self.is_measured(request) {
             return;
@@ -361,14 +367,16 @@
         self.outcome.useful_calls += u64::from(calls);
     }
 
-    /// Counts the calls of an attempt that was not served as wasted.
+    /// Counts the calls of an attempt that was not served as wasted, unless its request
+    /// arrived during the warm-up.
     fn count_unserved(&mut self, request: &Request, calls: u32) {
         if self.is_measured(request) {
             self.outcome.wasted_calls += u64::from(calls);
         }
     }
 
-    /// Reports the end of a request to admission control.
+    /// Reports the end of a request to admission control at entry `at`, and applies the
+    /// decisions on requests that leave its queue.
     pub(super) fn admission_done(&mut self, at: usize, stats: RequestStats) {
         let mut out = Vec::new();
         let entry = &mut self.entries[at];
@@ -384,7 +392,8 @@
         request.arrived >= Time::ZERO + MEASURE_START
     }
 
-    /// Counts an answer of all shards and its latency.
+    /// Counts an answer of all shards and its latency, in total and for its urgency; the
+    /// latency is clamped to between 1 µs and [`MAX_LATENCY_US`].
     pub(super) fn count_complete(&mut self, request: &Request) {
         let us = self.now.since(request.arrived).as_micros() as u64;
         let us = us.clamp(1, MAX_LATENCY_US);
@@ -396,7 +405,8 @@
         }
     }
 
-    /// Counts a refusal and the time until it.
+    /// Counts a refusal by its reason, and the time until it; only if the request arrived
+    /// after the warm-up.
     pub(super) fn count_refusal(&mut self, request: &Request, reason: Reason) {
         if !self.is_measured(request) {
             return;
--- a/crates/fake/src/experiment/sim.rs
+++ b/crates/fake/src/experiment/sim.rs
@@ -15,7 +15,7 @@
 };
 use crate::queue::EventQueue;
 
-/// An event of a run.
+/// An event of a run: arrivals, calls and replies, connections, timers and faults.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A new request arrives.
@@ -82,7 +82,8 @@
 /// Interval between polls of the health and load endpoints.
 const HINT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state of a run.
+/// A run in progress: virtual time, pending events, entries, leafs, random generators and
+/// results.
 pub(super) struct Sim<'a> {
     pub(super) topology: &'a Topology,
     pub(super) condition: &'a Condition,
@@ -102,7 +103,8 @@
     pub(super) inverted_hints: bool,
 }
 
-/// Simulates one policy under one condition and returns its results.
+/// Simulates one policy under one condition for the span of the topology and returns the
+/// results; the same `seed` gives the same results.
 #[must_use]
 pub fn simulate(topology: &Topology, policy: &Policy, condition: &Condition, seed: u64) -> Outcome {
     let rng = |stream: u64| ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1000) + stream);
@@ -130,6 +132,7 @@
 }
 
 impl Sim<'_> {
+    /// Handles events until shortly after the end of the run, and schedules the faults.
     fn run(&mut self) {
         let end = Time::ZERO + self.topology.span;
         self.schedule(Duration::ZERO, Event::Arrive);
@@ -160,6 +163,7 @@
         self.events.push(at, event);
     }
 
+    /// Handles an event, or postpones it while its entry is frozen.
     fn handle(&mut self, event: Event) {
         if let Some(entry) = entry_of(&event)
             && let Some(until) = self.entries[entry].frozen_until
@@ -201,6 +205,8 @@
         }
     }
 
+    /// Passes the load of the leafs to the routing tables as hints, and schedules the
+    /// next update.
     fn update_hints(&mut self) {
         self.schedule(HINT_INTERVAL, Event::UpdateHints);
         for entry in &mut self.entries {
@@ -216,6 +222,7 @@
         }
     }
 
+    /// Returns the results, with the counters of entries and leafs added.
     fn finish(mut self) -> Outcome {
         for entry in &self.entries {
             let counts = entry.table.counts();
@@ -234,7 +241,8 @@
     }
 }
 
-/// Returns the entry that handles an event, if one does.
+/// Returns the entry whose process handles an event; `None` for events of callers, leafs
+/// and faults.
 fn entry_of(event: &Event) -> Option<usize> {
     match event {
         Event::ReplyArrives { job, .. } => Some(job.entry),
--- a/crates/fake/src/experiment/topology.rs
+++ b/crates/fake/src/experiment/topology.rs
@@ -49,7 +49,8 @@
 }
 
 impl Topology {
-    /// Returns the ladder service of Flipperhouse League Search.
+    /// Returns the ladder service of Flipperhouse League Search: short calls, complete answers
+    /// and no latency objective. The other deployments are based on it.
     #[must_use]
     pub fn ladder() -> Self {
         Self {
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Returns the archive-reader service of Hangin Pollen.
+    /// Returns the archive-reader service of Hangin Pollen: longer calls, and leafs with fewer
+    /// slots than those of [`Topology::ladder`].
     #[must_use]
     pub fn archive() -> Self {
         Self {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Returns a service with a wide fan-out.
+    /// Returns a service with a wide fan-out: [`Topology::ladder`] with more shards and leafs.
     #[must_use]
     pub fn wide() -> Self {
         Self {
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -26,7 +26,7 @@
 
 use crate::{Series, plot_lines};
 
-/// Configures a load run.
+/// Configures a load run: the caller, the rate and length of the load, and its requests.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
     /// Entry that is asked for the list of entries at first.
@@ -51,7 +51,7 @@
     pub operators: Vec<SocketAddr>,
 }
 
-/// Results of a load run.
+/// Results of a load run: counts by outcome, coverage and latencies.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
     /// Requests sent.
@@ -77,12 +77,12 @@
 
 /// Reported quantiles by name.
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p99.9", 0.999)];
-/// Upper limit of the histograms, in microseconds.
+/// Largest latency recorded, in microseconds; longer ones count as this.
 const MAX_US: u64 = 120_000_000;
 /// Time after its deadline at which a request counts as failed.
 const DEADLINE_GRACE: Duration = Duration::from_secs(2);
 
-/// Accumulates the outcomes of requests.
+/// Accumulates the outcomes of requests: the report, and histograms in microseconds.
 struct Tally {
     report: LoadReport,
     whole: Histogram<u64>,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Records the outcome of one request that took `span`.
+    /// Records the outcome of one request that took `span`: answer, refusal or failure.
     fn record(&mut self, reply: Result<chestnut_port::HttpReply, HttpError>, span: Duration) {
         self.report.sent += 1;
         let Ok(reply) = reply else {
@@ -134,6 +134,8 @@
         }
     }
 
+    /// Returns the report with its quantiles and mean coverage, and the latencies of
+    /// complete answers in microseconds.
     fn finish(mut self) -> (LoadReport, Histogram<u64>) {
         self.report.coverage = self.coverage_sum / self.answers.max(1) as f64;
         for (name, quantile) in QUANTILES {
@@ -145,7 +147,7 @@
     }
 }
 
-/// Client state of a caller: its cached list of entries.
+/// Client state of a caller: its cached list of entries and when it expires.
 struct Caller {
     client: HttpClient,
     seed_entry: SocketAddr,
@@ -164,6 +166,7 @@
     }
 
     /// Fetches the list from the first entry that answers: those known, then `seed_entry`.
+    /// Keeps the old list if none does.
     async fn refresh(&mut self) {
         let path = match &self.domain {
             Some(domain) => format!("/v1/entries?domain={domain}"),
@@ -194,7 +197,8 @@
     }
 }
 
-/// Reads the counters of extra calls and of shards asked, summed over the entries.
+/// Returns the extra calls and the shards asked, summed over the entries' metrics;
+/// skips entries that don't answer.
 async fn call_counts(client: &HttpClient, operators: &[SocketAddr]) -> (f64, f64) {
     let timeout = Duration::from_secs(2);
     let (mut extra, mut shards) = (0.0, 0.0);
@@ -276,6 +280,7 @@
     Ok(report)
 }
 
+/// Builds the JSON body of a query with a random call type.
 fn query_body(config: &LoadConfig, rng: &mut ChaCha8Rng) -> Bytes {
     let call = &config.call_types[rng.next_u64() as usize % config.call_types.len()];
     let body = json!({
@@ -288,6 +293,8 @@
     Bytes::from(body.to_string())
 }
 
+/// Plots the latency of complete answers by quantile as SVG; fails if the file can't
+/// be written.
 fn plot_latency(path: &Path, whole: &Histogram<u64>) -> Result<(), String> {
     let point = |permille: u32| {
         let share = f64::from(permille) / 1000.0;
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -166,6 +166,7 @@
     plot: Option<PathBuf>,
 }
 
+/// Parses a duration for clap.
 fn span(text: &str) -> Result<Duration, String> {
     parse_duration(text).map_err(|e| e.to_string())
 }
@@ -181,8 +182,10 @@
     }
 }
 
+/// Any error; its text is printed before the process exits.
 type BoxError = Box<dyn std::error::Error>;
 
+/// Runs a subcommand.
 async fn run(command: Command) -> Result<(), BoxError> {
     match command {
         Command::Demo { folder, log } => demo(&folder, log).await,
@@ -200,6 +203,7 @@
     }
 }
 
+/// Runs the demo until Ctrl-C and prints its addresses and commands to try.
 async fn demo(folder: &std::path::Path, log: bool) -> Result<(), BoxError> {
     let demo = Demo::spawn(folder, &logger(log)).await?;
     demo.ready().await;
@@ -227,7 +231,8 @@
     Ok(())
 }
 
-/// Returns an organisation, a service and a call that it may query there.
+/// Returns an organisation, a service and a query call that it may send there; `None`
+/// if the folder is unreadable or the first organisation has no such call.
 fn sample_query(folder: &std::path::Path) -> Option<(String, String, String)> {
     let objects = read_objects(folder).ok()?;
     let spec_of = |kind: chestnut_conf::ObjectKind, name: &str| {
@@ -250,6 +255,7 @@
     Some((org, service.to_owned(), call.clone()))
 }
 
+/// Runs the simulated platform of a deployment until Ctrl-C.
 async fn platform(folder: &std::path::Path) -> Result<(), BoxError> {
     let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
     let server = PlatformServer::bind_deployment(&spec).await?;
@@ -261,6 +267,7 @@
     Ok(())
 }
 
+/// Runs the simulated leafs whose names start with `only` until Ctrl-C.
 async fn targets(folder: &std::path::Path, only: &str) -> Result<(), BoxError> {
     let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
     let mut servers = Vec::new();
@@ -274,6 +281,7 @@
     Ok(())
 }
 
+/// Writes the settings of each entry to a file in `out`, and prints the paths.
 fn settings(folder: &std::path::Path, out: &std::path::Path) -> Result<(), BoxError> {
     let spec = DeploymentSpec::open(&folder.join("world.toml"))?;
     std::fs::create_dir_all(out)?;
@@ -285,7 +293,8 @@
     Ok(())
 }
 
-/// Prints the bound of each span in the file.
+/// Prints the bound of each span in the file as a table; fails if the file is not a valid
+/// flow model.
 fn print_bounds(file: &std::path::Path) -> Result<(), BoxError> {
     let rows = FlowModel::open(file)?.bounds();
     println!("| span | bound |");
@@ -294,6 +303,7 @@
     Ok(())
 }
 
+/// Prints the comparison of call limits as a table, and plots it if `plot` is given.
 fn compare_limits(seeds: u64, plot: Option<&std::path::Path>) -> Result<(), BoxError> {
     let rows = run_capacity(&Topology::search(), seeds);
     println!(
@@ -317,6 +327,8 @@
     Ok(())
 }
 
+/// Runs the selected policies and conditions and prints the table. Fails on an unknown
+/// deployment.
 fn experiment(args: &ExperimentArgs) -> Result<(), BoxError> {
     let mut topology = match args.shape.as_str() {
         "ladder" => Topology::ladder(),
@@ -339,6 +351,7 @@
     Ok(())
 }
 
+/// Sends the load and prints its report as JSON.
 async fn send_load(args: LoadArgs) -> Result<(), BoxError> {
     let config = LoadConfig {
         seed_entry: args.entry,
@@ -357,6 +370,8 @@
     Ok(())
 }
 
+/// Returns a logger to standard error from the level `info`, or one that discards all
+/// records if it is not enabled.
 fn logger(enabled: bool) -> Logger {
     if !enabled {
         return chestnut_fake::demo::discard_logger();
--- a/crates/fake/src/membership.rs
+++ b/crates/fake/src/membership.rs
@@ -15,7 +15,7 @@
 
 use crate::queue::EventQueue;
 
-/// Parameters of one run.
+/// Parameters of one run: number of members, packet loss, fault and seed.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipConfig {
     /// Number of members.
@@ -30,7 +30,7 @@
     pub seed: u64,
 }
 
-/// Results of one run.
+/// Results of one run: traffic, detection of the crash, false removals, computation time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MembershipReport {
     /// Datagrams sent per member and second.
@@ -51,9 +51,9 @@
 
 /// Size of the IP and UDP headers of a datagram, in bytes.
 const HEADER_BYTES: usize = 28;
-/// Duration of a run.
+/// Duration of a run in virtual time.
 const RUN_DURATION: Duration = Duration::from_secs(60);
-/// When the crash or the freeze starts.
+/// Virtual time from the start of a run to the crash or the freeze.
 const FAULT_START: Duration = Duration::from_secs(20);
 /// How long a frozen member is suspended.
 const FREEZE_DURATION: Duration = Duration::from_secs(5);
@@ -68,7 +68,7 @@
     Deliver(usize, SocketAddr, Box<Message>),
 }
 
-/// The members, the network between them, and what has been counted.
+/// The simulated members, their pending events, and the counts of a run.
 struct Network {
     config: MembershipConfig,
     detectors: Vec<Swim>,
@@ -87,6 +87,7 @@
 /// The member that crashes or freezes.
 const FAULTY_MEMBER: usize = 1;
 
+/// Returns a member with the address and failure domain of its number.
 fn member(number: usize) -> Member {
     let at =
         |base: u16| SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], base));
@@ -100,7 +101,7 @@
     Member::starting(id, domain, addresses, Incarnation(1_800_000_000_000))
 }
 
-/// Simulates members over a lossy network.
+/// Simulates members over a lossy network for one run and returns its results.
 #[must_use]
 pub fn simulate(config: MembershipConfig) -> MembershipReport {
     let members: Vec<Member> = (0..config.members).map(member).collect();
@@ -142,7 +143,7 @@
 }
 
 impl Network {
-    /// Returns until when a member is stopped, `Time::MAX` after a crash.
+    /// Returns until when a member is stopped, `Time::MAX` after a crash; `None` if it runs.
     fn stopped_until(&self, number: usize, now: Time) -> Option<Time> {
         let fault = Time::ZERO + FAULT_START;
         if number != FAULTY_MEMBER || now < fault {
@@ -155,6 +156,8 @@
         (self.config.freeze && now < until).then_some(until)
     }
 
+    /// Handles events until the end of the run. Events at a frozen member are postponed,
+    /// those at a crashed one are dropped.
     fn run(&mut self) {
         while let Some((now, event)) = self.events.pop() {
             if now >= Time::ZERO + RUN_DURATION {
@@ -173,6 +176,7 @@
         }
     }
 
+    /// Passes an event to a member's detector, records the changes and sends the messages.
     fn handle(&mut self, number: usize, event: Event, now: Time) {
         let mut out = Vec::new();
         let status = Status::default();
@@ -196,7 +200,8 @@
         }
     }
 
-    /// Counts a membership change that a member has observed.
+    /// Counts a removal that a member has observed, right or false, or the return of a
+    /// removed member.
     fn record_change(&mut self, number: usize, id: MemberId, change: Change, now: Time) {
         let is_faulty = self.config.crash && id == self.detectors[FAULTY_MEMBER].view.own().id;
         match change {
@@ -237,7 +242,7 @@
     }
 }
 
-/// Prints a table of runs for each number of members.
+/// Runs each number of members under each condition and prints a table of the results.
 pub fn run_table(members: &[usize], seed: u64) {
     println!(
         "| members | condition | messages/s | bytes/s | largest | death known s | false deaths | \
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -31,7 +31,7 @@
 /// Maximum wait of a watch.
 const WATCH_MAX: Duration = Duration::from_secs(60);
 
-/// State shared by all connections.
+/// Store, wake-up for watches and clock, shared by all connections.
 struct Inner {
     store: Mutex<Store>,
     changed: Notify,
@@ -51,6 +51,7 @@
     }
 }
 
+/// HTTP response with a JSON body.
 type Reply = Response<Full<Bytes>>;
 
 impl PlatformServer {
@@ -109,6 +110,7 @@
     }
 }
 
+/// Accepts connections without end and serves each in a task of its own.
 async fn accept(listener: TcpListener, inner: Arc<Inner>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -129,6 +131,8 @@
     }
 }
 
+/// Routes a request: `/control/...` at once; reads, writes and watches after the
+/// injected delay. 404 for other paths, 400 if the body can't be read.
 async fn handle(inner: &Inner, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
@@ -168,6 +172,7 @@
     }
 }
 
+/// Returns the key of an object; `None` if there is no such kind.
 fn object_key(kind: &str, name: &str) -> Option<ObjectKey> {
     Some(ObjectKey {
         kind: kind.parse().ok()?,
@@ -175,7 +180,8 @@
     })
 }
 
-/// Writes an object if its version is `if_version`.
+/// Writes an object if its version is `if_version` (0 or not given: absent) and wakes the
+/// watches. Answers the new version, 400 if the body is not JSON, or as [`answer`].
 fn put(inner: &Inner, key: ObjectKey, query: &str, body: &[u8]) -> Reply {
     let Ok(value) = serde_json::from_slice(body) else {
         return reply(StatusCode::BAD_REQUEST, &json!({ "error": "not JSON" }));
@@ -186,7 +192,8 @@
     answer(written.map(|version| json!({ "version": version })))
 }
 
-/// Waits up to `wait_ms` for a revision after `after` (long polling).
+/// Answers the changes after revision `after`, at the latest after `wait_ms` (at most
+/// [`WATCH_MAX`]), then without objects (long polling).
 async fn watch(inner: &Inner, kind: ObjectKind, query: &str) -> Reply {
     let after = param(query, "after").unwrap_or(0);
     let wait = Duration::from_millis(param(query, "wait_ms").unwrap_or(0)).min(WATCH_MAX);
@@ -204,7 +211,8 @@
     }
 }
 
-/// Serves the endpoints for fault injection and inspection.
+/// Serves the control endpoints, not subject to faults: read or replace the VMs, set the
+/// fault, read the call counts. 400 for an invalid body, 404 for other paths.
 fn control(inner: &Inner, method: &Method, parts: &[&str], body: &[u8]) -> Reply {
     let invalid =
         |e: serde_json::Error| reply(StatusCode::BAD_REQUEST, &json!({ "error": e.to_string() }));
@@ -231,7 +239,7 @@
     }
 }
 
-/// Parses a numeric parameter of the query string.
+/// Returns a numeric parameter of the query string; `None` if missing or not a number.
 fn param(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
@@ -240,7 +248,8 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// Maps a result of the store to an HTTP response.
+/// Maps a result of the store to a response: 200 with the value, 409 with the current
+/// version for a conflict, 503 with the message for any other error.
 fn answer<T: Serialize>(result: Result<T, PlatformError>) -> Reply {
     match result {
         Ok(value) => reply(StatusCode::OK, &value),
@@ -262,10 +271,12 @@
     }
 }
 
+/// Builds a 404 response.
 fn not_found() -> Reply {
     reply(StatusCode::NOT_FOUND, &json!({ "error": "not found" }))
 }
 
+/// Builds a response with `body` as JSON.
 fn reply<T: Serialize>(status: StatusCode, body: &T) -> Reply {
     let text = serde_json::to_vec(body).expect("plain JSON");
     let mut reply = Response::new(Full::new(Bytes::from(text)));
--- a/crates/fake/src/plot.rs
+++ b/crates/fake/src/plot.rs
@@ -15,9 +15,10 @@
     pub points: Vec<(f64, f64)>,
 }
 
+/// Width and height of a plot, in pixels.
 const SIZE_PX: (u32, u32) = (900, 540);
 
-/// Writes a line plot as SVG, which needs no installed fonts.
+/// Writes a line plot as SVG, which needs no installed fonts; `axes` labels x and y.
 ///
 /// # Errors
 ///
--- a/crates/fake/src/queue.rs
+++ b/crates/fake/src/queue.rs
@@ -7,6 +7,7 @@
 
 use chestnut_unit::Time;
 
+/// An event with its virtual time and insertion number, ordered by these two.
 struct Scheduled<E> {
     at: Time,
     seq: u64,
@@ -57,7 +58,7 @@
         self.heap.push(Reverse(Scheduled { at, seq, event }));
     }
 
-    /// Removes and returns the earliest event and its time.
+    /// Removes and returns the earliest event and its time; `None` if the queue is empty.
     pub(crate) fn pop(&mut self) -> Option<(Time, E)> {
         let Reverse(item) = self.heap.pop()?;
         Some((item.at, item.event))
--- a/crates/fake/src/stall.rs
+++ b/crates/fake/src/stall.rs
@@ -26,12 +26,13 @@
         self.0.store(true, Ordering::Relaxed);
     }
 
+    /// Returns whether [`Stall::activate`] was called.
     fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// TCP stream that stops when its [`Stall`] is set.
+/// TCP stream that becomes unresponsive when its [`Stall`] is activated.
 pub(crate) struct StallableStream {
     pub(crate) stream: TcpStream,
     pub(crate) stall: Stall,
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -23,7 +23,7 @@
     pub lag_ms: u64,
 }
 
-/// Counts calls since the start.
+/// Counts calls to the platform since its start, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Reads of one object.
@@ -58,7 +58,7 @@
 }
 
 impl Store {
-    /// Returns the latest revision.
+    /// Returns the number of the latest revision: the count of writes to all objects.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.history.len() as u64
@@ -106,7 +106,8 @@
         });
     }
 
-    /// Returns the latest version of an object, ignoring faults.
+    /// Returns the latest version of an object, ignoring faults; `None` if it was never
+    /// written.
     #[must_use]
     pub fn get_unfaulted(&self, key: &ObjectKey) -> Option<Object> {
         self.latest(key, self.revision()).cloned()
@@ -118,7 +119,8 @@
         self.latest_all(kind, self.revision())
     }
 
-    /// Returns one object, or `None` if it does not exist.
+    /// Counts the read and returns one object as of the visible revision; `None` if it
+    /// does not exist there.
     ///
     /// # Errors
     ///
@@ -129,7 +131,7 @@
         Ok(self.latest(key, self.visible_revision()).cloned())
     }
 
-    /// Returns all objects of a kind.
+    /// Counts the read and returns all objects of a kind as of the visible revision.
     ///
     /// # Errors
     ///
@@ -144,7 +146,8 @@
         })
     }
 
-    /// Returns the changes of a kind after `revision`, without waiting.
+    /// Returns the changes of a kind after `revision` up to the visible one, without
+    /// waiting; empty if there are none.
     ///
     /// # Errors
     ///
@@ -164,12 +167,13 @@
         })
     }
 
-    /// Replaces the list of VMs.
+    /// Replaces the list of VMs as of `now`; reads with a lag still see earlier lists.
     pub fn set_vms(&mut self, vms: Vec<Vm>, now: Time) {
         self.vms.push((now, vms));
     }
 
-    /// Returns the list of VMs as of `lag_ms` ago.
+    /// Counts the read and returns the list of VMs as of `lag_ms` before `now`; the first
+    /// list if none is that old.
     ///
     /// # Errors
     ///
@@ -195,6 +199,7 @@
             .unwrap_or_default()
     }
 
+    /// Fails with `Unavailable` if the platform is down.
     fn check_up(&self) -> Result<(), PlatformError> {
         if self.fault.down {
             return Err(PlatformError::Unavailable);
@@ -202,7 +207,7 @@
         Ok(())
     }
 
-    /// Returns the latest revision that reads can see.
+    /// Returns the latest revision that reads can see: `stale` before the latest, at least 0.
     fn visible_revision(&self) -> u64 {
         self.revision().saturating_sub(self.fault.stale)
     }
@@ -218,7 +223,7 @@
         latest.into_values().cloned().collect()
     }
 
-    /// Returns an object as of `revision`.
+    /// Returns an object as of `revision`; `None` if it did not exist then.
     fn latest(&self, key: &ObjectKey, revision: u64) -> Option<&Object> {
         self.history[..revision as usize]
             .iter()
--- a/crates/fake/src/target/calls.rs
+++ b/crates/fake/src/target/calls.rs
@@ -12,6 +12,8 @@
 
 use super::{Inner, LEAVE_GRACE, Reply};
 
+/// Routes a request: `/query`, `/submit` and `/state`; under `/control/` the counters,
+/// the configuration and the silencing of connections. 404 for other paths.
 pub(super) async fn handle(inner: &Inner, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
@@ -45,6 +47,7 @@
     }
 }
 
+/// Body of a query call: index version, shards, and deadline in milliseconds.
 #[derive(Deserialize)]
 struct QueryCall {
     version: IndexVersion,
@@ -52,7 +55,8 @@
     deadline_ms: u64,
 }
 
-/// Runs a query call and returns one row per shard.
+/// Runs a query call in a slot and returns one row per shard. Refuses it if the leaf is
+/// closed, has no free slot in time, or lacks a shard; 400 if the body is invalid.
 async fn query(inner: &Inner, body: &[u8]) -> Reply {
     let Ok(call) = serde_json::from_slice::<QueryCall>(body) else {
         return reply(
@@ -96,6 +100,7 @@
     shards.is_some_and(|held| call.shards.iter().all(|shard| held.contains(shard)))
 }
 
+/// Body of a submit call: deadline in milliseconds, and the submission as raw JSON.
 #[derive(Deserialize)]
 struct SubmitCall<'a> {
     deadline_ms: u64,
@@ -103,12 +108,14 @@
     body: &'a RawValue,
 }
 
+/// The identifier in a submission.
 #[derive(Deserialize)]
 struct Identified {
     id: String,
 }
 
-/// Applies a submission and counts it by its `id`.
+/// Applies a submission in a slot and counts it by its `id`, or by its whole text without
+/// one. Refuses it if closed or without a free slot; no answer with `lose_answers`.
 async fn submit(inner: &Inner, body: &[u8]) -> Reply {
     let Ok(call) = serde_json::from_slice::<SubmitCall<'_>>(body) else {
         return reply(
@@ -176,7 +183,8 @@
     }
 }
 
-/// Counts a call that came after [`LEAVE_GRACE`] had passed.
+/// Counts a call as late if it came more than [`LEAVE_GRACE`] after the leaf began to
+/// drain or closed.
 fn count_late_call(inner: &Inner) {
     let left_at = *lock(&inner.left_at);
     if left_at.is_some_and(|at| at.elapsed() > LEAVE_GRACE) {
@@ -199,13 +207,14 @@
     reply(StatusCode::OK, &body)
 }
 
-/// Refuses a call that has not been run.
+/// Counts a refusal and answers 503: the call was not run, for `reason`.
 fn refuse(inner: &Inner, reason: &str) -> Reply {
     lock(&inner.counters).refused += 1;
     let body = json!({ "not_run": true, "refused": reason });
     reply(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
+/// Builds a response with `body` as JSON.
 fn reply<T: Serialize>(status: StatusCode, body: &T) -> Reply {
     let text = serde_json::to_vec(body).expect("plain JSON");
     let mut reply = Response::new(Full::new(Bytes::from(text)));
--- a/crates/fake/src/target/mod.rs
+++ b/crates/fake/src/target/mod.rs
@@ -66,6 +66,8 @@
 }
 
 impl Default for TargetConfig {
+    /// A median service time of 1 ms, a queue of 64 calls, up to 40 connections, no faults
+    /// and no shards.
     fn default() -> Self {
         Self {
             median_ms: 1.0,
@@ -103,7 +105,8 @@
     pub late_calls: u64,
 }
 
-/// State shared by all connections.
+/// A leaf's configuration, slots and counters, and the switches that make its connections
+/// unresponsive; shared by all connections.
 struct Inner {
     id: LeafId,
     config: watch::Sender<TargetConfig>,
@@ -137,6 +140,7 @@
     }
 }
 
+/// HTTP response with a JSON body.
 type Reply = Response<Full<Bytes>>;
 
 impl TargetServer {
@@ -196,7 +200,8 @@
         self.address
     }
 
-    /// Changes the configuration.
+    /// Changes the configuration of the running leaf, and notes when it begins to drain or
+    /// closes.
     pub fn configure(&self, change: impl FnOnce(&mut TargetConfig)) {
         self.inner.configure(change);
     }
@@ -221,6 +226,7 @@
 }
 
 impl Inner {
+    /// Changes the configuration, and notes when the leaf begins to drain or closes.
     fn configure(&self, change: impl FnOnce(&mut TargetConfig)) {
         self.config.send_modify(change);
         let config = self.config.borrow();
@@ -232,14 +238,16 @@
         }
     }
 
-    /// Returns a new generator, seeded by the leaf and a counter.
+    /// Returns a new generator, seeded by the name of the leaf and the number of generators
+    /// made before.
     fn rng(&self) -> ChaCha8Rng {
         let mut seed = fnv1a(self.id.as_str());
         seed ^= self.rng_count.fetch_add(1, Ordering::Relaxed);
         ChaCha8Rng::seed_from_u64(seed)
     }
 
-    /// Draws the service time of one call.
+    /// Draws the service time of one call: log-normal, with the slowdown and stragglers
+    /// of the configuration.
     fn service_time(&self) -> Duration {
         let config = self.config.borrow();
         let mut rng = self.rng();
@@ -269,6 +277,8 @@
     radius * (std::f64::consts::TAU * uniform(rng)).cos()
 }
 
+/// Accepts connections without end, serves each in a task of its own until `close` changes,
+/// and drops those above the limit at once.
 async fn accept(listener: TcpListener, inner: Arc<Inner>, close: Arc<watch::Sender<()>>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -296,6 +306,8 @@
     }
 }
 
+/// Serves the calls on a connection after the time to open it, and registers its
+/// [`Stall`].
 async fn serve(stream: TcpStream, inner: Arc<Inner>) {
     let open = inner.config.borrow().open_ms;
     sleep(Duration::from_millis(open)).await;
