--- a/crates/scene/src/command.rs
+++ b/crates/scene/src/command.rs
@@ -26,6 +26,8 @@
 }
 
 impl Default for Setup {
+    /// Three entries, four shards with three replicas each, groups of three leafs, 40
+    /// connections per leaf with four for each entry, and two hours without confirmation.
     fn default() -> Self {
         Self {
             entries: 3,
@@ -39,7 +41,7 @@
     }
 }
 
-/// Fault of the platform, or its end.
+/// Fault of the platform (outage, delay, lost answers, stale reads), or the end of all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformChange {
     /// Every call fails.
@@ -56,7 +58,7 @@
     Lag(Duration),
 }
 
-/// Fault of a leaf, or its end.
+/// Fault of a leaf, or `Revive`, which ends most of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeafFault {
     /// The leaf crashes.
@@ -83,7 +85,7 @@
     WrongVersion,
 }
 
-/// Expected outcome of a query.
+/// Expected outcome of a query: complete, partial, refused or any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expected {
     /// An answer from all shards.
@@ -96,7 +98,7 @@
     Any,
 }
 
-/// A command of a scenario.
+/// A command of a scenario: an action, a fault, a request or an expectation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Sleep until this time since the start of the scenario.
@@ -192,7 +194,7 @@
     Members(usize, usize),
 }
 
-/// A parsed scenario.
+/// A parsed scenario: its deployment and its commands in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario {
     /// Deployment that it runs on.
@@ -241,6 +243,8 @@
     }
 }
 
+/// Parses the settings of a `world` line, such as `entries=5` or `unconfirmed=1h`;
+/// those not given have the values of [`Setup::default`].
 fn parse_setup(words: &mut Words) -> Result<Setup, String> {
     let default = Setup::default();
     Ok(Setup {
@@ -254,6 +258,7 @@
     })
 }
 
+/// Parses a command by its first word. Fails on an unknown one or invalid arguments.
 fn parse_command(words: &mut Words) -> Result<Command, String> {
     let verb = words.next("a command")?;
     Ok(match verb.as_str() {
@@ -282,6 +287,7 @@
     })
 }
 
+/// Parses the arguments of `cut` or `heal`: an entry, then another or `platform`.
 fn parse_link(verb: &str, words: &mut Words) -> Result<Command, String> {
     let entry = words.parse("an entry")?;
     let cut = verb == "cut";
@@ -300,6 +306,7 @@
     })
 }
 
+/// Parses a fault of the platform and its argument, or `up`, which ends all faults.
 fn parse_platform(words: &mut Words) -> Result<PlatformChange, String> {
     let what = words.next("a change")?;
     Ok(match what.as_str() {
@@ -313,6 +320,7 @@
     })
 }
 
+/// Parses a fault of a leaf and its argument, or `revive`.
 fn parse_leaf(words: &mut Words) -> Result<LeafFault, String> {
     let what = words.next("a change")?;
     Ok(match what.as_str() {
@@ -330,6 +338,8 @@
     })
 }
 
+/// Parses an `edit`; by default it sets 100 requests per second, requires no
+/// version and must be accepted.
 fn parse_edit(words: &mut Words) -> Result<Command, String> {
     let entry = words.parse("an entry")?;
     let rate = words.pair_or("rate", 100)?;
@@ -350,6 +360,8 @@
     })
 }
 
+/// Parses `expect OUTCOME`, with an optional `reason=` after `refused`; a complete
+/// answer is expected if it is absent.
 fn parse_outcome(words: &mut Words) -> Result<Expected, String> {
     if !words.take("expect") {
         return Ok(Expected::Complete);
@@ -364,6 +376,7 @@
     })
 }
 
+/// Parses a `query`; by default one query of the call type `finals`.
 fn parse_query(words: &mut Words) -> Result<Command, String> {
     Ok(Command::Query {
         entry: words.parse("an entry")?,
@@ -373,6 +386,8 @@
     })
 }
 
+/// Parses a `load`; by default a query every 10 ms for one second. Fails without
+/// `entries=`.
 fn parse_load(words: &mut Words) -> Result<Command, String> {
     let list = words.pair("entries").ok_or("entries= is missing")?;
     let entries: Result<Vec<usize>, _> = list.split(',').map(str::parse).collect();
@@ -384,6 +399,8 @@
     })
 }
 
+/// Parses a `submit`; the identifier defaults to the name of the ticket, and any
+/// outcome is accepted without `expect`. `later` runs it in the background.
 fn parse_submit(words: &mut Words) -> Result<Command, String> {
     let ticket = words.next("a ticket")?;
     let entry = words.parse("an entry")?;
@@ -403,6 +420,7 @@
     })
 }
 
+/// Parses an expectation: `applied`, `version`, `converged`, `recorded` or `members`.
 fn parse_expect(words: &mut Words) -> Result<Command, String> {
     let what = words.next("what is expected")?;
     Ok(match what.as_str() {
--- a/crates/scene/src/invariants.rs
+++ b/crates/scene/src/invariants.rs
@@ -6,7 +6,8 @@
 use chestnut_unit::Execution;
 use serde_json::Value;
 
-/// Outcome of a query as its caller sees it.
+/// Outcome of a query as its caller sees it: an answer, complete or partial, or a
+/// refusal.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     /// The query was answered.
@@ -15,7 +16,8 @@
     Refused(Box<Refusal>),
 }
 
-/// Violations of invariants, and what they are checked against.
+/// Violations of invariants, counts of the checked outcomes, and the queries,
+/// receipts and versions seen so far, which later checks need.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
     /// Descriptions of the violations found so far.
@@ -33,7 +35,8 @@
 }
 
 impl CheckReport {
-    /// Checks the outcome of query `number`.
+    /// Counts and checks the outcome of query `number`: the rows and coverage of an
+    /// answer, the receipt of a refusal. Violations are added to the report.
     pub(crate) fn check(&mut self, number: u64, reply: &Reply) {
         match reply {
             Reply::Answer(answer) => {
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -64,7 +64,7 @@
 }
 
 impl Leaf {
-    /// Counts a call if the leaf should no longer receive any.
+    /// Counts a call as late if the leaf began to leave more than [`LEAVE_GRACE`] ago.
     fn count_late_call(&mut self) {
         if self
             .leaving_since
@@ -91,7 +91,9 @@
 }
 
 impl FakeTargets {
-    /// Delivers a call to a leaf and waits for its service time.
+    /// Waits for the network delay and the service time of a call, and for the end of a
+    /// freeze; counts a late call. Fails with `ConnectionSilent` after [`PING_TIMEOUT`] if
+    /// connections are silent, `NotSent` if the leaf is down, `Lost` if it crashes meanwhile.
     async fn deliver(&self, id: &LeafId) -> Result<(), Failure> {
         self.gate.wait_running().await;
         let silent = self.with(id, |leaf| match leaf.silent_since {
@@ -122,7 +124,7 @@
         Ok(())
     }
 
-    /// Applies `act` to a leaf; `None` if it is unknown.
+    /// Applies `act` to a leaf under the lock; `None` if it is unknown.
     fn with<T>(&self, id: &LeafId, act: impl FnOnce(&mut Leaf) -> T) -> Option<T> {
         lock(&self.leafs).get_mut(id).map(act)
     }
@@ -223,14 +225,15 @@
     held.is_some_and(|held| call.shards.iter().all(|shard| held.contains(shard)))
 }
 
-/// Returns the number that identifies a query, from its body.
+/// Returns the number that identifies a query, from its body; 0 if it has none.
 fn number_of(body: &[u8]) -> u64 {
     let body: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     body["number"].as_u64().unwrap_or(0)
 }
 
-/// Builds the answer to a query call. Each row names shard, version and query
-/// number, so that rows of another snapshot or query show in a merged answer.
+/// Builds the answer to a query call, one row for each shard, or two with the fault
+/// `repeat`. Each row names shard, version and query number, so that rows of another
+/// snapshot or query show in a merged answer.
 fn answer_of(leaf: &Leaf, call: &LeafQuery, number: u64) -> LeafAnswer {
     let version = IndexVersion(call.version.0 + u64::from(leaf.wrong_version));
     let part = |shard: &ShardName| {
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -1,4 +1,4 @@
-//! Simulated [`Peers`] and [`Probes`] ports: links between entries that can be
+//! Simulated [`Peers`] and [`ProbeTransport`] ports: links between entries that can be
 //! cut, and processes that can be suspended or killed.
 
 use std::{
@@ -30,7 +30,7 @@
 /// Timeout of calls that have no deadline of their own.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// State of an entry's process.
+/// State of an entry's process: running, suspended or killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// It executes.
@@ -70,7 +70,7 @@
     }
 }
 
-/// A process that peers can call.
+/// Process of an entry that peers can call: its gate, call handler and datagram inbox.
 #[derive(Clone)]
 pub(crate) struct Process {
     /// Number of the entry.
@@ -83,7 +83,7 @@
     pub(crate) inbox: mpsc::Sender<(Message, SocketAddr)>,
 }
 
-/// Network between the entries.
+/// Network between the entries: their processes by address, and the pairs cut off.
 #[derive(Default)]
 pub(crate) struct Links {
     /// Processes by the address that peers call.
@@ -93,7 +93,8 @@
 }
 
 impl Links {
-    /// Returns the process at an address, if `from` can reach it.
+    /// Returns the process at an address; `None` if there is none, or the link from
+    /// entry `from` to it is cut.
     fn find(&self, from: usize, to: SocketAddr) -> Option<Process> {
         let process = lock(&self.processes).get(&to).cloned()?;
         (!self.is_cut(from, process.number)).then_some(process)
@@ -116,8 +117,8 @@
 }
 
 impl FakePeers {
-    /// Calls a peer, with the timeout `wait`. An answer is lost if the link is
-    /// cut when it arrives.
+    /// Calls a peer. Fails with `NotSent` if it is unreachable at the start, and with `Lost`
+    /// after the timeout `wait` or if the link is cut when the answer arrives.
     async fn call<T>(
         &self,
         to: SocketAddr,
@@ -236,7 +237,7 @@
     }
 }
 
-/// Simulated [`Probes`] port of one incarnation of an entry: datagrams of the
+/// Simulated [`ProbeTransport`] port of one incarnation of an entry: datagrams of the
 /// failure detector.
 pub(crate) struct FakeProbes {
     /// Network between the entries.
--- a/crates/scene/src/parse.rs
+++ b/crates/scene/src/parse.rs
@@ -13,7 +13,7 @@
     sequence::{preceded, separated_pair, terminated},
 };
 
-/// A word of a line: `text` or `key=value`.
+/// A word of a line: `text`, or a key and its value in `key=value`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Word {
     Bare(String),
@@ -28,10 +28,12 @@
     next: usize,
 }
 
+/// Matches a run of characters other than whitespace, `=` and `#`.
 fn text(input: &str) -> IResult<&str, &str> {
     take_while1(|c: char| !c.is_whitespace() && c != '=' && c != '#').parse(input)
 }
 
+/// Matches `key=value` or a bare word.
 fn word(input: &str) -> IResult<&str, Word> {
     let pair = separated_pair(text, tag("="), text);
     alt((
@@ -43,13 +45,15 @@
     .parse(input)
 }
 
+/// Matches a whole line: words separated by spaces, then an optional comment.
 fn line(input: &str) -> IResult<&str, Vec<Word>> {
     let comment = opt(preceded(tag("#"), rest));
     let words = separated_list0(space1, word);
     all_consuming(terminated(preceded(space0, words), (space0, comment))).parse(input)
 }
 
-/// Splits a line into words. A `#` starts a comment.
+/// Splits a line into words; a `#` starts a comment, and the last value of a
+/// repeated key counts. Fails on a syntax error.
 pub(crate) fn words(input: &str) -> Result<Words, String> {
     let (_, list) = line(input).map_err(|e| format!("syntax error: {e}"))?;
     let mut words = Words::default();
@@ -70,20 +74,21 @@
         self.bare.is_empty() && self.pairs.is_empty()
     }
 
-    /// Reads the next bare word; `what` names it in errors.
+    /// Reads the next bare word. Fails if there is none; `what` names it in the error.
     pub(crate) fn next(&mut self, what: &str) -> Result<String, String> {
         let word = self.bare.get(self.next).cloned();
         self.next += 1;
         word.ok_or_else(|| format!("{what} is missing"))
     }
 
-    /// Reads and parses the next bare word.
+    /// Reads and parses the next bare word. Fails if it is missing or not a valid `T`;
+    /// `what` names it in the error.
     pub(crate) fn parse<T: FromStr>(&mut self, what: &str) -> Result<T, String> {
         let word = self.next(what)?;
         word.parse().map_err(|_| format!("{word:?} is not {what}"))
     }
 
-    /// Reads the next bare word as a duration.
+    /// Reads the next bare word as a duration, such as `5s`. Fails if it is missing or invalid.
     pub(crate) fn span(&mut self, what: &str) -> Result<Duration, String> {
         parse_duration(&self.next(what)?).map_err(|e| e.to_string())
     }
@@ -100,7 +105,8 @@
         self.pairs.remove(key)
     }
 
-    /// Removes and parses the value of a key; `default` if it is not given.
+    /// Removes and parses the value of a key; `default` if it is not given. Fails if
+    /// the value is invalid.
     pub(crate) fn pair_or<T: FromStr>(&mut self, key: &str, default: T) -> Result<T, String> {
         match self.pair(key) {
             None => Ok(default),
@@ -110,8 +116,8 @@
         }
     }
 
-    /// Removes the value of a key and parses it as a duration; `unset` if it
-    /// is not given.
+    /// Removes the value of a key and parses it as a duration; `unset` if it is not
+    /// given. Fails if the value is invalid.
     pub(crate) fn span_or(&mut self, key: &str, unset: Duration) -> Result<Duration, String> {
         self.pair(key)
             .map_or(Ok(unset), |v| parse_duration(&v).map_err(|e| e.to_string()))
--- a/crates/scene/src/platform.rs
+++ b/crates/scene/src/platform.rs
@@ -23,7 +23,8 @@
 /// Timeout of an entry's calls to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// State of the platform, shared by all entries.
+/// The platform that all entries share: its store and faults, a wake-up for watches,
+/// and the entries that are cut off from it.
 pub(crate) struct Shared {
     /// Stored objects and VMs, and the faults of the platform.
     pub(crate) store: Mutex<Store>,
@@ -46,8 +47,8 @@
 }
 
 impl FakePlatform {
-    /// Waits for the duration of a call; fails if it times out or the network
-    /// to the platform is cut.
+    /// Waits for the duration of a call. Fails with `Unavailable` after [`CALL_TIMEOUT`] if
+    /// the platform is too slow, or if the network to it is cut at the end.
     async fn round_trip(&self) -> Result<(), PlatformError> {
         self.gate.wait_running().await;
         let slow = lock(&self.shared.store).fault.slow_ms;
--- a/crates/scene/src/run.rs
+++ b/crates/scene/src/run.rs
@@ -24,7 +24,8 @@
 /// Interval between checks of an expectation.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// State of a running scenario.
+/// A running scenario: its test bed, start time, tickets, background requests, and
+/// the numbers of edits and kills so far.
 struct Runner {
     testbed: Testbed,
     start: Instant,
@@ -74,6 +75,8 @@
 }
 
 impl Runner {
+    /// Executes one command. Fails if it is invalid in the current state or if an expectation
+    /// is not met.
     async fn run(&mut self, command: Command) -> Result<(), String> {
         match command {
             Command::At(at) => sleep_until(self.start + at).await,
@@ -135,19 +138,22 @@
         Ok(())
     }
 
-    /// Checks that no entry's version of the settings has decreased.
+    /// Adds a violation to the report for each running entry whose version of the
+    /// settings has decreased.
     fn check_versions(&self) {
         for number in self.testbed.entries.keys() {
             self.testbed.version_at(*number);
         }
     }
 
-    /// Returns a running entry.
+    /// Returns a running entry; fails if it is not running.
     fn entry(&self, number: usize) -> Result<&crate::testbed::RunningEntry, String> {
         let running = self.testbed.entries.get(&number);
         running.ok_or_else(|| format!("entry {number} is not running"))
     }
 
+    /// Sets the rate limit through an entry. Fails if the outcome is not `expected_outcome`;
+    /// `expected` is the version that the edit replaces.
     async fn edit(
         &mut self,
         entry: usize,
@@ -174,6 +180,8 @@
         Ok(())
     }
 
+    /// Sends two concurrent edits that replace the version served at entry `a`. Fails unless
+    /// exactly one of them succeeds.
     async fn race(&mut self, a: usize, b: usize) -> Result<(), String> {
         let version = self.testbed.version_at(a);
         let (first, second) = (self.entry(a)?.tier.clone(), self.entry(b)?.tier.clone());
@@ -201,6 +209,8 @@
         }
     }
 
+    /// Sends `times` queries one after the other. Fails at the first outcome that is not
+    /// the expected one, or if the entry is not running.
     async fn query(
         &mut self,
         entry: usize,
@@ -219,6 +229,8 @@
         Ok(())
     }
 
+    /// Spawns a query every `every` for `span`, to the entries in turn; those not
+    /// running now are skipped. [`Runner::join`] fails if an outcome is not as expected.
     fn load(&mut self, entries: Vec<usize>, every: Duration, span: Duration, expected: Expected) {
         let start = Instant::now();
         let mut due = start;
@@ -240,10 +252,10 @@
         }
     }
 
-    /// Waits for all requests in the background. Requests at killed entries
-    /// never end: their callers lose the connection and get no outcome to check.
+    /// Waits for all requests in the background. Fails if one failed, or if some don't end
+    /// although no entry was killed; at a killed entry they never end and are dropped.
     async fn join(&mut self) -> Result<(), String> {
-        /// Longer than any deadline in a scenario.
+        /// Time to wait for requests in the background; longer than any deadline in a scenario.
         const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
         let until = Instant::now() + LOAD_TIMEOUT;
         while !self.loads.is_empty() {
@@ -263,6 +275,8 @@
         Ok(())
     }
 
+    /// Obtains a ticket from an entry and stores it under `name`. Fails if the entry
+    /// is not running or refuses.
     fn ticket(&mut self, name: String, entry: usize) -> Result<(), String> {
         let minted = self.entry(entry)?.tier.ticket();
         let reply = minted.map_err(|refusal| format!("no ticket: {}", refusal.reason))?;
@@ -270,6 +284,8 @@
         Ok(())
     }
 
+    /// Submits with a stored ticket, in the background if asked. Fails if the ticket is unknown,
+    /// the entry is not running, or the outcome is not `expected`.
     async fn submit(
         &mut self,
         ticket: &str,
@@ -304,6 +320,8 @@
         run.await
     }
 
+    /// Fails unless the submission `body` took effect `times` times, or at most that
+    /// often with `at_most`.
     fn applied(&self, body: &str, times: u64, at_most: bool) -> Result<(), String> {
         let found = self.testbed.applied(body);
         if found == times || (at_most && found < times) {
@@ -312,6 +330,8 @@
         Err(format!("{body} took effect {found} times"))
     }
 
+    /// Waits until the entries serve this version of the settings; fails after
+    /// [`VERSION_TIMEOUT`].
     async fn version(&self, version: u64, entries: &[usize]) -> Result<(), String> {
         let until = Instant::now() + VERSION_TIMEOUT;
         loop {
@@ -336,6 +356,7 @@
         }
     }
 
+    /// Waits until the platform has a record of every refusal; fails after a timeout.
     async fn recorded(&self) -> Result<(), String> {
         /// Time within which records must reach a working platform.
         const RECORD_TIMEOUT: Duration = Duration::from_secs(10);
@@ -352,12 +373,16 @@
         }
     }
 
+    /// Waits until all running entries serve the newest version that any of them serves;
+    /// fails after [`VERSION_TIMEOUT`].
     async fn converged(&self) -> Result<(), String> {
         let entries: Vec<usize> = self.testbed.entries.keys().copied().collect();
         let newest = entries.iter().map(|e| self.testbed.version_at(*e)).max();
         self.version(newest.unwrap_or(0), &entries).await
     }
 
+    /// Waits until an entry lists `count` entries, itself included. Fails after a
+    /// timeout, or if the entry is not running.
     async fn members(&self, entry: usize, count: usize) -> Result<(), String> {
         /// Time within which a crash or a restart must be detected.
         const DETECTION_TIMEOUT: Duration = Duration::from_secs(10);
@@ -376,7 +401,8 @@
     }
 }
 
-/// Edits the organisation's settings through an entry.
+/// Edits the organisation's settings through an entry: sets the rate limit in requests
+/// per second. `expected` is the version to replace, `id` identifies the edit.
 async fn put(
     tier: &chestnut_tier::Tier,
     rate: u64,
@@ -390,7 +416,8 @@
     tier.edit(key, organisation(rate), expected, id).await
 }
 
-/// Checks the outcome of a query against the expected one.
+/// Fails unless the outcome of a query is the expected one; a refusal without an
+/// expected reason matches any.
 fn check_outcome(reply: &Reply, expected: &Expected) -> Result<(), String> {
     match (reply, expected) {
         (_, Expected::Any) => Ok(()),
--- a/crates/scene/src/testbed/deployment.rs
+++ b/crates/scene/src/testbed/deployment.rs
@@ -13,7 +13,8 @@
 /// Name of the service in every scenario.
 pub(super) const SERVICE: &str = "ladder";
 
-/// Builds the deployment that a setup describes.
+/// Builds the deployment that a setup describes: entries spread over three failure
+/// domains, and one service with a leaf for each replica of each shard.
 pub(super) fn deployment_spec(setup: &Setup) -> DeploymentSpec {
     let host = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let domains = ["dub-a", "dub-b", "kdr-c"];
@@ -41,7 +42,8 @@
     DeploymentSpec::parse(&text).expect("the text describes a valid deployment")
 }
 
-/// Returns the template and the organisation that every scenario starts with.
+/// Returns the template and the organisation that every scenario starts with, as stored
+/// objects. The template has the calls `finals`, `most` (half of the shards) and `score`.
 pub(super) fn edited_objects(setup: &Setup) -> Vec<(ObjectKey, serde_json::Value)> {
     let max_unconfirmed = format!("{}ms", setup.max_unconfirmed.as_millis());
     let call = |kind: &str, answer: serde_json::Value| {
@@ -73,6 +75,7 @@
     })
 }
 
+/// Returns the key and the stored form of an object, without edits.
 fn stored(kind: ObjectKind, name: &str, spec: serde_json::Value) -> (ObjectKey, serde_json::Value) {
     let key = ObjectKey {
         kind,
--- a/crates/scene/src/testbed/mod.rs
+++ b/crates/scene/src/testbed/mod.rs
@@ -32,11 +32,11 @@
     platform::{self, FakePlatform},
 };
 
-/// Capacity of an entry's inbox, in datagrams.
+/// Datagrams that an entry's inbox holds; further ones are dropped.
 const INBOX_CAPACITY: usize = 256;
 /// Deadline of queries and submissions.
 const DEADLINE: Duration = Duration::from_millis(800);
-/// WallTime clock time at which every scenario starts.
+/// Wall-clock time at which every scenario starts.
 const START: WallTime = WallTime(1_800_000_000_000);
 
 /// Why an entry can't be started.
@@ -50,7 +50,7 @@
 
 impl std::error::Error for StartError {}
 
-/// A running entry.
+/// A running entry: its service and the gate that suspends its process.
 pub(crate) struct RunningEntry {
     /// The entry's service.
     pub(crate) tier: Tier,
@@ -169,7 +169,8 @@
         Ok(())
     }
 
-    /// Returns the function that registers an entry's process as a peer.
+    /// Returns the function that registers an entry's process in the links under `address`
+    /// and creates its [`Peers`] port.
     fn binder(
         &self,
         number: usize,
@@ -195,7 +196,7 @@
         })
     }
 
-    /// Builds the settings file of an entry.
+    /// Builds the settings of an entry; fails if they are not valid.
     fn settings(&self, number: usize) -> Result<Settings, StartError> {
         let spec = &self.deployment.entry[number];
         let share = self.setup.share;
@@ -210,7 +211,8 @@
             .map_err(|e| StartError::Settings(e.to_string()))
     }
 
-    /// Kills an entry: none of its pending work continues.
+    /// Kills an entry: none of its pending work continues, and its connections to the
+    /// leafs end. Does nothing if it is not running.
     pub fn kill(&mut self, number: usize) {
         let Some(running) = self.entries.remove(&number) else {
             return;
@@ -223,7 +225,8 @@
         }
     }
 
-    /// Shuts an entry down gracefully and waits until it has stopped.
+    /// Shuts an entry down gracefully and waits until it has stopped. Does nothing if it
+    /// is not running.
     pub async fn stop(&mut self, number: usize) {
         let Some(running) = self.entries.get(&number) else {
             return;
@@ -234,7 +237,8 @@
         self.kill(number);
     }
 
-    /// Suspends an entry's process for `span`, without waiting for its end.
+    /// Suspends an entry's process for `span`, without waiting for its end. Does nothing
+    /// if it is not running.
     pub fn freeze(&self, number: usize, span: Duration) {
         let Some(running) = self.entries.get(&number) else {
             return;
@@ -270,7 +274,7 @@
         self.platform.changed.notify_waiters();
     }
 
-    /// Sets or ends a fault of the platform.
+    /// Sets or ends a fault of the platform, and wakes the waiting watches.
     pub fn change_platform(&self, change: &PlatformChange) {
         let mut store = lock(&self.platform.store);
         let fault = &mut store.fault;
@@ -337,7 +341,8 @@
         store.set_vms(vms, self.clock.now());
     }
 
-    /// Publishes an index version whose shards are shifted by `shift` leafs.
+    /// Publishes index version `version` with its shards shifted by `shift` leafs: loads them
+    /// at the leafs, then stores the layout and adds the version to the service.
     ///
     /// # Panics
     ///
@@ -388,7 +393,8 @@
         self.set_versions(|versions| versions.retain(|v| *v != version));
     }
 
-    /// Changes the index versions of the service.
+    /// Edits the index versions in the stored service object; does nothing if it is
+    /// missing or invalid.
     fn set_versions(&self, change: impl FnOnce(&mut Vec<IndexVersion>)) {
         let spec = &self.deployment.service[0];
         let key = ObjectKey {
@@ -407,7 +413,8 @@
         self.write(ObjectKind::Service, spec.name.as_str(), value);
     }
 
-    /// Writes an object on the platform's side, regardless of its faults.
+    /// Writes an object unconditionally, regardless of the platform's faults, and wakes
+    /// the watches.
     fn write(&self, kind: ObjectKind, name: &str, value: serde_json::Value) {
         let key = ObjectKey {
             kind,
@@ -417,7 +424,8 @@
         self.platform.changed.notify_waiters();
     }
 
-    /// Creates a query with a unique number.
+    /// Creates a query of the call type `call`; returns it with its unique number, which
+    /// the leafs put into their rows.
     pub(crate) fn query(&self, call: &str) -> (u64, QueryRequest) {
         let mut last = lock(&self.last_query);
         *last += 1;
@@ -432,7 +440,8 @@
         (number, ask)
     }
 
-    /// Creates a submission with the identifier `body`.
+    /// Creates a submission with the identifier `body`; a ticket that can't be parsed
+    /// is left out.
     pub(crate) fn submission(&self, ticket: Option<&str>, body: &str) -> SubmitRequest {
         SubmitRequest {
             ticket: ticket.and_then(|text| text.parse().ok()),
@@ -444,7 +453,8 @@
         }
     }
 
-    /// Sends a query to an entry and checks the outcome.
+    /// Sends query `number` to an entry, checks the invariants on its outcome and returns
+    /// it. Never returns if the entry is killed.
     pub(crate) async fn ask(
         tier: Tier,
         gate: Arc<ProcessGate>,
@@ -462,8 +472,8 @@
         reply
     }
 
-    /// Returns the version of the organisation's settings that an entry serves,
-    /// and checks that it has not decreased.
+    /// Returns the version of the organisation's settings that an entry serves, 0 if it
+    /// has none or is not running; a decrease is added to the report as a violation.
     pub(crate) fn version_at(&self, number: usize) -> u64 {
         let Some(running) = self.entries.get(&number) else {
             return 0;
@@ -474,7 +484,7 @@
         version
     }
 
-    /// Returns how many times a submission took effect.
+    /// Returns how many times a submission took effect, summed over the leafs.
     pub(crate) fn applied(&self, body: &str) -> u64 {
         let leafs = lock(&self.leafs);
         let times = leafs.values().filter_map(|leaf| leaf.applied.get(body));
@@ -498,9 +508,8 @@
         &self.deployment.entry[number].member
     }
 
-    /// Checks what can be known only at the end: queries refused as "not run"
-    /// that ran, calls to leafs that had left, and connections over a leaf's
-    /// limit.
+    /// Returns the report with the violations that show only at the end: queries refused as
+    /// "not run" that ran, calls to leafs that had left, and connections over a leaf's limit.
     pub(crate) fn finish(&self) -> CheckReport {
         let mut report = lock(&self.report).clone();
         let mut ran = BTreeSet::new();
