--- a/crates/unit/src/coverage.rs
+++ b/crates/unit/src/coverage.rs
@@ -4,7 +4,8 @@
 
 use crate::{ShardName, Share};
 
-/// Which of the requested shards contributed to an answer. Computed from the
+/// Which of the requested shards contributed to an answer: how many were requested
+/// and answered, and the names of the missing ones. Computed from the
 /// parts that were merged, never from the query plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
--- a/crates/unit/src/id.rs
+++ b/crates/unit/src/id.rs
@@ -8,7 +8,8 @@
 /// Maximum length of a name in bytes, as names are metric labels and log fields.
 const NAME_MAX: usize = 96;
 
-/// Why a string is not a valid name.
+/// Why a string is not a valid name: it is empty, too long or has a character that
+/// is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum NameError {
     /// a name can't be empty
@@ -21,6 +22,8 @@
 
 impl std::error::Error for NameError {}
 
+/// Checks that a name has from 1 to [`NAME_MAX`] bytes, all ASCII letters, digits
+/// or `-_.:/`.
 fn check_name(name: &str) -> Result<(), NameError> {
     if name.is_empty() {
         return Err(NameError::Empty);
@@ -35,6 +38,8 @@
     }
 }
 
+/// Defines a string identifier that is checked by [`check_name`], also when it is
+/// deserialized.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -125,6 +130,7 @@
     CallType
 );
 
+/// Defines an identifier that wraps a `u64`.
 macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
--- a/crates/unit/src/reason.rs
+++ b/crates/unit/src/reason.rs
@@ -9,10 +9,13 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Defines [`Reason`] from a list of variants, each with its code, receipt number
+/// and message.
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $number:literal, $text:literal;)*) => {
-        /// Why a request was refused. Callers, refusal records and templates use
-        /// no other codes.
+        /// Why a request was refused: an invalid request, a configured limit, lack of
+        /// capacity or time, failing targets, or an entry that can't serve. Answers to
+        /// callers, refusal records and templates use no other codes.
         #[derive(
             Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -82,7 +85,7 @@
 }
 
 impl Reason {
-    /// Returns the reason with the given receipt number.
+    /// Returns the reason with the given receipt number, or `None` if none has it.
     #[must_use]
     pub fn from_number(number: u8) -> Option<Self> {
         Self::ALL.iter().copied().find(|r| r.number() == number)
--- a/crates/unit/src/share.rs
+++ b/crates/unit/src/share.rs
@@ -5,7 +5,8 @@
 use displaydoc::Display;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A percentage from 0% to 100% in steps of 0.1%, written `97.5%`.
+/// A percentage from 0% to 100%, kept in thousandths and written `97.5%`. Parsing
+/// rounds to the nearest 0.1%.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Share(u16);
 
--- a/crates/unit/src/size.rs
+++ b/crates/unit/src/size.rs
@@ -8,13 +8,16 @@
 /// {text:?} is not {want}
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub struct ParseUnitError {
+    /// The text that failed to parse.
     text: String,
+    /// The expected format.
     want: &'static str,
 }
 
 impl std::error::Error for ParseUnitError {}
 
-/// Splits `text` into an integer and a unit.
+/// Splits `text` into an integer and the trimmed rest, its unit. Fails if `text` does
+/// not begin with an integer that fits; `want` describes the format in the error.
 fn split_unit(text: &str, want: &'static str) -> Result<(u64, String), ParseUnitError> {
     let fail = || ParseUnitError {
         text: text.to_owned(),
@@ -31,6 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ByteSize(pub u64);
 
+/// Format of a [`ByteSize`], for error messages.
 const SIZE_FORMAT: &str = "a size such as 512B, 64KiB or 1MiB";
 
 impl FromStr for ByteSize {
@@ -115,6 +119,7 @@
     }
 }
 
+/// Serializes a type with `Display` and deserializes it with `FromStr`.
 macro_rules! text_serde {
     ($name:ident) => {
         impl Serialize for $name {
@@ -140,12 +145,14 @@
 #[serde(transparent)]
 pub struct CallRate(pub u32);
 
+/// Format of a [`CallRate`], for error messages.
 const CALL_FORMAT: &str = "a rate such as 6/s or 2.5/s";
+/// Units of a [`CallRate`] in one call per second.
 const MILLI_PER_CALL: f64 = 1000.0;
 
 impl CallRate {
     /// Makes a rate from calls per second, rounded to thousandths. Negative values
-    /// and NaN give 0.
+    /// and NaN give 0; values that are too large give the greatest rate.
     #[must_use]
     pub fn per_second(calls: f64) -> Self {
         // The cast saturates and turns NaN into 0.
--- a/crates/unit/src/urgency.rs
+++ b/crates/unit/src/urgency.rs
@@ -4,7 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Priority class of a call, as set in a template.
+/// Priority class of a call, as set in a template: `Now`, `Normal` or `Archive`. The
+/// more urgent class compares as less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Urgency {
