--- a/crates/book/src/book.rs
+++ b/crates/book/src/book.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// Why a rule is invalid.
+/// Why a rule is invalid: a bad prefix, target, timeout or number of attempts, or a host
+/// and prefix that another rule uses.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum BookError {
     /// route {0}: the prefix {1:?} must begin and end with a slash
@@ -48,6 +49,7 @@
 
 impl std::error::Error for BookError {}
 
+/// Rules of one host by path prefix.
 type Prefixes = BTreeMap<String, Arc<Rule>>;
 
 /// One version of the routes. A request uses the same version until it ends, so that
@@ -58,9 +60,10 @@
     pub version: BookVersion,
     /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Rules by host and prefix. Versions share equal rules, so that keeping several
+    /// Rules by lower-case host and prefix. Versions share equal rules, so that keeping several
     /// versions and comparing them stays cheap.
     hosts: BTreeMap<String, Arc<Prefixes>>,
+    /// Limits of the services that have any.
     services: BTreeMap<ServiceName, ServiceRule>,
 }
 
@@ -88,7 +91,8 @@
         Ok(book)
     }
 
-    /// Validates a rule and adds it.
+    /// Validates a rule and adds it. Fails if it is invalid or its host and prefix are
+    /// already used.
     pub(crate) fn insert(&mut self, rule: Arc<Rule>) -> Result<(), BookError> {
         check_rule(&rule)?;
         let host = rule.host.to_ascii_lowercase();
@@ -129,19 +133,21 @@
         self.services.extend(put);
     }
 
-    /// Returns the rule at the host and prefix of `rule`.
+    /// Returns the rule with the same host and prefix as `rule`, if there is one.
     pub(crate) fn rule_at(&self, rule: &Rule) -> Option<&Arc<Rule>> {
         let prefixes = self.hosts.get(&rule.host.to_ascii_lowercase())?;
         prefixes.get(&rule.prefix)
     }
 
-    /// Returns this book's rule that is equal to `rule`.
+    /// Returns this book's rule at the host and prefix of `rule` if it is equal to `rule`
+    /// in all fields.
     pub(crate) fn equal_rule(&self, rule: &Arc<Rule>) -> Option<&Arc<Rule>> {
         self.rule_at(rule)
             .filter(|other| Arc::ptr_eq(other, rule) || other == &rule)
     }
 
-    /// Shares the memory of rules that are equal in `other`. Books that were decoded
+    /// Replaces the rules that are equal in `other` by references to those, so that both
+    /// books share their memory. Books that were decoded
     /// separately share nothing until this is called.
     pub fn share_rules(&mut self, other: &Self) {
         for prefixes in self.hosts.values_mut() {
@@ -153,7 +159,9 @@
         }
     }
 
-    /// Returns the rule of the request's host with the longest prefix of `path`.
+    /// Returns the rule of `host` with the longest prefix of `path`, or `None` if no rule
+    /// matches. The case of `host` and its port, if it has one, are ignored.
+    ///
     /// Every prefix ends with a slash, so only the path's prefixes up to a slash are
     /// looked up; the cost depends on the depth of the path, not on the number of
     /// routes.
@@ -176,7 +184,7 @@
         self.services.get(name)
     }
 
-    /// Iterates over all rules.
+    /// Iterates over all rules, ordered by host and prefix.
     pub fn rules(&self) -> impl Iterator<Item = &Arc<Rule>> {
         self.hosts.values().flat_map(|prefixes| prefixes.values())
     }
@@ -201,7 +209,8 @@
     }
 }
 
-/// Strips a port number from a host.
+/// Strips the last colon and the port number after it from a host; a host without
+/// them stays as it is.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
@@ -209,6 +218,8 @@
     }
 }
 
+/// Validates one rule on its own: prefix, timeout, attempts, and the services, weights
+/// or shards of its target. Doesn't compare it with other rules.
 fn check_rule(rule: &Rule) -> Result<(), BookError> {
     let name = || rule.name.clone();
     if !rule.prefix.starts_with('/') || !rule.prefix.ends_with('/') {
--- a/crates/book/src/delta.rs
+++ b/crates/book/src/delta.rs
@@ -8,7 +8,8 @@
 
 use crate::{BookError, BookVersion, CallerLimits, RouteBook, Rule, ServiceRule};
 
-/// Changes from one version of a route book to another. Its size follows the number
+/// Changes from one version of a route book to another: added, changed and removed
+/// rules and services, and the new limits on callers. Its size follows the number
 /// of changes, not the size of the book.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BookDelta {
@@ -16,6 +17,7 @@
     pub base: Option<BookVersion>,
     /// The version that results.
     pub version: BookVersion,
+    /// All limits on callers of the resulting version.
     limits: CallerLimits,
     /// Added and changed rules.
     put: Vec<Arc<Rule>>,
@@ -39,7 +41,9 @@
 impl std::error::Error for DeltaError {}
 
 impl BookDelta {
-    /// Computes the changes from `from` to `to`, or all of `to` if `from` is `None`.
+    /// Computes the rules and the limits of services that were added, changed or removed
+    /// from `from` to `to`, with the caller limits of `to`. Without `from`, the delta holds
+    /// all of `to` and has no base.
     #[must_use]
     pub fn between(from: Option<&RouteBook>, to: &RouteBook) -> Self {
         let empty = RouteBook::default();
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Returns the number of rules added, changed or removed.
+    /// Returns the number of rules added, changed or removed; services don't count.
     #[must_use]
     pub fn changed_rules(&self) -> usize {
         self.put.len() + self.gone.len()
@@ -78,7 +82,8 @@
     ///
     /// # Errors
     ///
-    /// `current` is not the delta's base version, or the resulting book is invalid.
+    /// The delta has a base and `current` is `None` or another version, or an added or
+    /// changed rule is invalid.
     pub fn apply(self, current: Option<&RouteBook>) -> Result<RouteBook, DeltaError> {
         let mut book = match (self.base, current) {
             (None, _) => RouteBook::default(),
--- a/crates/book/src/round_robin.rs
+++ b/crates/book/src/round_robin.rs
@@ -1,19 +1,22 @@
 //! Smooth weighted round-robin over services.
 
-/// State of a smooth weighted round-robin.
+/// Smooth weighted round-robin: selects services in turn, in proportion to weights, and
+/// keeps the credit of each.
 ///
 /// Each turn adds every service's weight to its credit, then subtracts the sum of
 /// the weights from the service with the most credit. Even short runs of requests
 /// follow the weights closely, which a random choice would not.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
+    /// Credit of each service, by its index in the weights.
     credit: Vec<i64>,
 }
 
 impl RoundRobin {
-    /// Returns the index in `weights` of the next service, or `None` if all weights
-    /// are 0. The first call skips turns according to `start`, so that entries that
-    /// start together don't all choose the same services in step.
+    /// Takes a turn and returns the index in `weights` of the selected service, or `None`
+    /// if all weights are 0. The first call, and each in which the number of weights has
+    /// changed, resets the credits and skips turns according to `start`, so that entries
+    /// that start together don't all choose the same services in step.
     pub fn next(&mut self, weights: &[u32], start: u64) -> Option<usize> {
         let sum: i64 = weights.iter().map(|weight| i64::from(*weight)).sum();
         if sum == 0 {
@@ -28,6 +31,8 @@
         self.advance(weights, sum)
     }
 
+    /// Takes one turn and returns the index of the selected service; `sum` is the sum of
+    /// `weights`. `None` if there are no weights.
     fn advance(&mut self, weights: &[u32], sum: i64) -> Option<usize> {
         for (credit, weight) in self.credit.iter_mut().zip(weights) {
             *credit += i64::from(*weight);
@@ -38,5 +43,5 @@
     }
 }
 
-/// Upper limit of the turns skipped at start.
+/// Exclusive upper limit of the turns skipped by [`RoundRobin::next`] at start.
 const MAX_SKIPPED: u64 = 100;
--- a/crates/book/src/rule.rs
+++ b/crates/book/src/rule.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Whether a request may be sent to another target after a first one may have
-/// run it.
+/// run it: yes if `Idempotent`, no if `Once`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetrySafety {
     /// Safe to run more than once.
@@ -15,7 +15,8 @@
     Once,
 }
 
-/// The services that requests of a rule are sent to.
+/// The services that requests of a rule are sent to: one, one of several by weight,
+/// or every shard of a set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Target {
     /// A single service.
@@ -48,7 +49,8 @@
     }
 }
 
-/// How requests to one host and path prefix are routed.
+/// How requests to one host and path prefix are routed: their target, and their
+/// retries, timeout, latency objective and priority.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rule {
     /// Name, for logs.
@@ -72,7 +74,8 @@
     pub target: Target,
 }
 
-/// Limits of a service's targets.
+/// Limits of a service's targets: connections to each, and the call rate while one is
+/// cold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRule {
     /// Maximum connections to one target, over all entries.
@@ -86,13 +89,14 @@
 /// gets more calls while it is cold crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdRule {
-    /// Maximum rate of calls, over all entries.
+    /// Maximum rate of calls to one cold target, over all entries.
     pub rate: CallRate,
     /// How long a target is cold after its start.
     pub span: Duration,
 }
 
-/// Limits on callers' requests and connections.
+/// Limits on callers: size and receiving time of a request head, size of a body, and
+/// idle time of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Maximum size of a request head, in bytes.
@@ -106,7 +110,8 @@
 }
 
 impl Default for CallerLimits {
-    /// Applies until a route book is loaded.
+    /// Limits until a route book is loaded: 16 KiB and 5 s for a head, 256 KiB for a body,
+    /// 30 s for an idle connection.
     fn default() -> Self {
         Self {
             head: 16 << 10,
