--- a/crates/conf/src/config_set.rs
+++ b/crates/conf/src/config_set.rs
@@ -12,7 +12,8 @@
     Evacuation, Object, ObjectKey, ObjectKind, OrgPolicy, Organisation, StoredSpec, Template,
 };
 
-/// Outcome of applying an object to the set.
+/// Outcome of [`ConfigSet::apply`]: the object was stored as `New`, or left out as
+/// `Unchanged` or `Stale`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// The object was newer and has been stored.
@@ -48,12 +49,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSet {
     objects: BTreeMap<ObjectKey, ObjectVersion>,
+    /// XOR of the hashes of all keys with their versions.
     digest: u64,
 }
 
 impl ConfigSet {
-    /// Stores an object from the platform or a peer if it is newer than the stored
-    /// version.
+    /// Stores an object from the platform or a peer if it is unknown or newer than the
+    /// stored version, without validating its value.
     pub fn apply(&mut self, object: Object) -> Applied {
         if let Some(stored) = self.objects.get(&object.key) {
             if stored.version == object.version {
@@ -73,7 +75,7 @@
         Applied::New
     }
 
-    /// Returns the stored object of a kind and name.
+    /// Returns the stored version of an object, or `None` if it is unknown.
     #[must_use]
     pub fn get(&self, kind: ObjectKind, name: &str) -> Option<&ObjectVersion> {
         let key = ObjectKey {
@@ -95,7 +97,7 @@
             .map(|(key, object)| (key.name.as_str(), object))
     }
 
-    /// Returns the versions of all objects of one kind.
+    /// Returns the names and versions of all objects of one kind.
     #[must_use]
     pub fn versions(&self, kind: ObjectKind) -> Versions {
         self.list(kind)
@@ -134,7 +136,7 @@
     }
 
     /// Parses the value of an object that the platform writes, such as a service, and
-    /// returns it with its version.
+    /// returns it with its version; `None` if it is unknown or does not parse as `T`.
     #[must_use]
     pub fn parse<T: DeserializeOwned>(&self, kind: ObjectKind, name: &str) -> Option<(u64, T)> {
         let object = self.get(kind, name)?;
@@ -143,7 +145,7 @@
     }
 
     /// Parses the specification of an object that operators edit, such as a template,
-    /// and returns it with its version.
+    /// and returns it with its version; `None` if it is unknown or does not parse as `T`.
     #[must_use]
     pub fn parse_spec<T: DeserializeOwned>(
         &self,
@@ -155,8 +157,8 @@
         Some((version, spec))
     }
 
-    /// Returns the policy of an organisation, if it and its template are known and
-    /// valid.
+    /// Returns the policy of an organisation, or `None` if it or its template is unknown
+    /// or does not parse.
     #[must_use]
     pub fn policy(&self, org: &OrgName) -> Option<OrgPolicy> {
         let (org_version, org): (u64, Organisation) =
@@ -168,7 +170,8 @@
         ))
     }
 
-    /// Returns the failure domains that are evacuated.
+    /// Returns the failure domains that are evacuated; objects that do not parse count
+    /// as not evacuated.
     #[must_use]
     pub fn evacuated(&self) -> BTreeSet<DomainName> {
         let names = self.list(ObjectKind::Evacuation).map(|(name, _)| name);
@@ -182,7 +185,8 @@
             .collect()
     }
 
-    /// Parses a template and returns it with its version.
+    /// Parses a template and returns it with its version; `None` if it is unknown or does
+    /// not parse.
     #[must_use]
     pub fn template(&self, name: &TemplateName) -> Option<(u64, Template)> {
         self.parse_spec(ObjectKind::Template, name.as_str())
--- a/crates/conf/src/duration.rs
+++ b/crates/conf/src/duration.rs
@@ -10,7 +10,7 @@
     s.collect_str(&format_args!("{}ms", duration.as_millis()))
 }
 
-/// Reads a duration with its unit.
+/// Reads an integer with its unit; fails as [`parse_duration`] does.
 pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(d)?;
     parse_duration(&text).map_err(serde::de::Error::custom)
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -4,7 +4,8 @@
 
 use displaydoc::Display;
 
-/// Why a settings file can't be used.
+/// Why a settings file can't be used: it can't be read, does not match the schema, or
+/// has an invalid value.
 #[derive(Debug, Display)]
 pub enum SettingsError {
     /// can't read {path}: {source}. Give an existing file to --config.
@@ -47,7 +48,8 @@
 }
 
 impl ValidationError {
-    /// Makes an error for `key`.
+    /// Makes an error for the dotted `key`; `problem` says what is wrong and what is
+    /// allowed.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
             key: key.into(),
--- a/crates/conf/src/object.rs
+++ b/crates/conf/src/object.rs
@@ -10,7 +10,8 @@
 /// other edits follow it before the check.
 pub const MAX_EDITS: usize = 32;
 
-/// Kinds of objects in the object API.
+/// Kinds of objects in the object API: templates, organisations, services, layouts,
+/// evacuations and refusal records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
@@ -29,7 +30,7 @@
 }
 
 impl ObjectKind {
-    /// The kinds that are replicated to every entry.
+    /// The kinds that are replicated to every entry: all but refusal records.
     pub const REPLICATED: [ObjectKind; 5] = [
         ObjectKind::Template,
         ObjectKind::Organisation,
@@ -97,7 +98,8 @@
     pub value: serde_json::Value,
 }
 
-/// One accepted edit of an object.
+/// One accepted edit of an object: its id, the resulting version, the author and the
+/// time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
     /// Random identifier, chosen by the client that made the edit.
--- a/crates/conf/src/organisation.rs
+++ b/crates/conf/src/organisation.rs
@@ -10,7 +10,8 @@
     template::{check_limits, check_reasons},
 };
 
-/// Overrides of one call type of the template.
+/// An organisation's overrides of one call type of its template: the urgency and the
+/// optional refusal reasons. `None` keeps the template's.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallParams {
@@ -23,7 +24,8 @@
     pub refuse: Option<Vec<Reason>>,
 }
 
-/// An organisation, based on a template.
+/// An organisation as operators specify it: its template, services, and overrides of
+/// call types and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
@@ -40,7 +42,9 @@
 }
 
 impl Organisation {
-    /// Validates the organisation against its template.
+    /// Validates the organisation against its template: services and call types must be
+    /// the template's, urgencies no higher than its, refusal reasons optional, and limits
+    /// above zero.
     ///
     /// # Errors
     ///
@@ -64,6 +68,8 @@
         self.limits.as_ref().map_or(Ok(()), check_limits)
     }
 
+    /// Validates the overrides of one call type: the template has it, the urgency is not
+    /// above the template's, and all refusal reasons are optional.
     fn check_call(
         &self,
         template: &Template,
--- a/crates/conf/src/policy.rs
+++ b/crates/conf/src/policy.rs
@@ -7,7 +7,8 @@
 
 use crate::{Call, CallKind, OrgLimits, Organisation, Template};
 
-/// Why an organisation's policy does not allow a call.
+/// Why an organisation's policy does not allow a call: unknown call type, service not
+/// allowed, or a query for a submission's call type or the reverse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum PolicyError {
     /// the template has no such call type
@@ -21,7 +22,8 @@
 impl std::error::Error for PolicyError {}
 
 impl PolicyError {
-    /// Returns the reason code of the refusal.
+    /// Returns the reason for the refusal: `CallUnknown`, or `ServiceClosed` if the service
+    /// is not allowed.
     #[must_use]
     pub fn reason(self) -> Reason {
         match self {
@@ -31,12 +33,13 @@
     }
 }
 
-/// Policy of one call type for one organisation.
+/// Policy of one call type for one organisation: the template's call type with the
+/// organisation's overrides applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallPolicy {
     /// Whether the call is a query or a submission.
     pub kind: CallKind,
-    /// Services that may be called.
+    /// Services of the call type that both the organisation and its template allow.
     pub services: Vec<ServiceName>,
     /// Urgency.
     pub urgency: Urgency,
@@ -65,7 +68,7 @@
     pub organisation: u64,
     /// Policies by call type.
     pub calls: BTreeMap<CallType, CallPolicy>,
-    /// Limits of the organisation.
+    /// Limits of the organisation, or the template's if it states none.
     pub limits: OrgLimits,
     /// How long an entry may serve the organisation on unconfirmed configuration.
     pub max_unconfirmed: Duration,
@@ -116,7 +119,8 @@
     }
 }
 
-/// Applies the organisation's parameters to one call type of its template.
+/// Applies the organisation's parameters to the call type `name` of its template.
+/// Services that either doesn't allow and a raised urgency are ignored.
 fn resolve_call(
     template: &Template,
     org: &Organisation,
--- a/crates/conf/src/service.rs
+++ b/crates/conf/src/service.rs
@@ -8,7 +8,7 @@
 
 use crate::ValidationError;
 
-/// One leaf of a service.
+/// One leaf of a service: its address, failure domain, limits and connection group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leaf {
@@ -36,7 +36,7 @@
 }
 
 impl Service {
-    /// Checks that requests can be routed to the service.
+    /// Checks that every leaf allows at least one request and one connection.
     ///
     /// # Errors
     ///
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -11,7 +11,8 @@
 
 use crate::{SettingsError, duration};
 
-/// All settings of one daemon.
+/// All settings of one daemon: identity, listening addresses, platform, limits, routing,
+/// control and logging. Only the first three sections are required.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -35,7 +36,7 @@
     pub log: LogSettings,
 }
 
-/// Identity of an entry.
+/// Identity of an entry: its name and its failure domain.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
@@ -45,7 +46,7 @@
     pub domain: DomainName,
 }
 
-/// Listening addresses of an entry.
+/// Listening addresses of an entry, for callers, operators and peers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
@@ -57,7 +58,8 @@
     pub peers: SocketAddr,
 }
 
-/// How to reach the platform's object API.
+/// How to call the platform's object API: its address, the call timeout, and how long a
+/// watch waits, which sets how often configuration is confirmed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -72,15 +74,17 @@
     pub watch: Duration,
 }
 
+/// Default timeout of a call to the platform: 1 s.
 fn platform_timeout() -> Duration {
     Duration::from_secs(1)
 }
 
+/// Default time that a watch waits for a change: 4 s.
 fn platform_watch() -> Duration {
     Duration::from_secs(4)
 }
 
-/// Limits on callers' requests and connections.
+/// Limits on callers' requests and connections, and on the answers of leafs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
@@ -101,6 +105,8 @@
 }
 
 impl Default for LimitSettings {
+    /// Bodies of 64 KiB, answers of 4 MiB, deadlines of 60 s, 5 s to receive a head or
+    /// body, 10,000 connections and 64 header lines.
     fn default() -> Self {
         Self {
             body: ByteSize(64 << 10),
@@ -126,7 +132,8 @@
     RoundRobin,
 }
 
-/// Routing of calls to leafs.
+/// Routing of calls to leafs: hedge and retry budgets, selection of replicas, queue and
+/// connection limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouteSettings {
@@ -143,6 +150,8 @@
 }
 
 impl Default for RouteSettings {
+    /// Hedges up to 8% and retries up to 10% of first calls, selection by peak EWMA, 256
+    /// queued requests per service and 2 connections to a leaf.
     fn default() -> Self {
         Self {
             hedge: Share::from_permille(80),
@@ -154,7 +163,8 @@
     }
 }
 
-/// Membership, addresses and configuration.
+/// Seeds, probes, the callers' list of entries, connection shares, tickets, refusal
+/// records, graceful shutdown and the secret of receipts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlSettings {
@@ -184,6 +194,8 @@
 }
 
 impl Default for ControlSettings {
+    /// No seeds, a probe each 500 ms, lists cached for 5 s, 4 connections per leaf and entry,
+    /// tickets for 10 min, records each 5 s, 60 s for shutdown, and a well-known secret.
     fn default() -> Self {
         Self {
             seeds: Vec::new(),
@@ -224,7 +236,7 @@
     Debug,
 }
 
-/// Logging.
+/// Format and minimum severity of the log.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -271,6 +283,9 @@
         Ok(settings)
     }
 
+    /// Validates what the schema can't express: values out of range, a pool larger than
+    /// the connection share, and callers and operators on the same address and port.
+    /// Returns the first error; `path` is used in it.
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
         let fail = |key, problem: String, fix| {
             Err(SettingsError::Value {
--- a/crates/conf/src/template.rs
+++ b/crates/conf/src/template.rs
@@ -17,7 +17,7 @@
 /// Reasons that a template may allow or forbid. All others always apply.
 const OPTIONAL_REASONS: [Reason; 2] = [Reason::OrgLimit, Reason::Overload];
 
-/// Whether a call reads or writes.
+/// Whether a call is a query, which reads, or a submission, which writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallKind {
@@ -27,7 +27,7 @@
     Submit,
 }
 
-/// Which answers a call accepts.
+/// Which answers a call accepts: complete ones only, or those with a minimum coverage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Answer {
@@ -49,7 +49,8 @@
     }
 }
 
-/// A call type of a template.
+/// A call type of a template: its kind, services, urgency, accepted answers, optional
+/// refusal reasons and default deadline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
@@ -70,7 +71,7 @@
     pub deadline: Duration,
 }
 
-/// Limits of one organisation, over all entries.
+/// Limits of one organisation, over all entries: request rate and concurrent requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrgLimits {
@@ -80,7 +81,8 @@
     pub flight: u32,
 }
 
-/// What the organisations of a template may call and how.
+/// What the organisations of a template may call and how: services, call types, default
+/// limits and how long unconfirmed configuration may be used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
@@ -98,7 +100,8 @@
 }
 
 impl Template {
-    /// Validates what the schema can't express.
+    /// Validates what the schema can't express: services and call types are listed,
+    /// `unconfirmed` is long enough, each call type is valid and no limit is zero.
     ///
     /// # Errors
     ///
@@ -123,6 +126,8 @@
         check_limits(&self.limits)
     }
 
+    /// Validates one call type: its services are the template's, its deadline is in range,
+    /// its refusal reasons are optional, and a submission accepts only whole answers.
     fn check_call(&self, name: &CallType, call: &Call) -> Result<(), ValidationError> {
         let key = |field: &str| format!("calls.{name}.{field}");
         if call.services.is_empty() {
@@ -154,7 +159,8 @@
     }
 }
 
-/// Checks that all `reasons` are optional, that is, ones a template may allow.
+/// Checks that all `reasons` are optional, that is, ones a template may allow; `key` is
+/// the dotted key in the error.
 pub(crate) fn check_reasons(key: &str, reasons: &[Reason]) -> Result<(), ValidationError> {
     match reasons.iter().find(|r| !OPTIONAL_REASONS.contains(r)) {
         None => Ok(()),
