--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -26,7 +26,8 @@
     Stderr,
 }
 
-/// Opens a log with the format and level of `settings`.
+/// Opens a log to `output` with the format and level of `settings`, and starts the thread
+/// that writes it.
 pub fn open(settings: &LogSettings, output: Output) -> Logger {
     let level = match settings.level {
         LogLevel::Error => Level::Error,
@@ -40,6 +41,7 @@
     }
 }
 
+/// Builds a logger that writes lines of at least `level` to `to` in the given format.
 fn with_format<W: io::Write + Send + 'static>(format: LogFormat, to: W, level: Level) -> Logger {
     match format {
         LogFormat::Text => {
@@ -50,6 +52,8 @@
     }
 }
 
+/// Builds a logger that passes lines of at least `level`, within the rate limit, to `drain`
+/// on a separate thread. Errors of `drain` are ignored.
 fn with_drain<D>(drain: D, level: Level) -> Logger
 where
     D: Drain + Send + 'static,
--- a/crates/log/src/rate_limit.rs
+++ b/crates/log/src/rate_limit.rs
@@ -12,7 +12,7 @@
 /// Size of the bucket, in log lines; covers the lines logged during startup.
 const BURST_LINES: f64 = 600.0;
 
-/// Whether a log line is written.
+/// Whether a log line is written, also after a report of dropped lines, or dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The line is written.
@@ -26,12 +26,16 @@
 /// A token bucket in which a log line costs one token; counts the dropped lines.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// Lines that may be written now.
     tokens: f64,
+    /// Time of the last refill, from the callers' fixed point.
     refilled: Duration,
+    /// Lines dropped since the last one written.
     dropped: u64,
 }
 
 impl Default for TokenBucket {
+    /// A full bucket with no dropped lines.
     fn default() -> Self {
         Self {
             tokens: BURST_LINES,
@@ -42,7 +46,8 @@
 }
 
 impl TokenBucket {
-    /// Decides whether a line at `now` is written. `now` is the time since any fixed
+    /// Refills the bucket and decides whether a line at `now` is written: takes a token if
+    /// there is one, else counts the line as dropped. `now` is the time since any fixed
     /// point, the same in every call.
     pub fn take(&mut self, now: Duration) -> Decision {
         let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
@@ -60,7 +65,8 @@
     }
 }
 
-/// A drain that passes on the lines within the rate limit.
+/// A drain that passes on the lines within the rate limit and drops the others. The
+/// number dropped is logged as a warning before the next line passed on.
 pub(crate) struct RateLimited<D> {
     drain: D,
     start: Instant,
