--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -37,6 +37,8 @@
 /// Exit status for any other failure, such as an address that can't be bound.
 const EXIT_FAILURE: u8 = 1;
 
+/// Runs the entry, or with `--check` only validates the settings. Exits with 0 for valid
+/// settings or after a stop, 2 for wrong usage or settings and 1 for any other failure.
 fn main() -> ExitCode {
     let args = Args::parse();
     let settings = match Settings::open(&args.config) {
@@ -67,7 +69,8 @@
     }
 }
 
-/// Runs an entry until a planned stop has ended.
+/// Runs an entry until a planned stop has ended or a SIGTERM during it cuts it short.
+/// Fails if an address can't be bound, the entry can't start or signals can't be handled.
 async fn serve(settings: Settings, log: Logger) -> Result<(), Box<dyn std::error::Error>> {
     let peers = settings.listen.peers;
     let ports = Ports::open(&settings)
@@ -92,7 +95,8 @@
     Ok(())
 }
 
-/// Waits for SIGTERM, SIGINT or an operator's request for a planned stop.
+/// Waits for SIGTERM, SIGINT or an operator's request for a planned stop; doesn't start
+/// the stop.
 async fn wait_for_stop(tier: &Tier) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
