--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,7 +11,8 @@
 /// Timeout of one call; an edit during an outage may take several seconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a command failed.
+/// Why a command failed: refused by the entry, conflict with another edit, no reply from
+/// the entry, platform outage, edit with unknown outcome, or unreadable file.
 #[derive(Debug, Display)]
 pub(crate) enum CliError {
     /// {0}
@@ -34,7 +35,7 @@
 }
 
 impl CliError {
-    /// Returns the exit status of the command.
+    /// Returns the exit status of the command, from 1 to 5.
     pub(crate) fn status(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
@@ -49,6 +50,7 @@
 /// A client of one entry (a process of the query tier that callers connect to).
 pub(crate) struct Client {
     http: HttpClient,
+    /// Operators' address of the entry.
     address: SocketAddr,
 }
 
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Returns a client of another entry.
+    /// Returns a client of the entry with the operators' address `address`, with the same
+    /// HTTP client.
     pub(crate) fn for_entry(&self, address: SocketAddr) -> Self {
         Self {
             http: self.http.clone(),
@@ -69,13 +72,15 @@
         }
     }
 
-    /// Sends a GET request; returns the JSON body of the reply.
+    /// Sends a GET request; returns the JSON body of the reply. Fails as
+    /// [`Client::call`] does.
     pub(crate) async fn get(&self, path: &str) -> Result<Value, CliError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Sends a request; returns the JSON body of the reply, or an error if the status
-    /// is not a success.
+    /// Sends a request; returns the body of the reply as JSON, or null if it is not JSON.
+    /// Fails with `Unreachable` if the HTTP call fails, else by status: 409 `Conflict`, 503
+    /// `Outage`, 504 `Unsettled`, any other that is not a success `Refused`.
     pub(crate) async fn call(
         &self,
         method: Method,
--- a/crates/cli/src/evacuate.rs
+++ b/crates/cli/src/evacuate.rs
@@ -11,7 +11,8 @@
     show::{cell_text, print_line, print_table},
 };
 
-/// Evacuates a failure domain, or ends its evacuation.
+/// Evacuates a failure domain, or ends its evacuation if `evacuated` is false, and prints
+/// the accepted version. `by` is the author of the edit.
 pub(crate) async fn set(
     client: &Client,
     domain: &DomainName,
@@ -39,7 +40,8 @@
     Ok(())
 }
 
-/// Lists the evacuated failure domains and counts the calls in progress to their leafs.
+/// Prints the evacuated failure domains and the number of this entry's calls in progress
+/// to their leafs.
 pub(crate) async fn list(client: &Client, as_json: bool) -> Result<(), CliError> {
     let kind = ObjectKind::Evacuation;
     let names = client.get(&format!("/objects/{kind}")).await?;
@@ -77,7 +79,8 @@
     Ok(())
 }
 
-/// Returns the number of the entry's calls in progress to leafs of evacuated domains.
+/// Returns the number of the entry's calls in progress to leafs of evacuated domains;
+/// `targets` is the entry's list of back ends.
 fn calls_in_progress(targets: &Value) -> u64 {
     let targets = targets.as_array().into_iter().flatten();
     let evacuated = targets.filter(|target| target["state"] == "evacuated");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -146,6 +146,8 @@
     },
 }
 
+/// Runs the command of the arguments. Prints an error to standard error and exits with
+/// its status.
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let args = Args::parse();
@@ -158,6 +160,8 @@
     }
 }
 
+/// Runs one command against the entry of the arguments and prints its result; `completions`
+/// calls no entry.
 async fn run(args: Args) -> Result<(), CliError> {
     let client = Client::new(args.entry);
     let json = args.json;
--- a/crates/cli/src/objects.rs
+++ b/crates/cli/src/objects.rs
@@ -13,7 +13,8 @@
     show::{cell_text, pretty, print_line, print_table},
 };
 
-/// Runs an action on the objects of one kind.
+/// Runs an action on the objects of one kind and prints the result. Fails if the entry
+/// can't be reached or refuses, or a file can't be read.
 pub(crate) async fn run(
     client: &Client,
     kind: ObjectKind,
@@ -51,7 +52,7 @@
     }
 }
 
-/// Sends a request with a JSON body.
+/// Sends a request with a JSON body; returns the reply or fails as [`Client::call`] does.
 async fn send(client: &Client, method: Method, path: &str, body: Value) -> Result<Value, CliError> {
     client
         .call(method, path, Bytes::from(body.to_string()))
@@ -67,13 +68,14 @@
     }
 }
 
-/// Reads a JSON file.
+/// Reads and parses a JSON file; fails with [`CliError::File`].
 fn read_json(file: &Path) -> Result<Value, CliError> {
     let fail = |e: &dyn std::fmt::Display| CliError::File(file.to_owned(), e.to_string());
     let content = std::fs::read_to_string(file).map_err(|e| fail(&e))?;
     serde_json::from_str(&content).map_err(|e| fail(&e))
 }
 
+/// Prints the names and versions of all objects of a kind.
 async fn list(client: &Client, kind: ObjectKind, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}")).await?;
     if as_json {
@@ -88,6 +90,8 @@
     Ok(())
 }
 
+/// Prints the specification of an object; its version goes to standard error. With
+/// `as_json`, prints the whole reply instead.
 async fn get(client: &Client, kind: ObjectKind, name: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/objects/{kind}/{name}")).await?;
     if as_json {
@@ -99,6 +103,7 @@
     Ok(())
 }
 
+/// Prints the stored edits of an object: version, time, author and id.
 async fn history(
     client: &Client,
     kind: ObjectKind,
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -46,7 +46,7 @@
     format!("{value:#}")
 }
 
-/// Prints the list of entries that callers receive.
+/// Prints the list of entries that callers receive, and how long they keep it.
 pub(crate) async fn entries(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.get("/entries").await?;
     if as_json {
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// Prints the back ends of the entry.
+/// Prints the back ends of the entry: place, state, calls, latency and connections.
 pub(crate) async fn targets(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.get("/targets").await?;
     if as_json {
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-/// Prints the explanation of one refusal.
+/// Prints the explanation of the refusal with this receipt: a sentence, then its details.
 pub(crate) async fn why(client: &Client, receipt: &str, as_json: bool) -> Result<(), CliError> {
     let reply = client.get(&format!("/why/{receipt}")).await?;
     if as_json {
@@ -124,7 +124,8 @@
     Ok(())
 }
 
-/// Starts a planned stop of the entry.
+/// Starts a planned stop of the entry and prints a confirmation, without waiting for its
+/// end.
 pub(crate) async fn drain(client: &Client, as_json: bool) -> Result<(), CliError> {
     let reply = client.call(Method::POST, "/drain", Bytes::new()).await?;
     if as_json {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -27,7 +27,8 @@
     Ok(())
 }
 
-/// Returns the status that a member reports; null if it is gone or unknown.
+/// Queries a member for its status; null if it is gone, has no valid operators' address or
+/// the query fails.
 async fn fetch_status(client: &Client, member: &Value) -> Value {
     let address: Option<SocketAddr> = member["operators"].as_str().and_then(|a| a.parse().ok());
     match address {
@@ -73,7 +74,8 @@
     print_table(&rows);
 }
 
-/// Prints the versions of each object, with the entries where each is in force.
+/// Prints the versions of each template and organisation, with the entries where each is
+/// in force, and the entries that gave no status.
 fn print_versions(statuses: &BTreeMap<String, Value>) {
     let mut rows = vec![
         ["OBJECT", "VERSION", "IN FORCE AT"]
