--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -94,7 +94,7 @@
 
 /// Divisor of the term after which a lease is renewed; leaves time to repeat lost renewals.
 const RENEWALS: u32 = 3;
-/// Interval for listing the leases again while none is available.
+/// Age from which the list of leases is read again before one is taken.
 const RELIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Fixed backoff after a call that failed or has no known outcome.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
@@ -207,8 +207,9 @@
         }
     }
 
-    /// Returns the write that takes the first available lease, or a request for the list
-    /// if there is none from within [`RELIST_INTERVAL`]; `None` if no lease is available.
+    /// Returns a request for the list if the last one is at least [`RELIST_INTERVAL`] old
+    /// or missing, even if an available lease is known. Else returns the write that takes the
+    /// first available lease, searched from `first_tried` on, or `None` if there is none.
     fn find_available(&self, now: Time) -> Option<LeaseCall> {
         let recent = self
             .listed_at
@@ -317,8 +318,8 @@
         }
     }
 
-    /// Starts the fixed backoff after a failed call, in which no other is made; nothing
-    /// else changes.
+    /// Starts the fixed backoff after a failed call, in which no other is made. Doesn't end
+    /// the pending call and changes nothing else.
     pub fn on_failure(&mut self, now: Time) {
         self.backoff_until = now + RETRY_BACKOFF;
     }
--- a/crates/once/src/registry.rs
+++ b/crates/once/src/registry.rs
@@ -68,7 +68,7 @@
     pub settled: Option<(u64, Outcome)>,
 }
 
-/// Parameters of a registry.
+/// Parameters of a ticket registry: lifetime of a ticket and maximum number of tickets.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryConfig {
     /// Time from minting to expiry of a ticket.
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -86,12 +86,13 @@
     }
 
     /// Allows `quota` calls in any `window` in addition to the share. The bucket's
-    /// capacity becomes half of the quota, but at least one call where the quota is,
-    /// and the rest is refilled over the window. Tokens above the new capacity are
+    /// capacity becomes half of the quota, and at least one call if the quota is one or
+    /// more; the rest is refilled over the window. Tokens above the new capacity are
     /// dropped.
     ///
     /// For a quota below one call, whose half could never be spent alone, a reserve
-    /// saved from first calls adds the missing part.
+    /// saved from first calls adds the missing part; an existing reserve is kept. For
+    /// a quota of one or more it is dropped.
     pub fn set_quota(&mut self, quota: f64, window: Duration) {
         self.burst = match quota >= 1.0 {
             true => (quota / 2.0).max(1.0),
--- a/crates/tier/src/callers.rs
+++ b/crates/tier/src/callers.rs
@@ -253,8 +253,9 @@
     format!(r#"{},"rows":{rows}}}"#, &head[..head.len() - 1])
 }
 
-/// Encodes the answer of a submission that ran as JSON, with the outcome
-/// `done`; an empty answer becomes `null`. Other outcomes are refusals.
+/// Encodes the answer of a submission that ran as JSON, with the outcome `done`
+/// and the request id. The answer is JSON already and passed on unparsed; an empty
+/// one becomes `null`. Other outcomes are refusals.
 fn outcome_json(outcome: &SubmitOutcome) -> String {
     let answer = if outcome.answer.is_empty() {
         "null".into()
--- a/crates/tier/src/startup.rs
+++ b/crates/tier/src/startup.rs
@@ -105,9 +105,10 @@
 /// leaf also poll its state, so this only shortens the delay.
 const LEAVING_FANOUT: usize = 16;
 
-/// Builds a member from a VM of the platform's list; `None` if the VM is
-/// leaving, lacks addresses or is not an entry with a valid name. Its
-/// incarnation is unknown, so any message from the member overrides this.
+/// Builds a starting member with the name, failure domain and addresses of a VM
+/// of the platform's list; `None` if the VM is leaving, lacks addresses or is not
+/// an entry with a valid name. Its incarnation is 0, so any message from the
+/// member overrides this.
 fn member_from_vm(vm: &Vm) -> Option<Member> {
     let [callers, operators, peers] = vm.addresses?;
     let id: MemberId = vm.member()?;
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -404,7 +404,8 @@
 }
 
 /// Chooses a replica that was not tried yet and counts a call to it. `None` if
-/// none can take a call or the chosen one has no address any more.
+/// the routes lack the shard or no replica can take a call, and also if the chosen
+/// one has no address any more, in which case the call stays counted.
 fn next_replica(
     shared: &Shared,
     service: &Service,
