--- a/crates/conf/src/object.rs
+++ b/crates/conf/src/object.rs
@@ -5,9 +5,8 @@
 use chestnut_unit::WallTime;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of past edits kept in an object. They serve `history` and tell
-/// whether a write whose answer was lost took effect, which fails only if this many
-/// other edits follow it before the check.
+/// Maximum number of past edits kept in an object, for `history` and to tell whether a write
+/// whose answer was lost took effect, unless this many other edits have followed it.
 pub const MAX_EDITS: usize = 32;
 
 /// Kinds of objects in the object API: templates, organisations, services, layouts,
--- a/crates/port/src/json.rs
+++ b/crates/port/src/json.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// The list of parts of an answer, in its order.
+/// The `parts` read from an answer: a list, which keeps their order and repeated shards.
 struct Parts(Vec<(ShardName, Bytes)>);
 
 impl<'de> Deserialize<'de> for Parts {
--- a/crates/port/src/rpc.rs
+++ b/crates/port/src/rpc.rs
@@ -175,7 +175,7 @@
 }
 
 /// An outgoing connection to one peer: its client, when bytes were last received, and
-/// whether it is still open.
+/// whether new calls may use it.
 struct Conn<C> {
     client: C,
     /// When bytes were last received.
--- a/crates/relay/src/leaf_calls.rs
+++ b/crates/relay/src/leaf_calls.rs
@@ -62,6 +62,9 @@
     /// endpoint or may not be called while cold. Unsent, refused, lost and failed calls keep
     /// their kind; in a gather, an error status is a failed call too.
     ///
+    /// A request that runs at most once reuses only connections idle for at most
+    /// [`ONCE_IDLE_MAX`]. A call to a rate-limited cold leaf must be sent before `send_until`.
+    ///
     /// Records a reply and a lost connection in `outcomes`, and the reply of a failed call in
     /// `last_failure`.
     fn call(&self, request: CallRequest<'_>) -> CallFuture<LeafReply> {
--- a/crates/relay/src/leafs.rs
+++ b/crates/relay/src/leafs.rs
@@ -72,16 +72,17 @@
     cold_until: Time,
 }
 
-/// A change of the known leafs, for the request path: a leaf was updated, restarted, became
-/// cold, was reported by a stale registration, drains, is closed, is missing or was removed.
+/// A change of the known leafs, for the request path: a leaf is new or updated, restarted,
+/// became cold, drains, is closed, is missing or was removed, or a stale registration of it
+/// was ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeafChange {
-    /// A leaf is new, or its registration changed.
+    /// A ready leaf is new, its registration changed, or it is no longer missing.
     Updated(LeafId, LeafRegistration),
     /// A leaf restarted under the same id: its statistics, connections and draining
     /// state belong to the earlier incarnation.
     Restarted(LeafId, LeafRegistration),
-    /// A leaf is cold until the given time.
+    /// A leaf is cold until the given time at least.
     BecameCold(LeafId, Time),
     /// A registration of an earlier incarnation was ignored.
     Stale(LeafId),
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -14,7 +14,7 @@
 const SHARDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 /// Latency objective of the rules.
 const OBJECTIVE: Duration = Duration::from_millis(200);
-/// Network delay to the caller: four round trips of 6 ms for lookup, connection and request.
+/// Network delay to the caller: the round trips for lookup, connection and request.
 const CALLER_DELAY: Duration = Duration::from_millis(24);
 
 /// Four shards, of which the last has a single leaf with five slots that takes `ms`
--- a/crates/scene/src/command.rs
+++ b/crates/scene/src/command.rs
@@ -243,8 +243,9 @@
     }
 }
 
-/// Parses the settings of a `world` line, such as `entries=5` or `unconfirmed=1h`;
-/// those not given have the values of [`Setup::default`].
+/// Takes the settings of a `world` line, such as `entries=5` or `unconfirmed=1h`, out of
+/// `words`; those not given have the values of [`Setup::default`]. Fails on an invalid value;
+/// other words and keys are left to the caller.
 fn parse_setup(words: &mut Words) -> Result<Setup, String> {
     let default = Setup::default();
     Ok(Setup {
--- a/crates/scene/src/leafs.rs
+++ b/crates/scene/src/leafs.rs
@@ -91,9 +91,12 @@
 }
 
 impl FakeTargets {
-    /// Waits for the network delay and the service time of a call, and for the end of a
-    /// freeze; counts a late call. Fails with `ConnectionSilent` after [`PING_TIMEOUT`] if
-    /// connections are silent, `NotSent` if the leaf is down, `Lost` if it crashes meanwhile.
+    /// Waits until the entry runs, then for the network delay, the end of a freeze and the
+    /// service time multiplied by `slow`; counts a late call. Fails with `NotSent` if the leaf
+    /// is down or unknown, and `Lost` if it crashes meanwhile.
+    ///
+    /// While connections have been silent for less than [`PING_TIMEOUT`], fails with
+    /// `ConnectionSilent` that long after the silence began; later calls go through.
     async fn deliver(&self, id: &LeafId) -> Result<(), Failure> {
         self.gate.wait_running().await;
         let silent = self.with(id, |leaf| match leaf.silent_since {
--- a/crates/scene/src/links.rs
+++ b/crates/scene/src/links.rs
@@ -149,12 +149,16 @@
 }
 
 impl Peers for FakePeers {
+    /// Runs a sub-query on the target process through `call`, within the sub-query's
+    /// deadline; fails when it passes.
     fn query(&self, to: SocketAddr, ask: SubQuery) -> BoxFuture<'_, Result<SubAnswer, PeerError>> {
         let wait = ask.deadline;
         self.call(to, wait, async move |p: Process| p.service.query(ask).await)
             .boxed()
     }
 
+    /// Runs a submission on the target process through `call`, within its deadline. Fails when
+    /// it passes, but the target goes on; replies `Unknown` if the target's task panics.
     fn submit(
         &self,
         to: SocketAddr,
@@ -171,11 +175,15 @@
         .boxed()
     }
 
+    /// Reads the members known to the target process through `call`; fails after
+    /// [`CONTROL_TIMEOUT`].
     fn members(&self, to: SocketAddr) -> BoxFuture<'_, Result<Vec<Member>, PeerError>> {
         self.call(to, CONTROL_TIMEOUT, async |p: Process| p.service.members())
             .boxed()
     }
 
+    /// Runs `objects` on the target process through `call`, with the versions in `have`;
+    /// fails after [`CONTROL_TIMEOUT`].
     fn objects(
         &self,
         to: SocketAddr,
@@ -187,6 +195,7 @@
         .boxed()
     }
 
+    /// Hands objects to the target process through `call`; fails after [`CONTROL_TIMEOUT`].
     fn push(&self, to: SocketAddr, objects: Vec<Object>) -> BoxFuture<'_, Result<(), PeerError>> {
         self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.push(objects);
@@ -194,6 +203,8 @@
         .boxed()
     }
 
+    /// Runs a dispatch on the target process through `call`, within its deadline. Fails with
+    /// the target's failure, or with `NotSent` or `Lost` if the call fails.
     fn dispatch(&self, to: SocketAddr, ask: Dispatch) -> BoxFuture<'_, Result<Bytes, Failure>> {
         let wait = ask.deadline;
         async move {
@@ -207,6 +218,8 @@
         .boxed()
     }
 
+    /// Reports leaving leafs to the target process through `call`; fails after
+    /// [`CONTROL_TIMEOUT`].
     fn report_leaving(
         &self,
         to: SocketAddr,
@@ -218,6 +231,8 @@
         .boxed()
     }
 
+    /// Hands a batch of refusals to the target process through `call`; fails after
+    /// [`CONTROL_TIMEOUT`].
     fn copy_refusals(&self, to: SocketAddr, batch: Bytes) -> BoxFuture<'_, Result<(), PeerError>> {
         self.call(to, CONTROL_TIMEOUT, async move |p: Process| {
             p.service.copy_refusals(&batch);
@@ -225,6 +240,8 @@
         .boxed()
     }
 
+    /// Hands tickets to the target process through `call` and returns the incarnation that it
+    /// replies; fails after [`CONTROL_TIMEOUT`].
     fn take_tickets(
         &self,
         to: SocketAddr,
