--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -90,9 +90,9 @@
     /// more; the rest is refilled over the window. Tokens above the new capacity are
     /// dropped.
     ///
-    /// For a quota below one call, whose half could never be spent alone, a reserve
-    /// saved from first calls adds the missing part; an existing reserve is kept. For
-    /// a quota of one or more it is dropped.
+    /// With a quota below one call the bucket never holds a whole call, so a reserve
+    /// saved from first calls adds the missing part; an existing reserve is kept. With
+    /// a quota of one or more the reserve is dropped.
     pub fn set_quota(&mut self, quota: f64, window: Duration) {
         self.burst = match quota >= 1.0 {
             true => (quota / 2.0).max(1.0),
--- a/crates/route/src/cold.rs
+++ b/crates/route/src/cold.rs
@@ -25,8 +25,8 @@
 pub(crate) struct ColdLimit {
     /// Time at which the back end is warm.
     until: Time,
-    /// Earliest time of a call. It leaves a window without calls after those that were
-    /// sent before the back end was known to be cold.
+    /// Earliest time of a call: one [`COLD_WINDOW`] after the last call that was sent
+    /// before the rate limit began, as those calls aren't in `calls`.
     callable_from: Time,
     permit: ColdPermit,
     /// Times of the calls in the last window.
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Removes the rate limit of a back end that is warm, whatever its end.
+    /// Removes the rate limit of a back end that is warm, even before the time at which
+    /// the limit would end.
     pub fn end_cold_limit(&mut self, ix: Ix) {
         self.states[ix.index()].cold = None;
     }
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -5,8 +5,9 @@
 use chestnut_unit::Time;
 use hdrhistogram::Histogram;
 
-/// Weight of a new sample in the moving average. A tenth rides out one
-/// straggler and follows a leaf that turned slow within about ten calls.
+/// Weight of a new sample in the moving average. It is small enough that one
+/// straggler changes the average little, and large enough that the average of
+/// a leaf that turned slow rises within about ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Samples are clipped at this multiple of the average, so that one straggler
 /// doesn't move its leaf's load to the other replicas.
--- a/crates/route/src/evict.rs
+++ b/crates/route/src/evict.rs
@@ -7,11 +7,12 @@
 
 use crate::{Ix, Table};
 
-/// Evicted back ends among `replicas`, the first ones up to a third of all, or
-/// one of two. If most replicas look faulty, the cause is probably this entry
-/// or the whole service, and evicting them all would cause an outage. One of
-/// two may go, so that an unresponsive replica doesn't delay half of the
-/// queries.
+/// The evicted back ends among `replicas` that are treated as evicted: the
+/// first ones in the list, at most a third of all replicas, or one of two. The
+/// others count as not evicted: if most replicas look faulty, the cause is
+/// probably this entry or the whole service, and evicting them all would cause
+/// an outage. One of two may be evicted, since an unresponsive replica would
+/// otherwise delay half of the queries.
 #[must_use]
 pub(crate) fn evicted_among(table: &Table, replicas: &[Ix], now: Time) -> BTreeSet<Ix> {
     let limit = match replicas.len() {
--- a/crates/route/src/failure_rate.rs
+++ b/crates/route/src/failure_rate.rs
@@ -4,8 +4,9 @@
 
 use chestnut_unit::Time;
 
-/// Weight of a new call in the moving average. A tenth hardly reacts to one
-/// loss and shows a back end that often fails within a few calls.
+/// Weight of a new call in the moving average. It is small enough that one
+/// lost call changes the rate little, and large enough that the rate of a back
+/// end that often fails rises within a few calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Time constant with which the failure rate decays while no call is made, so
 /// that an avoided back end is called again.
@@ -16,7 +17,7 @@
 pub(crate) enum Outcome {
     /// It was answered.
     Success,
-    /// It failed or was refused.
+    /// It failed through a fault of the back end, or was shed.
     Failure,
 }
 
--- a/crates/route/src/hedge.rs
+++ b/crates/route/src/hedge.rs
@@ -15,9 +15,10 @@
     /// Outstanding calls of a query are hedged once most of its shards have
     /// answered and the calls take longer than usual for the service.
     Late {
-        /// Cap on how far beyond its expected duration a call is late, as a
-        /// multiple of the median duration. It matters when stragglers are so
-        /// many that the quantile is a straggler's duration.
+        /// Cap on the time after its expected duration at which a call is late,
+        /// as a multiple of the median duration. This time is normally a
+        /// quantile of past excesses over the expected duration; the cap
+        /// applies when there are so many stragglers that they determine it.
         times: f64,
         /// Largest share of missing shards at which a query may hedge. If more
         /// are missing the whole service is slow, and extra calls would slow it
@@ -34,8 +35,10 @@
 /// timers.
 const MIN_DELAY: Duration = Duration::from_micros(500);
 
-/// Cap on the expected duration, as a multiple of the median: a call to a slow
-/// back end is hedged as early, since its query waits for it all the same.
+/// Cap on the expected duration from which a delay is derived, as a multiple of
+/// the median. Without it, calls to a back end that is known to be slow would
+/// be hedged late, although they delay their queries as much as other late
+/// calls.
 const MAX_EXPECTED_MEDIANS: f64 = 1.5;
 
 impl Hedge {
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -22,10 +22,10 @@
 /// Multiple of the baseline at which run times are clipped, so that a few
 /// requests that wait for stragglers don't look like overload.
 const CLIP_FACTOR: f64 = 2.0;
-/// Share of calls that must be shed before the limit shrinks. Fewer only show
-/// that the choice of replicas is imperfect.
+/// Share of shed calls above which the limit shrinks. Fewer are expected, since
+/// the choice of replicas is imperfect.
 const SHED_SHARE: f64 = 0.3;
-/// Factor on the limit after a window with that share of shed calls.
+/// Factor on the limit after a window in which [`SHED_SHARE`] was exceeded.
 const SHED_FACTOR: f64 = 0.9;
 /// Time between two probes of the baseline.
 const PROBE_INTERVAL: Duration = Duration::from_secs(4);
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -95,8 +95,8 @@
         self.conns.is_empty()
     }
 
-    /// Changes the limits. Excess connections aren't closed, since calls run on
-    /// them; they go when they close.
+    /// Changes the limits. Connections above them aren't closed, since calls may
+    /// be in flight on them; they stay in the pool until they close by themselves.
     pub fn set_limits(&mut self, max: usize, spare: usize) {
         self.max = max.max(1);
         self.spare = spare;
--- a/crates/route/src/query/calls.rs
+++ b/crates/route/src/query/calls.rs
@@ -260,8 +260,8 @@
 /// Returns the kind of call that replaces one that failed with `failure`.
 pub(super) fn kind_after(failure: Failure, repeat: Repeat) -> CallKind {
     match failure {
-        // Silence proves nothing: a call that must run at most once may have
-        // run.
+        // The back end may have run the call although its connection is silent,
+        // and the call must run at most once.
         Failure::ConnectionSilent if repeat == Repeat::OnlyIfNotRun => CallKind::Retry,
         Failure::NotSent
         | Failure::ConnectionSilent
--- a/crates/route/src/query/mod.rs
+++ b/crates/route/src/query/mod.rs
@@ -241,8 +241,7 @@
         }
     }
 
-    /// Reverts the count of a call that did not run, so that it doesn't count as
-    /// an attempt at its shards.
+    /// Subtracts a call that did not run from the `ran` counts of its shards.
     fn revert_run(&mut self, id: CallId) {
         for position in &self.calls[id.0 as usize].shards {
             let shard = &mut self.shards[*position];
--- a/crates/route/src/query/wait.rs
+++ b/crates/route/src/query/wait.rs
@@ -12,8 +12,9 @@
 /// Minimum delay between two checks for capacity: about the time for a busy back end to
 /// free a slot.
 const CAPACITY_RECHECK: Duration = Duration::from_millis(4);
-/// Divisor of the time since the query's start that gives later delays: queries that
-/// will be late anyway leave the capacity to those that can be in time.
+/// The delay between two checks is the time since the query's start divided by this, if
+/// that exceeds [`CAPACITY_RECHECK`]. Old queries, which will be late anyway, thus check
+/// less often and leave the capacity to those that can be in time.
 const RECHECK_DIVISOR: u32 = 4;
 /// Divisor of the time from the query's start to its latency objective that limits the
 /// wait for capacity before the first call; the calls need the rest.
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -20,7 +20,7 @@
 const BURST: u32 = 64;
 /// Failure points without an answer in between at which a back end is evicted.
 const EVICT_POINTS: u32 = 9;
-/// Points for a call that was lost or could not be sent.
+/// Points for a call that was lost, could not be sent or was answered with an error.
 const POINTS_LOST: u32 = 3;
 /// Points for a call that was cancelled late: the fault may be in its connection,
 /// which the pool detects first.
@@ -361,8 +361,8 @@
         self.index.iter().map(|(backend, ix)| (*ix, backend))
     }
 
-    /// Records that a call is sent to a back end at `now`, for its calls in flight and
-    /// its cold limit.
+    /// Records that a call is sent to a back end at `now`: counts it as in flight, and
+    /// against the rate limit if the back end is cold.
     pub fn sent(&mut self, ix: Ix, now: Time) {
         self.states[ix.index()].outstanding += 1;
         self.record_call_time(ix, now);
