--- a/crates/relay/src/apply.rs
+++ b/crates/relay/src/apply.rs
@@ -34,10 +34,9 @@
     apply_leafs(shared, batch, whole);
 }
 
-/// Returns the leafs of a batch whose registration keeps them cold for longer than was known,
-/// by more than the jitter of heartbeats. A leaf that
-/// becomes cold again before it has reported a shorter warm-up writes the same entry as
-/// before.
+/// Returns the leafs of a batch that stay cold for longer than was known, by more than the
+/// jitter of heartbeats. The end of the warm-up is compared and not the registration: a leaf
+/// that becomes cold again may write the same registration as before.
 fn leafs_cold_longer(
     shared: &Shared,
     batch: &Batch<(LeafId, LeafRegistration)>,
--- a/crates/relay/src/feed_watch.rs
+++ b/crates/relay/src/feed_watch.rs
@@ -20,8 +20,8 @@
 
 /// Name of the route book in metrics and logs.
 const BOOK: &str = "book";
-/// Longest time that a watch call waits for a change. As long as stores allow, as each call
-/// is paid for; a lost watch is found by the revision poll and not by its end.
+/// Longest time that a watch call waits for a change. It is as long as stores allow, since
+/// each call costs money; a lost watch is detected earlier, by the revision polls.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
 /// Backoff after a peer failed, in which another upstream is chosen.
 const PEER_BACKOFF: Duration = Duration::from_millis(20);
@@ -35,8 +35,8 @@
 /// Delay between an answer of the store with changes and the next watch, which batches
 /// changes. It is short against the time that a draining leaf still serves.
 const BATCH_DELAY: Duration = Duration::from_millis(350);
-/// Longest such delay in a burst of changes: it doubles with each answer that came at
-/// once. It also delays the detection of a lost watch.
+/// Longest such delay in a burst of changes: it doubles with each answer that comes within
+/// [`BURST_GAP`]. It also delays the detection of a lost watch.
 const BATCH_DELAY_MAX: Duration = Duration::from_millis(1000);
 /// A watch that waited for this long ends a burst.
 const BURST_GAP: Duration = Duration::from_secs(1);
@@ -74,8 +74,8 @@
     if lock(&shared.feed_copies.evacuations).is_behind(&evacuations) {
         update_evacuations(shared, evacuations, true);
     }
-    // The store may have answered meanwhile. An older list beside its watch would lack
-    // leafs for good that the watch does not report again.
+    // The store may have answered meanwhile. An older list must not replace its newer one:
+    // the watch goes on from the newer revision and would never report the leafs it lacks.
     if lock(&shared.feed_copies.leafs).is_behind(&leafs) {
         info!(shared.runtime.log, "watch: takes what {from} has heard"; "revision" => leafs.revision);
         update_leafs(shared, leafs, true);
@@ -101,9 +101,8 @@
 }
 
 /// Lists the evacuated failure domains from the store until they are known, once the book and
-/// the leafs are. A
-/// peer of an earlier version never does, and without the list the entry would not
-/// serve.
+/// the leafs are. The entry can't serve without that list, and a peer that runs an earlier
+/// version of the program never sends it.
 async fn list_evacuations(shared: &Shared, evacuations: &dyn Feed<DomainName>) {
     /// Time that a peer has to report them, once the entry has the book and the leafs.
     const PEER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -203,8 +202,9 @@
     }
 }
 
-/// Returns whether the store is the upstream for a moment only, as it is in the search
-/// for peers that have not lost it. What seldom changes need not be listed for that.
+/// Returns whether the store is the upstream but no longer is after a short wait, as in the
+/// search for a peer that has not lost it. It spares the store calls for feeds that seldom
+/// change. Returns at once if a peer is the upstream.
 async fn is_transient(shared: &Shared, upstream: Upstream) -> bool {
     /// Time after which the upstream counts as settled.
     const SETTLE_TIME: Duration = Duration::from_millis(250);
@@ -287,7 +287,7 @@
     }
 }
 
-/// Waits until the store answers polls, as calls to a lost one are paid for in vain.
+/// Waits until the store is not lost: calls to a lost store fail and still cost money.
 async fn wait_for_store(shared: &Shared) {
     // An error means that the entry ends.
     let _ = shared
--- a/crates/relay/src/quota.rs
+++ b/crates/relay/src/quota.rs
@@ -38,8 +38,7 @@
 
 impl Quota {
     /// Returns the quota to use until the other entries are known: that of one of 16 serving
-    /// entries. It assumes many:
-    /// with too few, entries that start together would exceed the shared bounds.
+    /// entries. If it assumed fewer, entries that start together could exceed the shared bounds.
     #[must_use]
     pub fn initial() -> Self {
         Self {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -149,9 +149,9 @@
 /// Longest propagation of a change in the store to this entry, including the failure of
 /// an upstream or a watch on the way.
 const PROPAGATION_MAX: Duration = Duration::from_millis(1800);
-/// Time in which leaf entries that expired during an outage of the store are written again.
+/// Time in which leafs write their registrations again that expired in an outage of the store.
 const LEAF_RECOVERY: Duration = Duration::from_millis(2200);
-/// Share of the drain time after which a leaf with a missing entry must not be called.
+/// Share of the drain time after which a leaf with a missing registration must not be called.
 const LEAF_RECOVERY_SHARE: f64 = 0.75;
 
 impl Times {
@@ -162,7 +162,7 @@
         self.drain.saturating_sub(PROPAGATION_MAX)
     }
 
-    /// How long a ready leaf may still be called after its entry in the store has gone missing;
+    /// How long a ready leaf may still be called after its registration has gone missing;
     /// limited by a share of the drain time.
     #[must_use]
     pub fn missing_leaf_grace(&self) -> Duration {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -67,7 +67,7 @@
     pub(crate) phase: watch::Sender<Phase>,
     /// Whether the store is lost and its greatest revision, from the revision polls.
     pub(crate) store_status: watch::Sender<StoreStatus>,
-    /// The current upstream; none while no peer that was asked has answered.
+    /// The current upstream; none while this entry polls peers for one that answers.
     pub(crate) upstream: watch::Sender<Option<Upstream>>,
     /// The book, leafs and evacuations that this entry passes on to its followers.
     pub(crate) feed_copies: FeedCopies,
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -34,7 +34,7 @@
     pub(crate) address: SocketAddr,
     /// The service that the leaf runs.
     pub(crate) service: ServiceName,
-    /// Near if the leaf is in this entry's failure domain, far otherwise.
+    /// Local if the leaf is in this entry's failure domain, remote otherwise.
     pub(crate) distance: Distance,
     /// Requests that the leaf runs at once.
     pub(crate) slots: u32,
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -8,8 +8,8 @@
 
 use crate::ranking::Ranking;
 
-/// Backoff of a peer that did not answer after [`SLOW_SEED_WAIT`] from the start, or has lost
-/// the store while it answers this entry.
+/// Backoff of a peer that did not answer, once this entry has run for [`SLOW_SEED_WAIT`]; also
+/// of a peer that has lost the store while the store still answers this entry.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
 /// Lifetime of a peer's report that it has lost the store, or of a redirect to another
 /// peer.
@@ -33,8 +33,9 @@
 const MIN_SEED_WAIT: Duration = Duration::from_millis(30);
 /// Upper end of that time, which varies by entry so that calls to the store are spread out.
 const MAX_SEED_WAIT: Duration = Duration::from_millis(120);
-/// Weight, in calls per second, from which an entry turns to the store so soon. Lighter
-/// ones are many and rarely serve callers, so their calls to the store would not pay off.
+/// Least weight, in calls per second, of an entry that asks the store after at most
+/// [`MAX_SEED_WAIT`]. Lighter ones are many and rarely serve callers, so they wait for
+/// [`SLOW_SEED_WAIT`] to keep calls to the store few.
 const FAST_WEIGHT: u32 = 1500;
 /// Time that lighter entries ask the seeds before the store.
 const SLOW_SEED_WAIT: Duration = Duration::from_millis(400);
--- a/crates/relay/src/upstream_poll.rs
+++ b/crates/relay/src/upstream_poll.rs
@@ -38,10 +38,11 @@
 /// Shortest interval between polls of a store that the peers, or this entry alone, have lost;
 /// the longest is twice that. It bounds the delay of its changes and the load on the store.
 const CHECK_INTERVAL_MIN: Duration = Duration::from_secs(4);
-/// Longest delay of the first such poll after the peers have lost the store. Short, as
-/// the store may have taken a version in that moment and serve it to this entry only.
+/// Longest delay of the first such poll after the peers have lost the store. It is short, as
+/// the store may just have accepted a change and be reachable from this entry only.
 const FIRST_CHECK_MAX: Duration = Duration::from_millis(1500);
-/// The same for each member, where that is longer: it spreads the polls of a large fleet.
+/// Time per member: in a large fleet the longest delay is this times the number of members, up
+/// to [`CHECK_INTERVAL_MIN`], so that their polls are spread out.
 const FIRST_CHECK_PER_MEMBER: Duration = Duration::from_millis(2);
 
 /// Outcome of a poll: answered, the store is lost, or another upstream is to be polled.
@@ -141,8 +142,8 @@
     let none = || Err(FeedError::Unavailable("no answer in time".to_owned()));
     let answer = timeout(limit, feeds.peers.heartbeat(peer)).await;
     let heartbeat = answer.unwrap_or_else(|_| none())?;
-    // The upstream is read from in either case, in the same failure domain or in
-    // another.
+    // Counted as local wherever the peer is: this entry reads from its upstream in any case,
+    // so a newer book there need not wait for the delay of peers in other failure domains.
     shared.record_peer_version(peer, heartbeat.book, Distance::Local);
     heartbeat.store
 }
