--- a/crates/fleet/src/confirm.rs
+++ b/crates/fleet/src/confirm.rs
@@ -21,7 +21,8 @@
 const REPORT_EXPIRY: Duration = Duration::from_secs(30);
 
 /// The last report of a peer: when it arrived, the digest of the peer's
-/// settings, and how long before that they were confirmed (`None` if never).
+/// settings, and the time from their last confirmation to the report (`None` if
+/// they were never confirmed).
 #[derive(Clone, Copy, Debug)]
 struct PeerReport {
     at: Time,
--- a/crates/fleet/src/entries.rs
+++ b/crates/fleet/src/entries.rs
@@ -23,10 +23,10 @@
 const LOAD_STEP: u32 = 8;
 
 /// Returns the entries that accept new work in the order in which a caller
-/// should try them: those in `domain`, the caller's own failure domain if
-/// known, then by load. `own_load` is the number of requests that this entry
-/// runs. Ties are broken at random by `rng`, so that callers that ask at the
-/// same time don't all choose the same entry.
+/// should try them: first those in `domain`, the caller's failure domain if
+/// known; among them and among the others, by load. `own_load` is the number of
+/// requests that this entry runs. Ties are broken at random by `rng`, so that
+/// callers that ask at the same time don't all choose the same entry.
 #[must_use]
 pub fn order_entries(
     swim: &Swim,
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -65,8 +65,8 @@
     pub incarnation: Incarnation,
 }
 
-/// Incarnations whose successors are kept, enough for several restarts within
-/// the validity of a ticket.
+/// Maximum number of incarnations whose successors are kept, enough for several
+/// restarts within the validity of a ticket.
 const MAX_SUCCESSORS: usize = 3;
 
 impl Member {
@@ -127,7 +127,7 @@
     }
 
     /// Adds successors of this and earlier incarnations without replacing known
-    /// ones, and keeps only those of the latest three incarnations.
+    /// ones, and keeps only those of the latest few incarnations.
     pub fn add_successors(&mut self, successors: &BTreeMap<Incarnation, Successor>) {
         for (incarnation, successor) in successors {
             self.successors
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -8,8 +8,9 @@
 
 use crate::Member;
 
-/// Shares of a leaf's connections that stay unused, so that one holder too
-/// many, while views differ, doesn't exceed the limit.
+/// Shares of a leaf's connections that stay unused. While the views of entries
+/// differ, a leaf may have one holder too many; the spare share keeps it within
+/// its limit.
 const SPARE_SHARES: u32 = 1;
 
 /// Returns the number of members that hold a leaf accepting `connections`
--- a/crates/fleet/src/swim/probing.rs
+++ b/crates/fleet/src/swim/probing.rs
@@ -18,8 +18,8 @@
 /// One in this many probes goes to a member of any failure domain when the own
 /// one has at least [`MIN_LOCAL_PEERS`] others. Limits traffic between domains.
 const ANY_DOMAIN_EVERY: u64 = 4;
-/// Number of other members of a failure domain from which on they mostly probe
-/// each other.
+/// Minimum number of other members in the own failure domain for most probes to
+/// go to them.
 const MIN_LOCAL_PEERS: usize = 16;
 
 /// The members that a round of probes covers.
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Attaches the later incarnation of the receiver's name to a message, so
-    /// that it takes a higher one. Otherwise a member that left and restarted
-    /// with its clock behind would count as leaving forever.
+    /// If a later incarnation of the receiver is known, attaches it to the
+    /// message, so that the receiver can take a higher one. Otherwise a member that
+    /// left and restarted with its clock behind would count as leaving forever.
     pub(super) fn attach_later_incarnation(&self, to: &Member, message: &mut Message) {
         let known = self
             .view
--- a/crates/flow/src/cell.rs
+++ b/crates/flow/src/cell.rs
@@ -7,8 +7,8 @@
 use rand::Rng;
 use tokio::sync::oneshot;
 
-/// Index of an admission queue in its cell. Requests of one queue wait for each
-/// other. A new cell has one queue.
+/// Index of an admission queue in its cell. Each queue has its own [`Admission`],
+/// so requests of different queues don't wait for each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueId(u32);
 
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,4 +1,4 @@
-//! The request path shared by all protocol front ends of the tier.
+//! The request path shared by all protocol front ends.
 //!
 //! This crate executes the decisions of `chestnut-route`. [`admit`] admits a
 //! request and returns an [`AdmittedRequest`], which is held while the request is
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,9 +1,9 @@
 //! At-most-once submissions without shared storage.
 //!
 //! A submission is dispatched by one process only: the issuer that its
-//! [`Ticket`] (a one-time permit) names. Repeats at any entry are routed to
-//! the same issuer, whose [`TicketRegistry`] answers them with the first
-//! outcome. See `docs/design/submissions.md`.
+//! [`Ticket`] (a one-time permit) names, or the successor that took over the
+//! issuer's tickets. Repeats at any entry are routed to that process, whose
+//! [`TicketRegistry`] answers them with the first outcome. See `docs/design/submissions.md`.
 //!
 //! ```
 //! use chestnut_once::{Claim, RegistryConfig, TicketRegistry};
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -9,8 +9,8 @@
     record::{EPISODE, MIN_CRASHES, SuspectRecord},
 };
 
-/// Records kept. Beyond it the one with the fewest episodes, then the first to expire, is
-/// dropped.
+/// Maximum number of records. When it is exceeded, the record with the fewest episodes is
+/// dropped; among equals, the first to expire.
 const MAX_RECORDS: usize = 1024;
 /// Crashes in a report: the first and the latest two, as many as a refusal needs.
 const REPORT_CRASHES: usize = MIN_CRASHES;
@@ -18,8 +18,9 @@
 const SENDS_PER_DIGIT: u32 = 4;
 /// Time between two pushes of changes, which batches those that come together.
 const PUSH_INTERVAL: Duration = Duration::from_millis(100);
-/// Pushes per window for changes that neither start nor end a refusal. Limited, since a
-/// region that fails makes thousands of requests suspect, few of them at fault.
+/// Number of pushes in a window from which on changes that neither start nor end a refusal
+/// wait for the next window. Otherwise the failure of many leafs, which makes many harmless
+/// requests suspect, would cause a flood of messages.
 const PUSH_BURST: u32 = 8;
 /// Length of the window in which pushes are counted.
 const PUSH_WINDOW: Duration = Duration::from_secs(10);
@@ -27,7 +28,8 @@
 /// request. A leaf that takes longer to answer is not waited for.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Added to all times, so that crashes from before this entry's start have a time too.
+/// Added to all times. [`Time`] is zero when the process starts, but a report can date a
+/// crash before that.
 const CLOCK_OFFSET: Duration = Duration::from_secs(24 * 3600);
 
 /// What one entry reports to another about a request: its last answer, the crashes under
@@ -203,7 +205,8 @@
             // The sender doesn't know of the later answer: send the record again.
             suspect.sent = suspect.sent.min(SENDS_PER_DIGIT - 1);
         }
-        // An expired record that is still gossiped elsewhere would circulate for ever.
+        // Don't gossip an expired record further: entries would keep sending it to each
+        // other after each of them had dropped it.
         if now >= suspect.record.expires_at() {
             self.suspects.remove(&report.fingerprint);
             return false;
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -42,13 +42,14 @@
     Refused(Duration),
 }
 
-/// Crashes from which on a request counts as their cause.
+/// Minimum number of crashes for a request to count as their cause; it also needs
+/// [`MIN_EPISODES`].
 pub(crate) const MIN_CRASHES: usize = 3;
-/// Crashes within this time of the first are one episode: a rack that fails takes many
-/// leafs under one request, but only once.
+/// Length of an episode, from its first crash. Crashes within it count as one event, since
+/// leafs can fail together, for example with their rack.
 pub(crate) const EPISODE: Duration = Duration::from_secs(1);
-/// Episodes from which on a request counts as the cause. A harmless request is answered
-/// between two of them.
+/// Minimum number of episodes for a request to count as the cause. A harmless request is
+/// usually answered before a second one.
 const MIN_EPISODES: usize = 2;
 /// Length of the first refusal; each further episode multiplies it by [`REFUSAL_GROWTH`].
 const INITIAL_REFUSAL: Duration = Duration::from_secs(120);
@@ -56,9 +57,10 @@
 const REFUSAL_GROWTH: u32 = 4;
 /// Longest refusal.
 const MAX_REFUSAL: Duration = Duration::from_secs(2 * 3600);
-/// How long a record is kept after its last crash or the end of its refusal.
+/// How long a record is kept after its last crash, the end of its refusal or the last
+/// answer, whichever is latest.
 const RECORD_TTL: Duration = Duration::from_secs(600);
-/// Crashes kept in a record: the earliest, which date it, and the latest.
+/// Maximum number of crashes kept in a record: the earliest and the latest ones.
 pub(crate) const MAX_CRASHES: usize = 8;
 
 /// The crashes under one suspect request and the last answer to it.
