--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,8 +1,8 @@
 //! Receipts and records of refused requests.
 //!
 //! A [`Receipt`] encodes a refusal as a short text with a check value (a
-//! truncated MAC), which still says why a request was not answered if the
-//! entry crashes. A [`RefusalLog`] keeps the records to be written to the
+//! truncated MAC). Any entry with the key can decode it, even after the entry
+//! that refused has crashed. A [`RefusalLog`] keeps the records to be written to the
 //! platform, in batches and in bounded memory, and counts those that it
 //! drops.
 //!
--- a/crates/audit/src/refusal_log.rs
+++ b/crates/audit/src/refusal_log.rs
@@ -14,7 +14,8 @@
     /// Minimum time between two batches.
     pub interval: Duration,
     /// Maximum number of records that the platform has not confirmed. Beyond
-    /// it, each new record drops the oldest one that is not yet in a batch.
+    /// it, each new record drops the oldest one that is not yet in a batch, if
+    /// there is one.
     pub capacity: usize,
     /// Maximum number of records in a batch, which keeps its object below a
     /// megabyte.
@@ -160,7 +161,7 @@
         Some(batch)
     }
 
-    /// Returns the batch to write at a planned stop, due or not; `None` if the
+    /// Returns the batch to write next, whether it is due or not; `None` if the
     /// platform has confirmed everything. New records come before batches that
     /// a peer has a copy of.
     pub fn flush_batch(&mut self) -> Option<Batch> {
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -16,9 +16,10 @@
 //!   The entry that stores the outcome of a ticket is its *keeper*.
 //! - A *receipt* is the text that a refused caller gets; it encodes the reason.
 //!
-//! Shared tables are locked one at a time. Code that needs two takes them in
-//! this order: configuration, members, services, one service, organisation limiters,
-//! tickets, refusal log. No lock is held across an await.
+//! Shared tables are usually locked one at a time. Code that needs several at
+//! once locks them in this order: configuration, members, services, one
+//! service, organisation limiters, tickets, refusal log. No lock is held across
+//! an await.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/tier/src/query.rs
+++ b/crates/tier/src/query.rs
@@ -377,7 +377,8 @@
         .filter(held)
         .collect();
     if subset.is_empty() {
-        // The peer's view differs and has this entry as a holder. Nothing ran.
+        // The peer takes this entry for a holder of these shards' leafs, but by
+        // its own placement it is not. Nothing ran.
         return SubAnswer::Failed(Failure::Refused(TargetRefusal::Connections));
     }
     let config = QueryConfig::new(shared.now() + part.deadline, Share::from_permille(0));
--- a/crates/tier/src/records.rs
+++ b/crates/tier/src/records.rs
@@ -1,4 +1,4 @@
-//! Writes refusal records, its own and copies for peers, to the platform.
+//! Writes the refusal records of this entry, and copies of peers', to the platform.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,8 +14,8 @@
 /// Interval at which pending batches are written.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Writes due batches of this entry and copies that peers stored here to the
-/// platform, without end.
+/// Writes to the platform, without end, the batches of this entry that are due
+/// and the copies that peers stored here.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         sleep(WRITE_INTERVAL).await;
--- a/crates/tier/src/refuse.rs
+++ b/crates/tier/src/refuse.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// Mean retry delay when a fault, not load, is the cause: routing avoids the
-/// fault by then.
+/// Mean retry delay of a refusal that sets none, if a retry may help. After a
+/// fault, it gives routing time to avoid the faulty back end.
 const FAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The retry delay of a refusal that sets none, with jitter so that callers
--- a/crates/tier/src/service.rs
+++ b/crates/tier/src/service.rs
@@ -56,7 +56,7 @@
     Cell::new(name, Table::new(table), admission, ServiceRoutes::default())
 }
 
-/// The leafs of a service that this entry holds, with their table indexes.
+/// The leafs of a service that this entry holds, with table index and address.
 pub(crate) fn held_leafs(service: &Service) -> Vec<(Ix, LeafId, SocketAddr)> {
     lock(&service.state)
         .extra
--- a/crates/tier/src/submit.rs
+++ b/crates/tier/src/submit.rs
@@ -252,8 +252,8 @@
     }
 }
 
-/// Runs a claimed submission; a refusal becomes the outcome that it did not
-/// run, with the reason.
+/// Runs a submission as the first use of its ticket. If it is refused before
+/// anything was sent, the outcome is that it did not run, with the reason.
 async fn run_claimed(shared: &Shared, submission: Submission) -> Outcome {
     let mut subject = Subject {
         request: shared.next_request(),
@@ -323,8 +323,8 @@
     last: Failure,
 }
 
-/// Derives the outcome of a submission: done if it was answered, not run if all
-/// attempts prove that, and unknown otherwise.
+/// Derives the outcome of a submission: done if it was answered, not run if no
+/// attempt can have run at a target, and unknown otherwise.
 fn outcome_of(attempts: Attempts) -> Outcome {
     if let Some(answer) = attempts.answer {
         return Outcome::Done(answer.to_vec());
@@ -440,8 +440,8 @@
     }
 }
 
-/// Calls a leaf, or a peer that holds it, until the deadline; an attempt that
-/// takes longer is lost and may still run.
+/// Calls a leaf, or a peer that holds it, until the deadline. A call that takes
+/// longer fails with [`Failure::Lost`], and the target may still run it.
 async fn send(
     shared: &Shared,
     service: &Service,
@@ -483,8 +483,8 @@
     timeout(left, call).await.unwrap_or(Err(Failure::Lost))
 }
 
-/// Sends a submission from its keeper to a leaf that this entry holds. Any
-/// failure but [`Failure::Lost`] proves that it did not run.
+/// Tries a submission that its keeper sent here at the leafs of its shard that
+/// this entry holds. Any failure but [`Failure::Lost`] proves that it did not run.
 pub(crate) async fn dispatch_local(shared: &Shared, dispatch: Dispatch) -> Result<Bytes, Failure> {
     let not_run = Failure::Refused(TargetRefusal::Connections);
     let service = shared.service(&dispatch.service).ok_or(not_run)?;
--- a/crates/tier/src/tier.rs
+++ b/crates/tier/src/tier.rs
@@ -33,8 +33,8 @@
     submit, watch,
 };
 
-/// Capacity of the queue of peers with a different digest. Those beyond it are
-/// dropped and queued again after a later probe.
+/// Capacity of the queue of peers with a different configuration digest. Those
+/// beyond it are dropped and queued again after a later probe.
 const DIVERGENT_QUEUE: usize = 16;
 /// Poll interval while waiting for requests and dispatches in flight to end.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Edits a template, an organisation or an evacuation, if the object is at
-    /// version `expected` or that is `None`. Edits with the same `edit_id` are
-    /// applied once.
+    /// Edits a template, an organisation or an evacuation. The object must be at
+    /// version `expected`; `None` overwrites any version. Edits with the same
+    /// `edit_id` are applied once.
     ///
     /// # Errors
     ///
--- a/crates/tier/src/web.rs
+++ b/crates/tier/src/web.rs
@@ -164,7 +164,7 @@
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
             let _slot = slot;
-            // Errors of a connection are left to the caller to handle.
+            // The caller also sees that the connection failed, and may retry.
             let _ = watched.await;
         });
     }
