--- a/crates/port/schema/peer.capnp
+++ b/crates/port/schema/peer.capnp
@@ -1,6 +1,6 @@
 @0xd2f1a6c07b3e4585;
 # The protocol between entries. Every message carries a version; an entry
-# answers a version that it does not know with an error.
+# answers an unknown version with an error.
 
 struct Member {
   id @0 :Text;
@@ -13,13 +13,13 @@
   liveness @7 :Liveness;
   leaving @8 :Bool;
   heirs @9 :List(Heir);
-  # Calls a second that it can carry; 0 if it did not say.
+  # Capacity in calls per second; 0 if not reported.
   weight @10 :UInt32;
-  # Calls a second that it makes, about.
+  # Approximate calls made per second.
   load @11 :UInt32;
 }
 
-# Who took over the tickets of one life of a member.
+# Names the member that took over the tickets of one incarnation of a member.
 struct Heir {
   of @0 :UInt64;
   member @1 :Text;
@@ -49,22 +49,22 @@
   load @6 :UInt32;
   news @7 :List(Member);
   target @8 :Text;
-  # Version of the route book that the sender has in force; 0 if none.
+  # Version of the route book in use at the sender; 0 if none.
   book @9 :UInt64;
   cases @10 :List(Case);
 }
 
-# What is known against a request under which leafs ended. Times are milliseconds before
-# the message.
+# Evidence against a request during which leafs terminated. Times are in milliseconds
+# before the message.
 struct Case {
   what @0 :UInt64;         # fingerprint of the request
-  clearedMs @1 :Int64 = -1;  # when a leaf answered it; -1 if none did
+  clearedMs @1 :Int64 = -1;  # when a leaf answered the request; -1 if none did
   episodes @2 :UInt32;
   strikes @3 :List(Strike);
 }
 
 struct Strike {
-  leaf @0 :UInt32;  # mark of the leaf that ended
+  leaf @0 :UInt32;  # mark of the leaf that terminated
   agoMs @1 :UInt32;
 }
 
@@ -138,7 +138,7 @@
   value @3 :Data;  # JSON
 }
 
-# A submission that a holder passes to one leaf.
+# A submission that a serving entry forwards to one leaf.
 struct Dispatch {
   version @0 :UInt16;
   request @1 :UInt64;
@@ -163,15 +163,15 @@
   query @0 (ask :SubQuery) -> (answer :SubAnswer);
   submit @1 (ask :Submission) -> (outcome :Outcome);
   members @2 () -> (members :List(Member));
-  # Objects that are newer at the callee than what the caller has.
+  # Objects for which the callee has a newer version than the caller.
   objects @3 (have :List(ObjectVersion)) -> (objects :List(Object));
   # Objects that have just been accepted.
   push @4 (objects :List(Object)) -> ();
-  # Tickets of a caller that leaves; the callee's life takes them over.
+  # Tickets of a caller that is leaving; the callee's incarnation takes them over.
   adopt @5 (tickets :List(Handed)) -> (life :UInt64);
   dispatch @6 (ask :Dispatch) -> (answer :Dispatched);
-  # Leafs that the platform's list says are leaving.
+  # Leafs marked as leaving in the platform's list.
   leaving @7 (leafs :List(Text)) -> ();
-  # A batch of refusal records, JSON, that the platform did not take.
+  # A batch of refusal records, in JSON, that the platform did not accept.
   records @8 (batch :Data) -> ();
 }
