--- a/crates/port/schema/peer.capnp
+++ b/crates/port/schema/peer.capnp
@@ -138,7 +138,7 @@
   value @3 :Data;  # JSON
 }
 
-# A submission that a serving entry forwards to one leaf.
+# A submission that a holder forwards to one leaf.
 struct Dispatch {
   version @0 :UInt16;
   request @1 :UInt64;
